--- a/crates/relay-node/src/traffic/gateway.rs
+++ b/crates/relay-node/src/traffic/gateway.rs
@@ -233,13 +233,10 @@
 
     /// Brings the dispatcher up to the rests that are known, also of upstreams that were listed anew.
     fn take_rests(&self, is_new_view: bool) {
-        let (notices, now) = (self.shared.notices(), Instant::now());
+        let notices = self.shared.notices();
         if self.seen_rests.replace(notices.rests()) != notices.rests() || is_new_view {
             let mut dispatcher = self.dispatcher.borrow_mut();
-            dispatcher.set_rests(|upstream| {
-                let until = notices.rest_until(upstream);
-                until.filter(|until| now < *until)
-            });
+            dispatcher.set_rests(|upstream| notices.rest_until(upstream));
         }
     }
 
