--- a/crates/relay-node/src/control/leaving_news.rs
+++ b/crates/relay-node/src/control/leaving_news.rs
@@ -39,7 +39,6 @@
             self.turns_left = NEWS_TURNS;
         }
         let now = Instant::now();
-        knowledge.settle_doubts(now);
         let is_standing = |told| now.duration_since(told) >= STANDING_INTERVAL;
         if self.turns_left == 0 && !self.told.is_none_or(is_standing) {
             return Vec::new();
@@ -116,23 +115,6 @@
         self.publish();
     }
 
-    /// Goes by the list for upstreams of which it was doubtful whether they had said that they leave.
-    fn settle_doubts(&self, now: Instant) {
-        let asked = now.checked_sub(self.shared.news_age()).unwrap_or(now);
-        let settled = self.shared.notices().settle(asked);
-        if settled.is_empty() {
-            return;
-        }
-        let mut upstreams = self.upstreams.borrow_mut();
-        for id in settled {
-            if let Some(upstream) = upstreams.get_mut(&id) {
-                *upstream = Arc::new(Upstream::clone(upstream).listed());
-            }
-        }
-        drop(upstreams);
-        self.publish();
-    }
-
     fn listed_leaving(&self) -> Vec<UpstreamId> {
         let (notices, upstreams) = (self.shared.notices(), self.upstreams.borrow());
         let leaving = notices.leaving().filter(|id| upstreams.contains_key(*id));
--- a/crates/relay-node/src/control/upstreams_watch.rs
+++ b/crates/relay-node/src/control/upstreams_watch.rs
@@ -66,16 +66,13 @@
                 return self.reject(item, &fault.to_string());
             }
         };
+        let upstream = knowledge.with_own_word(upstream);
         self.missing.borrow_mut().remove(&upstream.id);
         for started_before in self.ids_of(&upstream.name) {
             if started_before != upstream.id {
-                let mut notices = knowledge.shared.notices();
-                notices.succeed(&started_before, &upstream.id, Instant::now());
-                drop(notices);
                 knowledge.upstreams.borrow_mut().remove(&started_before);
             }
         }
-        let upstream = knowledge.with_own_word(upstream);
         let mut upstreams = knowledge.upstreams.borrow_mut();
         let took_work = upstreams
             .get(&upstream.id)
--- a/crates/relay-node/src/traffic/gateway.rs
+++ b/crates/relay-node/src/traffic/gateway.rs
@@ -233,10 +233,13 @@
 
     /// Brings the dispatcher up to the rests that are known, also of upstreams that were listed anew.
     fn take_rests(&self, is_new_view: bool) {
-        let notices = self.shared.notices();
+        let (notices, now) = (self.shared.notices(), Instant::now());
         if self.seen_rests.replace(notices.rests()) != notices.rests() || is_new_view {
             let mut dispatcher = self.dispatcher.borrow_mut();
-            dispatcher.set_rests(|upstream| notices.rest_until(upstream));
+            dispatcher.set_rests(|upstream| {
+                let until = notices.rest_until(upstream);
+                until.filter(|until| now < *until)
+            });
         }
     }
 
--- a/crates/relay/src/dispatcher.rs
+++ b/crates/relay/src/dispatcher.rs
@@ -9,7 +9,6 @@
 
 use crate::fitness::Fitness;
 use crate::load_times::FIRST_LOAD_MS;
-use crate::rest::Rest;
 use crate::tracked::{FIRST_RUN_MS, PROMPT_TOKEN_MS};
 use crate::{
     DomainsHeard, Holdings, HoldingsTold, ModelRef, Outcome, PromptChain, Report, Tracked,
@@ -203,12 +202,11 @@
         }
     }
 
-    /// Takes in until when each upstream wants nothing from this node, as far as it asked for that.
+    /// Takes in until when each upstream wants nothing from this node.
     pub fn set_rests(&mut self, until: impl Fn(&UpstreamId) -> Option<Instant>) {
         for (id, tracked) in &mut self.upstreams {
-            match until(id) {
-                Some(until) => tracked.rest.begin(until),
-                None => tracked.rest = Rest::default(),
+            if let Some(until) = until(id) {
+                tracked.rest.begin(until);
             }
         }
     }
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -13,10 +13,6 @@
 /// The longest rest that is kept to. What asks for more is asked again after a day.
 const LONGEST_REST: Duration = Duration::from_secs(86_400);
 
-/// How long the list may lag behind a process that starts and says that it leaves: a heartbeat, the lag of its reading, and
-/// some more.
-const DOUBT_SPAN: Duration = Duration::from_secs(3);
-
 /// The time over which nodes come back after a rest, as a part of it, and at most.
 const REST_SPREAD_SHARE: f64 = 0.1;
 const LONGEST_SPREAD: Duration = Duration::from_millis(500);
@@ -58,94 +54,39 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Notice {
-    leaving: Option<Said>,
-    rest: Option<Said>,
+    is_leaving: bool,
+    rest_until: Option<Instant>,
     last_listed: Instant,
 }
 
-/// Something that an upstream said.
-#[derive(Clone, Copy, Debug)]
-struct Said {
-    /// When it was heard.
-    at: Instant,
-    /// Until when it holds; nothing if that is until the process ends.
-    until: Option<Instant>,
-    /// Whether it may have been said by the process before it under its name.
-    is_doubtful: bool,
-}
-
 impl Notices {
     /// Takes in that `upstream` leaves. Returns whether that is new.
     ///
     /// It holds until the process ends: whoever leaves never takes work again.
     pub fn note_leaving(&mut self, upstream: &UpstreamId, now: Instant) -> bool {
-        let leaving = &mut self.notice(upstream, now).leaving;
-        let is_new = leaving.is_none_or(|said| said.is_doubtful);
-        *leaving = Some(Said {
-            at: leaving.map_or(now, |said| said.at),
-            until: None,
-            is_doubtful: false,
-        });
+        let notice = self.notice(upstream, now);
+        let is_new = !std::mem::replace(&mut notice.is_leaving, true);
         self.leavings += u64::from(is_new);
         is_new
     }
 
-    /// Takes in that the list shows `next` at the place of `before`, a process that ended under the same name.
-    ///
-    /// The list lags. What was heard of `before` a moment ago may have been said by `next` already, so it counts for both
-    /// until the doubt is settled.
-    pub fn succeed(&mut self, before: &UpstreamId, next: &UpstreamId, now: Instant) {
-        let Some(before) = self.known.get(before).copied() else {
-            return;
-        };
-        let lately = |said: &Said| now.duration_since(said.at) < DOUBT_SPAN;
-        let doubtful = |said: Option<Said>| {
-            let is_doubtful = true;
-            said.filter(lately).map(|said| Said {
-                is_doubtful,
-                ..said
-            })
-        };
-        let next = self.notice(next, now);
-        next.leaving = next.leaving.or(doubtful(before.leaving));
-        next.rest = next.rest.or(doubtful(before.rest));
-    }
-
-    /// Takes in that the list was asked for at `asked`, and shows by then who leaves. Returns the upstreams of which nothing
-    /// but doubt said anything.
-    pub fn settle(&mut self, asked: Instant) -> Vec<UpstreamId> {
-        let is_settled = |said: &mut Said| {
-            said.is_doubtful && asked.saturating_duration_since(said.at) >= DOUBT_SPAN
-        };
-        let known = self.known.iter_mut();
-        let settled = known.filter_map(|(upstream, notice)| {
-            let leaving = notice.leaving.take_if(is_settled);
-            let rest = notice.rest.take_if(is_settled);
-            leaving.or(rest).map(|_| upstream.clone())
-        });
-        let settled: Vec<UpstreamId> = settled.collect();
-        self.rests += u64::from(!settled.is_empty());
-        settled
-    }
-
     /// How often an upstream was found to leave.
     pub fn leavings(&self) -> u64 {
         self.leavings
     }
 
-    /// The upstreams that were heard to leave.
+    /// The upstreams that leave.
     pub fn leaving(&self) -> impl Iterator<Item = &UpstreamId> {
         let known = self.known.iter();
-        let is_heard = |said: Said| !said.is_doubtful;
         known
-            .filter(move |(_, notice)| notice.leaving.is_some_and(is_heard))
+            .filter(|(_, notice)| notice.is_leaving)
             .map(|(upstream, _)| upstream)
     }
 
     /// Whether `upstream` has said that it leaves.
     pub fn is_leaving(&self, upstream: &UpstreamId) -> bool {
         let notice = self.known.get(upstream);
-        notice.is_some_and(|notice| notice.leaving.is_some())
+        notice.is_some_and(|notice| notice.is_leaving)
     }
 
     /// Takes in that `upstream` wants nothing from this node for `rest`, and returns until when that is.
@@ -162,19 +103,14 @@
         let rest = rest.min(LONGEST_REST);
         let spread = rest.mul_f64(REST_SPREAD_SHARE).min(LONGEST_SPREAD);
         let until = now + rest + spread.mul_f64(random.random());
-        let rest = &mut self.notice(upstream, now).rest;
-        let known = rest.filter(|said| !said.is_doubtful);
-        let until = known.and_then(|said| said.until).max(Some(until));
-        *rest = Some(Said {
-            at: now,
-            until,
-            is_doubtful: false,
-        });
+        let notice = self.notice(upstream, now);
+        let until = notice.rest_until.map_or(until, |known| known.max(until));
+        notice.rest_until = Some(until);
         self.rests += 1;
-        until.unwrap_or(now)
+        until
     }
 
-    /// How often what is known of rests has changed.
+    /// How often an upstream asked for rest.
     pub fn rests(&self) -> u64 {
         self.rests
     }
@@ -194,7 +130,7 @@
 
     /// Until when `upstream` wants nothing from this node, if it has asked for rest.
     pub fn rest_until(&self, upstream: &UpstreamId) -> Option<Instant> {
-        self.known.get(upstream)?.rest?.until
+        self.known.get(upstream)?.rest_until
     }
 
     /// Forgets upstreams that have not been listed for a while.
@@ -209,8 +145,8 @@
 
     fn notice(&mut self, upstream: &UpstreamId, now: Instant) -> &mut Notice {
         self.known.entry(upstream.clone()).or_insert(Notice {
-            leaving: None,
-            rest: None,
+            is_leaving: false,
+            rest_until: None,
             last_listed: now,
         })
     }
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -72,15 +72,6 @@
         Self { state, ..self }
     }
 
-    /// The same upstream as the list shows it.
-    pub fn listed(self) -> Self {
-        let state = match self.state {
-            UpstreamState::Leaving => UpstreamState::Ready,
-            listed => listed,
-        };
-        Self { state, ..self }
-    }
-
     /// Whether new work may go there.
     pub fn takes_work(&self) -> bool {
         self.state == UpstreamState::Ready
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -216,38 +216,3 @@
     world.publish();
     assert!(!world.dispatcher.may_send(&id, now), "it is not listed");
 }
-
-// Guards against a process that says so before the list shows it, while its word is kept for the one before it.
-#[rstest]
-#[case::it_was_the_one_before(false)]
-#[case::it_says_so_again(true)]
-fn what_the_process_before_said_counts_until_the_list_must_show_it(#[case] says_so_again: bool) {
-    let (mut notices, heard) = (Notices::default(), Instant::now());
-    let (before, next) = ("u0@1".into(), "u0@2".into());
-    let seconds = |seconds: f64| heard + Duration::from_secs_f64(seconds);
-    notices.note_leaving(&before, heard);
-    notices.note_rest(&before, Duration::from_secs(60), heard, &mut rand::rng());
-    notices.succeed(&before, &next, seconds(1.0));
-    assert!(notices.is_leaving(&next) && notices.is_resting(&next, seconds(1.0)));
-    assert_eq!(
-        notices.leaving().collect::<Vec<_>>(),
-        [&before],
-        "others are told what was heard"
-    );
-    assert_eq!(notices.settle(seconds(2.9)), [] as [UpstreamId; 0]);
-    if says_so_again {
-        assert!(
-            notices.note_leaving(&next, seconds(2.0)),
-            "it is heard for the first time"
-        );
-    }
-    assert_eq!(notices.settle(seconds(3.1)), [next.clone()]);
-    assert_eq!(notices.is_leaving(&next), says_so_again);
-    assert!(!notices.is_resting(&next, seconds(3.1)));
-    let late = "u0@3".into();
-    notices.succeed(&before, &late, seconds(4.0));
-    assert!(
-        !notices.is_leaving(&late),
-        "the list would have shown it long ago"
-    );
-}
