--- a/crates/relay/src/access.rs
+++ b/crates/relay/src/access.rs
@@ -1,34 +1,34 @@
-//! Who may call, by the key of the request and the age of what the node knows.
+//! Authenticates callers by the request's key and the age of the node's configuration.
 //!
-//! Answers keys that operators take away while nodes cannot hear of it.
+//! Limits how long a revoked key is accepted by a node that no longer receives updates.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::{CallerKey, Route, RouteTable, Team};
 
-/// The part of the revocation bound for which a node goes on with what it knows. A watch can miss
-/// changes for a second before it notices, and a store call takes time to come back.
+/// Fraction of the revocation bound for which a node accepts keys without an update. A watch may
+/// miss changes for a second before it notices, and a store call takes time to return.
 const RELIED_ON_SHARE: f64 = 0.8;
 
-/// The part of the bound after which the node asks for no more callers, so that they have moved on to
-/// other nodes when keys are no longer accepted.
+/// Fraction of the bound after which a node reports that it is not ready, so that callers have
+/// moved to other nodes before it stops accepting keys.
 const READY_SHARE: f64 = 0.6;
 
-/// The age of news from which an unknown key may be one that was just added.
+/// Age of the configuration above which an unknown key may have been added since.
 const KNOWN_WELL_FOR: Duration = Duration::from_millis(1_000);
 
-/// Who calls.
+/// Who sent a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Caller {
-    /// Anybody: keys are not needed.
+    /// Anyone: no key is required.
     Anonymous,
     /// A team.
     Team(Arc<Team>),
 }
 
 impl Caller {
-    /// The team, if one calls.
+    /// The team; `None` for an anonymous caller.
     pub fn team(&self) -> Option<&Arc<Team>> {
         match self {
             Self::Anonymous => None,
@@ -37,32 +37,32 @@
     }
 }
 
-/// Why a request is not accepted.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// It bears no key that is in force.
+    /// The request has no valid key.
     NoKey {
-        /// Whether news that are due could bring the key.
+        /// Whether the next update of the configuration might contain the key.
         may_be_new: bool,
     },
-    /// What is known of keys is too old to accept one.
+    /// The configuration is too old for keys to be accepted.
     Stale,
 }
 
-/// How long keys are accepted on old news.
+/// How long keys are accepted without an update of the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AccessRules {
-    /// How long after it was taken away a key may still be accepted; nothing if there is no such bound.
+    /// Longest time for which a revoked key may be accepted; `None` for no limit.
     pub revocation: Option<Duration>,
 }
 
 impl AccessRules {
-    /// Who sends a request with `key` on `route`. `news_age` counts from when the last read of the
-    /// configuration was asked for.
+    /// Identifies the sender of a request with `key`. `news_age` is the time since the node
+    /// requested the configuration that it read last.
     ///
     /// # Errors
     ///
-    /// [`Denied`] if it is not to be served.
+    /// [`Denied`] if the request must not be served.
     ///
     /// ```
     /// use std::time::Duration;
@@ -103,11 +103,11 @@
         }
     }
 
-    /// [`AccessRules::caller`] for a request on a route of `table`.
+    /// Like [`AccessRules::caller`], for a request on a route of `table`.
     ///
     /// # Errors
     ///
-    /// [`Denied`] if it is not to be served.
+    /// [`Denied`] if the request must not be served.
     pub fn caller_on(
         &self,
         table: &RouteTable,
@@ -118,13 +118,13 @@
         self.caller(table.teams(), route.allows_anonymous, key, news_age)
     }
 
-    /// Whether a node with such news should get callers.
+    /// Whether a node with a configuration of this age should receive requests.
     pub fn is_ready(&self, table: &RouteTable, news_age: Duration) -> bool {
         let revocation = self.revocation.filter(|_| table.teams().is_some());
         revocation.is_none_or(|bound| news_age <= bound.mul_f64(READY_SHARE))
     }
 
-    /// Whether keys are accepted on such news.
+    /// Whether keys are accepted with a configuration of this age.
     fn relies_on(&self, news_age: Duration) -> bool {
         self.revocation
             .is_none_or(|bound| news_age <= bound.mul_f64(RELIED_ON_SHARE))
--- a/crates/relay/src/at_hand.rs
+++ b/crates/relay/src/at_hand.rs
@@ -1,15 +1,15 @@
-//! Copies of weights that an engine has near it.
+//! Copies of base models in an engine's host memory or on its disk.
 
 use std::sync::Arc;
 
-/// Where an engine takes a base model from, the quickest first.
+/// Where an engine loads a base model from, the fastest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CopySource {
     /// The memory of its host.
     Memory,
-    /// Its disk.
+    /// Its local disk.
     Disk,
-    /// The weight store, whose rate all engines share.
+    /// The weight store, whose bandwidth all engines share.
     Store,
 }
 
@@ -24,14 +24,14 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AtHand {
-    /// In the memory of its host.
+    /// Models in the memory of its host.
     pub in_memory: Vec<Arc<str>>,
-    /// On its disk, which outlasts its process.
+    /// Models on its disk, which outlives the engine's process.
     pub on_disk: Vec<Arc<str>>,
 }
 
 impl AtHand {
-    /// Where `model` would come from.
+    /// Where `model` would be loaded from.
     pub fn source_of(&self, model: &str) -> CopySource {
         let has = |copies: &[Arc<str>]| copies.iter().any(|copy| &**copy == model);
         if has(&self.in_memory) {
--- a/crates/relay/src/call_kind.rs
+++ b/crates/relay/src/call_kind.rs
@@ -1,15 +1,15 @@
-//! What may be repeated.
+//! Whether calls on a route may be repeated.
 
-/// What a route says about sending a call again.
+/// The retry semantics of a route's calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// May run more than once.
+    /// The call may run more than once.
     Idempotent,
-    /// May run at most once.
+    /// The call may run at most once.
     Once,
-    /// Answered by a series of events.
+    /// The response is a stream of events.
     Stream {
-        /// Whether another upstream may go on after the last event received.
+        /// Whether another upstream can resume the stream after the last event received.
         is_resumable: bool,
     },
 }
@@ -17,8 +17,8 @@
 impl CallKind {
     /// Whether a call that may have run can be sent again from its start.
     ///
-    /// A stream that may be resumed is idempotent until its first event went out; any other
-    /// stream runs at most once.
+    /// A resumable stream is idempotent until its first event has been sent to the caller. Any
+    /// other stream may run at most once.
     ///
     /// ```
     /// use nutmegsail_relay::CallKind;
@@ -29,7 +29,7 @@
         matches!(self, Self::Idempotent | Self::Stream { is_resumable: true })
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
--- a/crates/relay/src/copies.rs
+++ b/crates/relay/src/copies.rs
@@ -1,4 +1,4 @@
-//! Which engines take a further copy of an adapter, and when one is worth its load.
+//! Selection of engines for further copies of an adapter.
 
 use std::time::Instant;
 
@@ -9,10 +9,10 @@
 use crate::load_times::RECENT_SHARE;
 use crate::{Dispatcher, LoadTimes, ModelRef, Need, Tracked, VersionRule};
 
-/// Where a further copy of an adapter is wanted.
+/// Where a further copy of an adapter should be loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CopyPlace {
-    /// In this failure domain.
+    /// At an engine in this failure domain.
     Domain(FailureDomain),
     /// At any engine.
     Anywhere,
@@ -27,53 +27,56 @@
     }
 }
 
-/// An engine that could take an adapter.
+/// An engine that could load an adapter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadPlace {
     /// The engine.
     pub engine: UpstreamId,
-    /// What speaks against it, in milliseconds of expected wait; to compare engines by only.
+    /// Cost in milliseconds of expected wait. Only meaningful for comparing engines.
     pub wait_ms: f64,
-    /// Whether it held the adapter a while ago and brings it back from its own memory.
+    /// Whether the engine dropped the adapter recently and can restore it from host memory.
     pub is_recent: bool,
 }
 
-/// What speaks against a load in another failure domain, in milliseconds of expected wait: more than
-/// one load ahead. Most adapters are asked for once or twice, and then their answers stay here.
+/// Cost of a load in another failure domain, in milliseconds of expected wait: more than that of
+/// one queued load. Most adapters are requested only once or twice, and then their responses stay
+/// in this domain.
 const LOAD_ELSEWHERE_MS: f64 = 400.0;
 
-/// The same while loads crowd the weight store, as at a cold start. Each failure domain would load the
-/// popular adapters for itself then, and its callers wait for three loads in place of one.
+/// The same while the weight store is congested, as after a cold start. If domains did not share
+/// loads then, each would load the popular adapters itself, and callers would wait for three loads
+/// instead of one.
 const CROWDED_ELSEWHERE_MS: f64 = 60.0;
 
-/// What an engine scores where an adapter is not on its way, so that one where it is goes first.
+/// Base cost of an engine that is not yet loading the adapter, so that one that is comes first.
 const ELSEWHERE_MS: f64 = 1_000.0;
 
-/// Loads ahead at one engine over which it gets no more.
+/// Queued loads from which an engine gets no more.
 const LOADS_AHEAD_LIMIT: usize = 4;
 
-/// A wait for the first event over which a request looks for another engine than those that hold its
-/// adapter: the shortest latency objective of the generations.
+/// Expected wait for the first event above which a load on another engine is considered, in
+/// milliseconds: the shortest latency objective of generation requests.
 const LONG_WAIT_MS: f64 = 600.0;
 
-/// What the order of a load takes, there and back through the engine's owner, in milliseconds.
+/// Round trip of a load order through the engine's owner, in milliseconds.
 const ORDER_MS: f64 = 15.0;
 
-/// What the use of the weight store counts beside its time, in milliseconds of wait: its rate is
-/// shared by all engines, and a load costs about a third of what a request is worth. A recent holder
-/// so goes first while its queue is some 500 ms longer at most, which is still in time for most
-/// requests.
+/// Cost of using the weight store beyond the load time, in milliseconds of wait: its bandwidth is
+/// shared by all engines, and a load costs about a third of what a request is worth. An engine that
+/// can restore the adapter from host memory is thus preferred while its queue is at most about 500
+/// ms longer, which is still in time for most requests.
 const STORE_USE_MS: f64 = 240.0;
 
-/// How much sooner another engine must answer to be worth a load, as a part of the wait.
+/// Largest wait on another engine, as a fraction of the present wait, that justifies a load.
 const SOONER_SHARE: f64 = 0.6;
 
 impl Dispatcher {
-    /// Whether a request that would wait `expected_ms` where its adapter is would be answered much
-    /// sooner after a load elsewhere.
+    /// Whether a request that would wait `expected_ms` on the engines that hold its adapter would
+    /// be answered much sooner after a load on another engine.
     ///
-    /// The adapters of a busy engine are mostly its own. Their requests queue there for two seconds
-    /// and more while engines beside it are free, and miss every latency objective.
+    /// Most adapters of a busy engine are held nowhere else. Without a further copy, their requests
+    /// queue there for two seconds or more, missing every latency objective, while other engines
+    /// are idle.
     pub fn is_sooner_elsewhere(&self, need: &Need<'_>, expected_ms: f64, now: Instant) -> bool {
         let Some(model) = need.model else {
             return false;
@@ -94,7 +97,7 @@
         least_ms - ELSEWHERE_MS + prompt_ms < expected_ms * SOONER_SHARE
     }
 
-    /// Whether an engine of `domain` that takes work holds `model`.
+    /// Whether an engine of `domain` that accepts requests holds `model`.
     pub fn is_held_in(
         &self,
         domain: &FailureDomain,
@@ -110,16 +113,17 @@
         })
     }
 
-    /// Engines that could take `model`, each with what speaks against it.
+    /// The engines that could load `model`, with their costs.
     ///
-    /// An engine whose places are all in use turns the load away, and the request that waits for it has
-    /// lost a trip; so while others have room it is not asked. In a large fleet most nodes ask an engine
-    /// once in seconds and know nothing else of its places.
+    /// Engines without a free adapter slot are left out unless there are no others: they refuse the
+    /// load, which costs the waiting request a round trip. In a large fleet most nodes ask an
+    /// engine only once in several seconds and have no other news of its slots.
     ///
-    /// One that limits its requests gets no more adapters to be asked for, unless all do.
+    /// Engines that limit their request rate are left out unless there are no others, so that they
+    /// don't attract further requests.
     ///
-    /// An engine without the base model can take no adapter. As it is also idle, it would be the
-    /// first choice of every request, and each would wait for an order that cannot be given.
+    /// Engines without the base model cannot load an adapter. As they are idle too, they would be
+    /// the first choice of every request, and all would wait for an order that cannot be given.
     pub fn engines_to_load(
         &self,
         service: &ServiceName,
@@ -163,14 +167,14 @@
             wait_ms,
             is_recent,
         };
-        // Where it is on its way already, it comes soonest and costs nothing more.
+        // An engine that is already loading the adapter has it soonest and at no further cost.
         if tracked.coming(now).contains(&model.digest()) {
             return place(0.0);
         }
         let queue_ms = ELSEWHERE_MS + tracked.expected_first_event_ms(0, now);
         let is_here = self.is_here(tracked);
         if is_recent {
-            // It comes past the loads that wait for the weight store.
+            // Loads from host memory skip the queue of loads from the weight store.
             let domain_ms = if is_here { 0.0 } else { OTHER_DOMAIN_MS };
             return place(queue_ms + self.load_ms * RECENT_SHARE + ORDER_MS + domain_ms);
         }
@@ -191,14 +195,14 @@
         }
     }
 
-    /// Takes in how long loads take.
+    /// Updates the expected load times.
     pub fn set_load_times(&mut self, times: &LoadTimes) {
         self.are_loads_quick = times.are_quick();
         self.load_ms = times.usual(0.0).as_secs_f64() * 1_000.0;
     }
 }
 
-/// Those that `is_preferred` holds for, or all if there are none.
+/// The engines for which `is_preferred` holds, or all if there are none.
 fn preferred(engines: Vec<&Tracked>, is_preferred: impl Fn(&Tracked) -> bool) -> Vec<&Tracked> {
     match engines.iter().any(|tracked| is_preferred(tracked)) {
         true => engines
--- a/crates/relay/src/demand.rs
+++ b/crates/relay/src/demand.rs
@@ -1,4 +1,4 @@
-//! How much each adapter or model is asked for.
+//! Demand for adapters and models.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -6,11 +6,11 @@
 
 use crate::ModelRef;
 
-/// Adapters that are remembered. Eight times what today's engines hold together (252); the least
-/// wanted are forgotten first.
+/// Maximum number of adapters to track: eight times what today's engines hold in total (252). Those
+/// with the lowest demand are dropped first.
 const ENTRIES_LIMIT: usize = 2_048;
 
-/// What each adapter was asked for, with what was long ago counting less.
+/// Exponentially decaying demand for each adapter or model.
 ///
 /// ```
 /// use std::time::{Duration, Instant};
@@ -40,7 +40,7 @@
 }
 
 impl<K: Clone + Eq + Hash> Demand<K> {
-    /// Nothing asked for yet; what is `half_life` old counts half.
+    /// Creates an empty counter in which past demand decays with the given half-life.
     pub fn new(half_life: Duration) -> Self {
         Self {
             half_life_s: half_life.as_secs_f64(),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Counts `amount` for `model`: requests, or what they weigh.
+    /// Adds `amount` to the demand for `model`: a number of requests or their weight.
     pub fn add(&mut self, model: &K, amount: f64, now: Instant) {
         let half_life_s = self.half_life_s;
         match self.entries.get_mut(model) {
@@ -69,14 +69,14 @@
         }
     }
 
-    /// How much `model` is asked for.
+    /// The decayed demand for `model`.
     pub fn score(&self, model: &K, now: Instant) -> f64 {
         self.entries
             .get(model)
             .map_or(0.0, |entry| entry.score_at(self.half_life_s, now))
     }
 
-    /// What `model` is asked for in a second, if that has not changed for a few half-lives.
+    /// The demand for `model` per second, provided that it was constant for several half-lives.
     pub fn rate_per_s(&self, model: &K, now: Instant) -> f64 {
         self.score(model, now) * std::f64::consts::LN_2 / self.half_life_s
     }
--- a/crates/relay/src/dispatcher.rs
+++ b/crates/relay/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Which upstream gets a request.
+//! Selection of the upstream that serves a request.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -15,113 +15,118 @@
     Upstream, VersionRule,
 };
 
-/// What a request needs of an upstream.
+/// What a request requires of an upstream.
 #[derive(Clone, Debug)]
 pub struct Need<'a> {
-    /// The service.
+    /// The service that the route leads to.
     pub service: &'a ServiceName,
-    /// The model, if an engine answers.
+    /// The model, for requests to a model engine.
     pub model: Option<&'a ModelRef>,
-    /// The versions it may begin on.
+    /// The model versions that the request may start on.
     pub version: VersionRule,
-    /// Tokens of its prompt; 0 for plain services.
+    /// Length of the prompt in tokens; 0 for plain services.
     pub prompt_tokens: u64,
-    /// The parts of its prompt, as far as its caller told.
+    /// The prompt's parts, if the caller identified them.
     pub prompt: &'a PromptChain,
-    /// Upstreams that it was sent to already.
+    /// Upstreams that already received this request.
     pub tried: &'a [UpstreamId],
 }
 
-/// Where a request goes.
+/// The upstream selected for a request.
 #[derive(Clone, Debug)]
 pub struct Choice {
-    /// The upstream.
+    /// The selected upstream.
     pub upstream: Arc<Upstream>,
-    /// The version of the model that it holds.
+    /// The version of the requested model that the upstream holds.
     pub version: Option<u64>,
-    /// Tokens of the prompt that are to be read there.
+    /// Prompt tokens that the upstream has to process, without those it is expected to have cached.
     pub unread_tokens: u64,
-    /// When the answer is expected to begin, in milliseconds; for [`Dispatcher::answer_began`].
+    /// Expected time to the first event, in milliseconds. Pass it to [`Dispatcher::answer_began`].
     pub expected_ms: f64,
-    /// Whether it holds the version that new requests are meant to begin on.
+    /// Whether the upstream holds the version that new requests should start on.
     pub is_preferred: bool,
-    /// Whether it leaves, so that the next request needs another one.
+    /// Whether the upstream is about to shut down, so that the next request needs another one.
     pub is_leaving: bool,
 }
 
-/// Why no upstream gets a request now.
+/// Why no upstream can serve a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No upstream that takes work is known.
+    /// No known upstream of the service accepts requests.
     NoUpstream,
-    /// None that takes work holds the adapter in a version that is allowed.
+    /// No upstream that accepts requests holds the adapter in an allowed version.
     AdapterAbsent,
-    /// All that could answer are paused or full.
+    /// Every upstream that could serve the request is paused or full.
     AllBusy,
 }
 
-/// What a way into another failure domain costs, in milliseconds of expected wait. The way itself
-/// takes some 2 ms, but an answer that crosses failure domains is lost when they are cut off from
-/// each other, and bytes between them are charged for.
+/// Cost of sending a request to another failure domain, in milliseconds of expected wait. The
+/// network adds only about 2 ms, but a response that crosses failure domains is lost when they are
+/// partitioned, and traffic between them is billed.
 pub(crate) const OTHER_DOMAIN_MS: f64 = 60.0;
 
-/// Scores that differ by less are taken as equal, so that nodes which know the same do not all
-/// choose the same upstream.
+/// Amplitude of the random noise added to each score, in milliseconds. It keeps nodes with the same
+/// information from all selecting the same upstream.
 const SCORE_NOISE_MS: f64 = 8.0;
 
-/// What a paused upstream scores above any other: it gets work only if all are paused.
+/// Score penalty of a paused upstream. It is high enough that such an upstream is selected only if
+/// all are paused.
 const PAUSED_MS: f64 = 100_000.0;
 
-/// What an upstream scores that nothing reaches: even a paused one goes before it.
+/// Score penalty of a failing upstream in an unreachable failure domain. It ranks behind a paused
+/// upstream.
 const CUT_OFF_MS: f64 = 200_000.0;
 
-/// How long the nodes of a failure domain may be silent before it counts as cut off: four exchanges,
-/// as single datagrams are lost now and then.
+/// Silence of all nodes of a failure domain after which it counts as unreachable. This allows for
+/// four exchanges, because single datagrams are occasionally lost.
 const DOMAIN_SILENCE: Duration = Duration::from_millis(420);
 
-/// How long a silence says that. Nodes may be gone while the upstreams beside them serve on.
+/// Silence after which a failure domain no longer counts as unreachable: its nodes may have been
+/// removed while the upstreams there keep serving.
 const DOMAIN_SILENCE_ENDS: Duration = Duration::from_secs(30);
 
-/// What a plain upstream scores for a request that runs there, in milliseconds.
+/// Score of each request running at a plain upstream, in milliseconds.
 const PLAIN_RUNNING_MS: f64 = 30.0;
 
-/// What each request that waits for a slot scores at a plain upstream, in milliseconds.
+/// Score of each request waiting for a slot at a plain upstream, in milliseconds.
 const PLAIN_QUEUED_MS: f64 = 50.0;
 
-/// How much one answer moves the pace of all engines, as a part of the difference of logarithms. Half of
-/// a change is taken in after some 35 answers.
+/// Weight of one response in the update of the pace, applied to the logarithm of observed over
+/// expected time. About 35 responses take in half of a change.
 const PACE_STEP: f64 = 0.02;
 
-/// Bounds of the pace.
+/// Lower and upper bound of the pace.
 const PACE_RANGE: (f64, f64) = (0.05, 20.0);
 
-/// The most that one answer tells, either way: one that hung says little about the rest.
+/// Largest ratio, in either direction, that a single response contributes to the pace. A response
+/// that hung says little about the other engines.
 const PACE_SEEN_MOST: f64 = 3.0;
 
-/// How much one answer moves the time for which requests take up a slot.
+/// Weight of one request in the moving average of slot times.
 const RUN_STEP: f64 = 0.05;
 
-/// The upstreams as one node sees them, with what it sent to each.
+/// Tracks the upstreams that one node knows and the requests it sent there, and selects upstreams.
 #[derive(Debug)]
 pub struct Dispatcher {
     pub(crate) failure_domain: FailureDomain,
     pub(crate) upstreams: HashMap<UpstreamId, Tracked>,
-    /// Whether loads hardly wait for the weight store; not until some were seen.
+    /// Whether loads are hardly delayed by the weight store. False until loads have been observed.
     pub(crate) are_loads_quick: bool,
-    /// How long a load from the weight store takes with few others, in milliseconds.
+    /// Time of a load from the weight store when few others are in progress, in milliseconds.
     pub(crate) load_ms: f64,
-    /// How long requests take up a slot of an engine, in milliseconds.
+    /// Average time for which a request occupies an engine slot, in milliseconds.
     run_ms: f64,
-    /// How many times as long as assumed engines take to read and step.
+    /// Observed over assumed time for engines to process prompts and run steps.
     pace: f64,
-    /// When a node of each other failure domain was last heard.
+    /// When a node of each failure domain was last heard from.
     domains_heard: DomainsHeard,
-    /// How long an upstream that says that it leaves gets what nobody else can serve.
+    /// How long an upstream that announced its shutdown still gets requests that no other can
+    /// serve.
     pub(crate) leaving_grace: Duration,
 }
 
 impl Dispatcher {
-    /// A dispatcher of a node in `failure_domain`, which knows no upstream yet.
+    /// Creates a dispatcher for a node in `failure_domain`, without any upstreams.
     pub fn new(failure_domain: FailureDomain) -> Self {
         Self {
             failure_domain,
@@ -135,12 +140,13 @@
         }
     }
 
-    /// Sets for how long an upstream that says that it leaves gets what nobody else can serve; not at all by default.
+    /// Sets how long an upstream that announced its shutdown still gets requests that no other can
+    /// serve. The default is zero.
     pub fn set_leaving_grace(&mut self, grace: Duration) {
         self.leaving_grace = grace;
     }
 
-    /// Takes in the list of upstreams. Those that are missing get nothing new.
+    /// Replaces the list of upstreams. Those missing from the list get no new requests.
     pub fn set_upstreams(&mut self, list: &[Arc<Upstream>], now: Instant) {
         let listed: HashSet<&UpstreamId> = list.iter().map(|upstream| &upstream.id).collect();
         self.upstreams.retain(|id, _| listed.contains(id));
@@ -157,37 +163,38 @@
         }
     }
 
-    /// Takes in what an engine holds now that an adapter was brought in.
+    /// Records what an engine holds after an adapter was loaded.
     pub fn note_holdings(&mut self, id: &UpstreamId, holdings: &Holdings, now: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.note_holdings(holdings, now);
         }
     }
 
-    /// Takes in what an engine's owner told.
+    /// Records a report from an engine's owner.
     pub fn note_told(&mut self, id: &UpstreamId, holdings: &HoldingsTold, report: Report) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.note_told(holdings, report);
         }
     }
 
-    /// Takes in that an engine does not hold `model`.
+    /// Records that an engine does not hold `model`.
     pub fn note_absent(&mut self, id: &UpstreamId, model: &ModelRef, now: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.note_absent(model, now);
         }
     }
 
-    /// Takes in that another process has an upstream's address.
+    /// Records that another process now answers at an upstream's address.
     pub fn note_gone(&mut self, id: &UpstreamId, now: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.note_gone(now);
         }
     }
 
-    /// Takes in that an upstream has said to this node that it leaves.
+    /// Records that an upstream announced its shutdown to this node.
     ///
-    /// Where that was known before, it gets nothing already.
+    /// Has no effect if the list of upstreams already says so, as such an upstream gets no
+    /// requests.
     pub fn note_leaving(&mut self, id: &UpstreamId, now: Instant) {
         let tracked = self.upstreams.get_mut(id);
         if let Some(tracked) = tracked.filter(|tracked| tracked.upstream.takes_work()) {
@@ -195,14 +202,14 @@
         }
     }
 
-    /// Takes in that an upstream wants nothing from this node before `until`.
+    /// Records that an upstream asked this node to send no requests before `until`.
     pub fn note_rest(&mut self, id: &UpstreamId, until: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.rest.begin(until);
         }
     }
 
-    /// Takes in until when each upstream wants nothing from this node.
+    /// Updates for every upstream until when it asked to be sent no requests.
     pub fn set_rests(&mut self, until: impl Fn(&UpstreamId) -> Option<Instant>) {
         for (id, tracked) in &mut self.upstreams {
             if let Some(until) = until(id) {
@@ -211,20 +218,20 @@
         }
     }
 
-    /// Whether what was chosen for an upstream may still be sent there.
+    /// Whether a request may still be sent to the upstream that was selected for it.
     pub fn may_send(&self, id: &UpstreamId, now: Instant) -> bool {
         let tracked = self.tracked(id);
         tracked.is_some_and(|tracked| self.fitness(tracked, now) != Fitness::Unfit)
     }
 
-    /// Takes in which upstreams limit the requests that they take.
+    /// Updates which upstreams limit the rate of their requests.
     pub fn set_limited(&mut self, is_limited: impl Fn(&UpstreamId) -> bool) {
         for (id, tracked) in &mut self.upstreams {
             tracked.is_limited = is_limited(id);
         }
     }
 
-    /// Takes in that an upstream's limit leaves no room before `until`.
+    /// Records that an upstream's limit is exhausted until `until`.
     pub fn note_limited(&mut self, id: &UpstreamId, until: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.note_limited(until);
@@ -236,16 +243,16 @@
         self.upstreams.get(id)
     }
 
-    /// All upstreams.
+    /// All known upstreams.
     pub fn all(&self) -> impl Iterator<Item = &Tracked> {
         self.upstreams.values()
     }
 
-    /// Chooses an upstream for a request.
+    /// Selects an upstream for a request.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] if none can answer now.
+    /// [`Refusal`] if no upstream can serve the request now.
     pub fn choose(
         &self,
         need: &Need<'_>,
@@ -277,8 +284,8 @@
         })
     }
 
-    /// The upstreams that can answer; those with a version that new requests are meant to begin on, if
-    /// there are any.
+    /// The upstreams that can serve the request. If some of them hold the version that new requests
+    /// should start on, only those are returned.
     fn able<'a>(&'a self, need: &Need<'_>, now: Instant) -> Result<Vec<Able<'a>>, Refusal> {
         let mut refusal = Refusal::NoUpstream;
         let mut able = Vec::new();
@@ -318,7 +325,7 @@
         Ok(able)
     }
 
-    /// The upstreams of the service that the request was not sent to.
+    /// The upstreams of the service that the request has not been sent to yet.
     pub(crate) fn candidates(&self, need: &Need<'_>) -> impl Iterator<Item = &Tracked> {
         let upstreams = self.upstreams.values();
         upstreams.filter(|tracked| {
@@ -357,11 +364,11 @@
         running_ms + f64::from(ahead) * PLAIN_QUEUED_MS
     }
 
-    /// Whether the upstream's failure domain has fallen silent.
+    /// Whether the upstream's failure domain is unreachable.
     ///
-    /// When domains are cut off from each other, kept connections stay open and what is sent on
-    /// them hangs; a request that must not run twice is lost with it. The nodes there, which
-    /// answer ten times a second, are then silent at once.
+    /// During a partition, open connections stay up and requests sent over them hang; a request
+    /// that must not run twice is then lost. All nodes of the domain, which otherwise send ten
+    /// messages a second, fall silent at the same time.
     pub(crate) fn is_cut_off(&self, tracked: &Tracked, now: Instant) -> bool {
         let domain = &tracked.upstream.failure_domain;
         let heard = self.domains_heard.heard(domain);
@@ -372,7 +379,8 @@
             })
     }
 
-    /// Whether an engine that takes work holds the base model that `model` names or belongs to.
+    /// Whether an engine that accepts requests holds the base model that `model` names or belongs
+    /// to.
     pub fn has_base(&self, service: &ServiceName, model: &ModelRef, now: Instant) -> bool {
         self.upstreams.values().any(|tracked| {
             tracked.upstream.service == *service
@@ -381,8 +389,8 @@
         })
     }
 
-    /// How long one request takes up an engine of `service`, in milliseconds: the time that its prompt is
-    /// read, and its part of the time in which all slots are taken.
+    /// Engine time that one request to `service` takes, in milliseconds: the time to process its
+    /// prompt plus its share of the time in which all slots are occupied.
     pub fn engine_ms(&self, service: &ServiceName, prompt_tokens: u64) -> f64 {
         let engines = self.upstreams.values();
         let slots = engines
@@ -392,38 +400,40 @@
         self.reading_ms(prompt_tokens) + self.run_ms / f64::from(slots.unwrap_or(1).max(1))
     }
 
-    /// How long engines take to read a prompt, in milliseconds.
+    /// Time for an engine to process a prompt, in milliseconds.
     pub(crate) fn reading_ms(&self, prompt_tokens: u64) -> f64 {
         prompt_tokens as f64 * PROMPT_TOKEN_MS * self.pace
     }
 
-    /// Takes in when failure domains were heard.
+    /// Merges the times at which failure domains were last heard from.
     pub fn note_domains_heard(&mut self, heard: &DomainsHeard) {
         self.domains_heard.merge(heard);
     }
 
-    /// Counts a request as sent.
+    /// Records that a request was sent.
     pub fn sent(&mut self, id: &UpstreamId, prompt_tokens: u64, now: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.sent(prompt_tokens, now);
         }
     }
 
-    /// Takes in which prompt an engine reads, so that others with the same parts go there.
+    /// Records the prompt sent to an engine, so that prompts with the same parts are sent there
+    /// too.
     pub fn note_prompt(&mut self, id: &UpstreamId, prompt: &PromptChain, now: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.note_prompt(prompt, now);
         }
     }
 
-    /// Counts a request's prompt as read: its answer began, or it ended without one.
+    /// Records that a request's prompt is no longer pending: its response started, or it ended
+    /// without one.
     pub fn prompt_read(&mut self, id: &UpstreamId, prompt_tokens: u64) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.prompt_read(prompt_tokens);
         }
     }
 
-    /// Takes in when an answer began.
+    /// Records that a response started.
     pub fn answer_began(
         &mut self,
         id: &UpstreamId,
@@ -437,17 +447,18 @@
         let sound_ms = expected_ms / tracked.slowness(now);
         tracked.rest.note_answered();
         tracked.note_first_event(expected_ms, took, now);
-        // Plain services answer in their own time.
+        // The response time of plain services says nothing about engines.
         if !tracked.holdings.models.is_empty() {
             self.note_pace(sound_ms, took);
         }
     }
 
-    /// Takes in how long an answer took to begin against what was expected of a sound engine.
+    /// Updates the pace from the time to the first event, compared with the one expected of a
+    /// healthy engine.
     ///
-    /// How fast engines read differs between deployments. Taken for those of another, waits were
-    /// expected twice as long as they were (542 ms for 266 at the median), and requests loaded their
-    /// adapters once more elsewhere to be spared them.
+    /// The speed of engines differs between deployments. With the figures of another deployment,
+    /// the expected waits were twice the actual ones (542 ms instead of 266 ms at the median), and
+    /// adapters were loaded on further engines to avoid waits that did not exist.
     fn note_pace(&mut self, sound_ms: f64, took: Duration) {
         let seen = took.as_secs_f64() * 1_000.0 / sound_ms.max(1.0);
         let (least, most) = PACE_RANGE;
@@ -459,14 +470,14 @@
         }
     }
 
-    /// Counts a request as ended.
+    /// Records that a request ended.
     pub fn ended(&mut self, id: &UpstreamId) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.in_flight = tracked.in_flight.saturating_sub(1);
         }
     }
 
-    /// Takes in how long a request took up a slot of an engine, to the end of its answer.
+    /// Records how long a request occupied an engine slot, up to the end of its response.
     pub fn note_run(&mut self, took: Duration) {
         let took_ms = took.as_secs_f64() * 1_000.0;
         self.run_ms += RUN_STEP * (took_ms - self.run_ms);
@@ -475,7 +486,7 @@
         }
     }
 
-    /// Takes in what became of a send.
+    /// Records the outcome of sending a request.
     pub fn note_outcome(&mut self, id: &UpstreamId, outcome: Outcome, now: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.health.note(outcome, now);
@@ -485,7 +496,7 @@
         }
     }
 
-    /// Takes in that no connection could be made.
+    /// Records that no connection to an upstream could be made.
     pub fn note_unreachable(&mut self, id: &UpstreamId, now: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.health.note_unreachable(now);
@@ -494,15 +505,16 @@
     }
 }
 
-/// An upstream that can answer.
+/// An upstream that can serve a request.
 struct Able<'a> {
     tracked: &'a Tracked,
-    /// The version of the model that it holds.
+    /// The version of the requested model that it holds.
     version: Option<u64>,
     fitness: Fitness,
 }
 
-/// The engine that requests with the same shared parts of the prompt go to, queues being equal.
+/// The engine preferred for requests that share the leading parts of their prompt, if queues are
+/// equal.
 fn prompt_home<'a>(need: &Need<'_>, able: &[Able<'a>]) -> Option<&'a UpstreamId> {
     if able.len() < 2 {
         return None;
@@ -513,7 +525,7 @@
 }
 
 impl Refusal {
-    /// The reason that came closest to an answer.
+    /// The reason of the two that came closer to serving the request.
     fn max_reason(self, other: Self) -> Self {
         let rank = |reason| match reason {
             Self::NoUpstream => 0,
--- a/crates/relay/src/engine_demand.rs
+++ b/crates/relay/src/engine_demand.rs
@@ -1,4 +1,4 @@
-//! What one engine is asked for, and which of its adapters need further copies.
+//! Demand at one engine, and which of its adapters need further copies.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -8,28 +8,28 @@
 use crate::tracked::PROMPT_TOKEN_MS;
 use crate::{CopyPlace, Demand, HeldModel, Holdings, ModelRef};
 
-/// In this time demand counts half. Long enough for some requests of a popular adapter, short enough
-/// that a copy follows within a second or two of a shift.
+/// Half-life of demand. It is long enough to cover several requests for a popular adapter, and
+/// short enough that a copy is loaded within a second or two of a shift in demand.
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// The part of an engine that the requests for one adapter may take up, before another copy is worth
-/// its load: of its prompt reading, or of its slots. The rest is for the engine's other adapters.
+/// Fraction of an engine, in prompt processing or in slots, that the requests for one adapter may
+/// occupy before a further copy is worth its load. The rest is for the engine's other adapters.
 const COPY_SHARE: f64 = 0.4;
 
-/// The same from which a copy is as urgent as a load for a miss: the engine has hardly room for anything
+/// Fraction from which a copy is as urgent as a load for a miss: the engine can hardly do anything
 /// else, and the adapter's own callers queue.
 const URGENT_SHARE: f64 = 0.8;
 
-/// Requests in a second for one adapter from a failure domain over which it gets a copy there: a load
-/// costs about a third of what a request is worth, and pays off within some seconds.
+/// Requests per second for one adapter from a failure domain above which the domain gets its own
+/// copy. A load costs about a third of what a request is worth, and pays off within some seconds.
 const OWN_COPY_PER_S: f64 = 2.0;
 
-/// The time between two orders of copies of one adapter: a copy takes 250 ms and more, and its effect
-/// on what is asked here shows some time after.
+/// Minimum interval between orders for copies of the same adapter. A copy takes at least 250 ms to
+/// load, and demand at this engine drops only some time later.
 const COPY_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Copies that are ordered at once. An adapter that a whole fleet turns to needs a dozen; one at a
-/// time they would take as many seconds.
+/// Maximum number of copies ordered at the same time. An adapter that becomes popular in the whole
+/// fleet needs a dozen; ordered one by one they would take a dozen seconds.
 const COPIES_AT_ONCE: usize = 4;
 
 /// An adapter that needs further copies.
@@ -37,29 +37,30 @@
 pub struct WantedCopies {
     /// The adapter.
     pub model: ModelRef,
-    /// Where they are wanted.
+    /// Where the copies should be loaded.
     pub place: CopyPlace,
-    /// How many.
+    /// How many copies to load.
     pub copies: usize,
-    /// Whether one engine is too few for it, so that its callers wait for a copy as others do for a miss.
+    /// Whether the adapter's load exceeds this engine, so that callers wait for a copy as they
+    /// would for a miss.
     pub is_urgent: bool,
 }
 
-/// An engine as its owner knows it.
+/// Properties of an engine as its owner knows them.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineLoadNow<'a> {
-    /// Where it stands.
+    /// Its failure domain.
     pub failure_domain: &'a FailureDomain,
-    /// Requests that it runs at once.
+    /// Number of requests that it can run at the same time.
     pub slots: u32,
-    /// What it holds.
+    /// The models and adapters that it holds.
     pub holdings: &'a Holdings,
 }
 
-/// What all nodes ask one engine for.
+/// Demand for the adapters of one engine, over all nodes.
 ///
-/// Each node of a large fleet sees so little of the demand that it cannot tell a popular adapter from
-/// one that it was asked for by chance. An engine's owner hears from all.
+/// A single node of a large fleet sees too few requests to tell a popular adapter from one that was
+/// requested by chance. The owner of an engine hears from all nodes.
 #[derive(Clone, Debug)]
 pub struct EngineDemand {
     tokens: Demand,
@@ -78,7 +79,7 @@
 }
 
 impl EngineDemand {
-    /// Counts requests for `model` from a node of `domain`.
+    /// Records requests for `model` from a node in `domain`.
     pub fn note(
         &mut self,
         domain: &FailureDomain,
@@ -93,8 +94,8 @@
         from.add(model, requests, now);
     }
 
-    /// The adapters that need further copies now; they count as ordered. `in_flight` tells how many
-    /// requests for an adapter the engine has.
+    /// Returns the adapters that need further copies now, and records these as ordered. `in_flight`
+    /// gives the number of requests in flight for an adapter at the engine.
     pub fn copies_wanted(
         &mut self,
         engine: EngineLoadNow<'_>,
--- a/crates/relay/src/event_splitter.rs
+++ b/crates/relay/src/event_splitter.rs
@@ -1,17 +1,17 @@
-//! Splits a stream of events into whole ones.
+//! Splits a byte stream into complete events.
 
 use thiserror::Error;
 
-/// An event that does not follow the one before.
+/// Error for an event whose id does not follow the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("an event's id is not above the one before")]
+#[error("event id does not increase")]
 pub struct EventOutOfOrder;
 
-/// Passes on whole events and remembers the id of the last one.
+/// Forwards complete events and keeps track of the last event id.
 ///
-/// An upstream may break off in the middle of an event. Passed on, the half event would be followed by
-/// the whole one from the upstream that goes on, and the caller reads garbage. So the bytes after the
-/// last whole event are held back.
+/// An upstream may fail in the middle of an event. If the incomplete event were forwarded, the one
+/// sent by the upstream that resumes the stream would be appended to it, and the caller would
+/// receive a corrupt event. Bytes after the last complete event are therefore held back.
 ///
 /// ```
 /// use nutmegsail_relay::EventSplitter;
@@ -29,15 +29,16 @@
     last_id: Option<u64>,
 }
 
-/// What ends an event.
+/// Terminator of an event.
 const END: &[u8] = b"\n\n";
 
 impl EventSplitter {
-    /// Takes in bytes and returns the whole events that are there now.
+    /// Adds bytes and returns all events that are complete now.
     ///
     /// # Errors
     ///
-    /// [`EventOutOfOrder`] if an event comes twice: the upstream did not go on where it should.
+    /// [`EventOutOfOrder`] if an id does not increase: the upstream did not resume the stream at
+    /// the right event.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<u8>, EventOutOfOrder> {
         self.partial.extend_from_slice(bytes);
         let mut ends = self.partial.windows(END.len());
@@ -55,23 +56,23 @@
         Ok(whole)
     }
 
-    /// The id of the last whole event.
+    /// The id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Forgets the beginning of an event that will not be finished.
+    /// Discards an incomplete event whose remainder will not arrive.
     pub fn drop_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// What is left after the last whole event, at the stream's proper end.
+    /// Takes the bytes after the last complete event, when the stream ended normally.
     pub fn take_rest(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.partial)
     }
 }
 
-/// The id that a line gives its event.
+/// Parses the event id from a line.
 fn id_of(line: &[u8]) -> Option<u64> {
     let id = line.strip_prefix(b"id:")?;
     std::str::from_utf8(id).ok()?.trim().parse().ok()
--- a/crates/relay/src/fitness.rs
+++ b/crates/relay/src/fitness.rs
@@ -1,25 +1,28 @@
-//! Whether an upstream is sent to.
+//! Whether an upstream may be sent requests.
 
 use std::time::Instant;
 
 use crate::{Dispatcher, Need, Tracked, UpstreamState};
 
-/// Whether an upstream is sent to, by all that it and others have said, and by what sends to it have shown.
+/// Whether an upstream may be sent requests, according to the list of upstreams, its own
+/// announcements and the outcome of earlier requests. Ordered from worst to best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Fitness {
-    /// Nothing goes there.
+    /// It gets no requests.
     Unfit,
-    /// It does badly. Plain requests go there that have nowhere else to go; for those that name an adapter another engine
-    /// has it in less time than this one may stay silent.
+    /// It is paused, silent or unreachable. Plain requests are sent there only if there is no
+    /// alternative. Requests for an adapter are not: another engine can load the adapter before
+    /// this one answers.
     Failing,
-    /// It serves on for a moment and then leaves: it gets what nobody else can serve now.
+    /// It announced its shutdown and serves for a short time: it gets requests that no other
+    /// upstream can serve now.
     Leaving,
-    /// It takes work.
+    /// It accepts requests.
     Fit,
 }
 
 impl Dispatcher {
-    /// Whether an upstream is sent to.
+    /// Determines whether an upstream may be sent requests.
     pub(crate) fn fitness(&self, tracked: &Tracked, now: Instant) -> Fitness {
         let by_state = self.fitness_by_state(tracked, now);
         let is_at_rest = tracked.rest.ends(now).is_some();
@@ -33,7 +36,8 @@
         }
     }
 
-    /// When the first of the upstreams that `need` could go to takes work again, if all of them are at rest.
+    /// When the first candidate for `need` accepts requests again, if all of them asked this node
+    /// to send none for now.
     pub fn rest_ends(&self, need: &Need<'_>, now: Instant) -> Option<Instant> {
         let candidates = self.candidates(need);
         let to_stay = candidates.filter(|tracked| {
@@ -43,7 +47,8 @@
         ends.collect::<Option<Vec<Instant>>>()?.into_iter().min()
     }
 
-    /// Whether an upstream takes work by the list and by its own word.
+    /// Whether an upstream accepts requests according to the list of upstreams and its own
+    /// announcements.
     fn fitness_by_state(&self, tracked: &Tracked, now: Instant) -> Fitness {
         match (tracked.upstream.state, tracked.leaving_since) {
             (UpstreamState::Ready, None) => Fitness::Fit,
--- a/crates/relay/src/health.rs
+++ b/crates/relay/src/health.rs
@@ -1,20 +1,20 @@
-//! Whether an upstream is worth sending to, judged by what became of earlier sends.
+//! Pauses upstreams whose requests fail too often.
 
 use std::time::{Duration, Instant};
 
-/// What became of a send.
+/// Outcome of sending a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A sound answer came.
+    /// The upstream answered successfully.
     Answered,
-    /// No connection could be made, the answer broke off, or it was a failure of the upstream.
+    /// The connection failed, the response broke off, or the upstream reported a failure.
     Failed,
-    /// The upstream said that it is full and did not run the request.
+    /// The upstream was full and did not run the request.
     Full,
 }
 
 impl Outcome {
-    /// Its name in metrics.
+    /// The name used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -24,26 +24,26 @@
     }
 }
 
-/// How much one outcome moves the failure rate. Three failures in a row bring a sound upstream
-/// over [`FAILURE_RATE_LIMIT`].
+/// Weight of one outcome in the moving average of failures. Three failures in a row bring a healthy
+/// upstream above [`FAILURE_RATE_LIMIT`].
 const RATE_STEP: f64 = 0.25;
 
-/// The failure rate over which an upstream gets no work for a while. Some services fail one call in
-/// eight on their best days, for which three in a row are rare; upstreams that fail part of their
-/// requests while their health check passes fail some 4 in 10, and pass the limit within 20.
+/// Failure rate above which an upstream is paused. Some services fail one request in eight even at
+/// their best; three in a row are rare for them. Upstreams that fail part of their requests while
+/// their health check passes fail about 4 in 10, and exceed this limit within 20 requests.
 const FAILURE_RATE_LIMIT: f64 = 0.55;
 
-/// The first pause after the limit was passed.
+/// First pause after the failure rate exceeds the limit.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
 
-/// The longest pause. Crashed upstreams leave the list of upstreams after three heartbeats, 3.6 s.
+/// Longest pause. A crashed upstream is removed from the list of upstreams after three heartbeats,
+/// 3.6 s.
 const LONGEST_PAUSE: Duration = Duration::from_secs(4);
 
-/// How long an upstream that said it is full gets nothing: about the time in which one of its
-/// requests ends.
+/// Pause of an upstream that reported being full: about the time until one of its requests ends.
 const FULL_PAUSE: Duration = Duration::from_millis(60);
 
-/// The failures of one upstream as one node sees them.
+/// Failure rate and pause of one upstream as seen by one node.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     failure_rate: f64,
@@ -57,19 +57,19 @@
         self.paused_until.is_some_and(|until| now < until)
     }
 
-    /// How many sends in a hundred fail, as a share from 0 to 1.
+    /// Moving average of the failed requests, from 0 to 1.
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
-    /// Takes in what became of a send.
+    /// Records the outcome of a request.
     ///
     /// ```
     /// use std::time::Instant;
     /// use nutmegsail_relay::{Health, Outcome};
     /// let (mut health, now) = (Health::default(), Instant::now());
     /// health.note(Outcome::Failed, now);
-    /// assert!(!health.is_paused(now), "one failure is no verdict");
+    /// assert!(!health.is_paused(now), "a single failure does not pause it");
     /// health.note(Outcome::Failed, now);
     /// health.note(Outcome::Failed, now);
     /// assert!(health.is_paused(now));
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Takes in that no connection could be made: nothing answers there, so it is paused at once.
+    /// Records that no connection could be made, and pauses the upstream at once.
     pub fn note_unreachable(&mut self, now: Instant) {
         self.failure_rate = self.failure_rate.max(FAILURE_RATE_LIMIT);
         self.note(Outcome::Failed, now);
--- a/crates/relay/src/holdings.rs
+++ b/crates/relay/src/holdings.rs
@@ -1,4 +1,4 @@
-//! What an engine holds.
+//! The models and adapters that an engine holds.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 }
 
 impl HeldAdapter {
-    /// Stands for a version that is not known.
+    /// Version of an adapter whose version is unknown.
     pub const UNSTATED_VERSION: u64 = 0;
 }
 
@@ -28,12 +28,12 @@
     pub name: Arc<str>,
     /// The version of its weights.
     pub version: u64,
-    /// Its adapters that can be used.
+    /// The adapters that are ready for use.
     pub adapters: Vec<HeldAdapter>,
 }
 
 impl HeldModel {
-    /// Its adapters, as requests name them.
+    /// Its adapters as requests refer to them.
     pub fn adapter_refs(&self) -> impl Iterator<Item = ModelRef> {
         self.adapters.iter().map(|held| ModelRef {
             model: Arc::clone(&self.name),
@@ -42,7 +42,7 @@
     }
 }
 
-/// What an engine holds.
+/// The models and adapters that an engine holds.
 ///
 /// ```
 /// use nutmegsail_relay::{HeldAdapter, HeldModel, Holdings, ModelRef};
@@ -61,7 +61,7 @@
 }
 
 impl Holdings {
-    /// The version that is held of what `wanted` names.
+    /// The version held of `wanted`; `None` if it is not held.
     pub fn version_of(&self, wanted: &ModelRef) -> Option<u64> {
         let model = self
             .models
@@ -77,17 +77,17 @@
         }
     }
 
-    /// How many adapters are held, over all models.
+    /// Number of adapters held, over all models.
     pub fn adapter_count(&self) -> usize {
         self.models.iter().map(|model| model.adapters.len()).sum()
     }
 
-    /// Whether the base model is held that `wanted` names or belongs to.
+    /// Whether the base model that `wanted` names or belongs to is held.
     pub fn has_base(&self, wanted: &ModelRef) -> bool {
         self.models.iter().any(|held| held.name == wanted.model)
     }
 
-    /// Forgets what `missing` names, after the engine said that it does not hold it.
+    /// Removes `missing`, which the engine reported as not held.
     pub fn forget(&mut self, missing: &ModelRef) {
         match &missing.adapter {
             None => self.models.retain(|model| model.name != missing.model),
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,10 +1,11 @@
-//! Decisions for requests that are passed on unchanged.
+//! Routing decisions for requests that are forwarded unchanged.
 //!
-//! Told the routes, the upstreams with the adapters they hold, and what became of earlier sends,
-//! this crate decides which upstream gets a request ([`Dispatcher`]), whether it may be sent again
-//! ([`RetryBudget`]), which adapter is loaded next and which makes way ([`LoadQueue`]), and who may
-//! order loads at an upstream ([`Ownership`]), who may call ([`AccessRules`]), and which requests crash the upstreams that run
-//! them ([`CrashWatch`], [`Suspects`]). It does no I/O, reads no clock and draws no random number that was not passed in. Start at [`RouteTable`] and [`Dispatcher`].
+//! From the routes, the upstreams with the adapters they hold, and the outcome of earlier requests,
+//! this crate decides which upstream serves a request ([`Dispatcher`]), whether the request may be
+//! sent again ([`RetryBudget`]), which adapter is loaded next and which is evicted ([`LoadQueue`]),
+//! who may order loads at an upstream ([`Ownership`]), who may call ([`AccessRules`]), and which
+//! requests crash the upstreams that run them ([`CrashWatch`], [`Suspects`]). It does no I/O; times
+//! and random numbers are passed in. Start at [`RouteTable`] and [`Dispatcher`].
 
 mod access;
 mod assignment;
--- a/crates/relay/src/load_plan.rs
+++ b/crates/relay/src/load_plan.rs
@@ -1,4 +1,4 @@
-//! Which orders bring an adapter into an engine.
+//! Plans the orders that load an adapter into an engine.
 
 use std::time::Instant;
 
@@ -7,72 +7,72 @@
 
 use crate::{Demand, HeldModel, Holdings, ModelRef};
 
-/// The room of an engine.
+/// Capacity of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Room {
-    /// Adapters that fit, whatever is under way counted in.
+    /// Adapters that fit into its memory, including those being loaded.
     pub adapter_slots: usize,
-    /// Adapters that may be on their way at once.
+    /// Loads from the weight store that may run at the same time.
     pub transfers: usize,
 }
 
 /// One order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LoadStep {
-    /// Drop an adapter.
+    /// Unload an adapter.
     Unload(ModelRef),
-    /// Bring an adapter, in a version if one is given.
+    /// Load an adapter, in the given version or the newest.
     Load(ModelRef, Option<u64>),
 }
 
-/// Orders, in turn.
+/// Orders to an engine, to be carried out in sequence.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadPlan {
-    /// The steps.
+    /// The orders.
     pub steps: Vec<LoadStep>,
 }
 
-/// Why an adapter cannot be brought into an engine now.
+/// Why an adapter cannot be loaded into an engine now.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadRefusal {
-    /// As many adapters are on their way as the engine takes at once.
-    #[display("the engine has no room: all its transfers are taken")]
+    /// The engine runs as many loads at a time as it can.
+    #[display("the engine runs as many loads as it can")]
     TransfersFull,
-    /// All that it holds is in use, or wanted more.
-    #[display("the engine has no room: nothing to evict")]
+    /// Every adapter that it holds is in use.
+    #[display("the engine has no free adapter slot and nothing to evict")]
     NothingToEvict,
-    /// The base model is not there.
-    #[display("the engine has no room: the base model is not there")]
+    /// The engine does not hold the base model.
+    #[display("the engine does not hold the base model")]
     ModelAbsent,
     /// Too many loads wait at the engine.
     #[display("too many loads wait there")]
     QueueFull,
-    /// The weight store is busy with adapters that no engine holds.
-    #[display("the weight store is left to misses")]
+    /// The remaining capacity of the weight store is reserved for adapters that no engine holds.
+    #[display("the weight store is reserved for adapters that no engine holds")]
     LeftToMisses,
 }
 
-/// An engine as its owner knows it.
+/// The contents and capacity of an engine, as its owner knows them.
 pub struct EngineContents<'a> {
-    /// What it holds.
+    /// The models and adapters that it holds.
     pub holdings: &'a Holdings,
-    /// Adapters on their way to it.
+    /// Adapters being loaded.
     pub coming: &'a [ModelRef],
     /// How many of those come from the weight store.
     pub transfers: usize,
-    /// Its room.
+    /// Its capacity.
     pub room: Room,
-    /// What each adapter is asked for.
+    /// Demand for each adapter.
     pub demand: &'a Demand,
-    /// Whether any node has requests for an adapter there.
+    /// Whether any node has requests in flight for the adapter there.
     pub is_in_use: &'a dyn Fn(&ModelRef) -> bool,
 }
 
-/// Plans the orders that bring `wanted` into an engine.
+/// Plans the orders that load `wanted` into an engine.
 ///
-/// An engine that is ordered to hold more than fits crashes with all its requests, so adapters on
-/// their way count as held. One that is in use is not evicted: requests for it would come back
-/// unserved. Among the rest the least wanted makes way.
+/// An engine that is ordered to hold more than fits crashes with all its requests, so adapters
+/// being loaded count as held. Adapters in use are not evicted, because requests for them would
+/// come back unserved. Of the others the one with the lowest demand is evicted.
 ///
 /// ```
 /// use std::time::{Duration, Instant};
@@ -93,7 +93,7 @@
 ///
 /// # Errors
 ///
-/// [`LoadRefusal`] if it cannot be done now.
+/// [`LoadRefusal`] if the adapter cannot be loaded now.
 pub fn plan_load(
     wanted: &ModelRef,
     version: Option<u64>,
--- a/crates/relay/src/load_queue.rs
+++ b/crates/relay/src/load_queue.rs
@@ -1,4 +1,4 @@
-//! Which of the loads that wait at an engine is ordered next.
+//! Order of the adapter loads that wait at one engine.
 
 use std::time::Instant;
 
@@ -7,37 +7,39 @@
 use crate::load_plan::plan_load;
 use crate::{EngineContents, LoadPlan, LoadRefusal, LoadTimes, ModelRef};
 
-/// Loads that may wait at one engine. The fourth would come after a second, too late for any
-/// latency objective.
+/// Limit of loads waiting at one engine. The last of them takes about a second, so any further load
+/// would miss every latency objective.
 const QUEUE_LIMIT: usize = 4;
 
-/// Loads from the weight store that are under way at one engine at once: what is ordered last is not held
-/// up by all before it.
+/// Concurrent loads from the weight store at one engine. With more of them, an urgent load that is
+/// ordered last would be slowed down by all the others.
 ///
-/// There is no limit over all engines: an owner hears of few others at a time, and what it made of that
-/// would keep loads waiting while the weight store has room.
+/// There is no fleet-wide limit: an owner hears of only a few other engines at a time, and its
+/// estimate would hold back loads while the weight store has capacity.
 const ENGINE_LOADS: usize = 2;
 
-/// What a load is for. The more urgent one is the lesser.
+/// Why an adapter is loaded. Ordered by urgency, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LoadPurpose {
-    /// No engine that can answer holds the adapter in a version that is wanted.
+    /// No engine that could serve the request holds a suitable version of the adapter.
     Miss,
-    /// Its holders are busy; one more would answer sooner.
+    /// The engines that hold the adapter are busy; a further copy would shorten the wait.
     Copy,
 }
 
-/// Where an engine takes an adapter from.
+/// Where an engine loads an adapter from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadKind {
-    /// The weight store, whose rate all engines share.
+    /// The weight store, whose bandwidth all engines share.
     FromStore,
-    /// Its own memory, as it held the adapter a while ago.
+    /// The memory of the engine's host, which still has an adapter that the engine dropped
+    /// recently.
     Recent,
 }
 
 impl LoadKind {
-    /// The kind of load by which an engine takes an adapter that it held a while ago, or never.
+    /// [`Recent`](Self::Recent) if the engine dropped the adapter recently, otherwise
+    /// [`FromStore`](Self::FromStore).
     pub fn of(is_recent: bool) -> Self {
         match is_recent {
             true => Self::Recent,
@@ -46,54 +48,55 @@
     }
 }
 
-/// A load that waits for its order.
+/// A load that has not been ordered yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WaitingLoad {
     /// The adapter.
     pub model: ModelRef,
-    /// The version to bring; none for the newest.
+    /// The version to load; `None` for the newest.
     pub version: Option<u64>,
-    /// Where it comes from.
+    /// Where it is loaded from.
     pub kind: LoadKind,
-    /// What it is for.
+    /// Why it is loaded.
     pub purpose: LoadPurpose,
-    /// The rank of the requests that wait for it; 0 is the most urgent.
+    /// Priority of the requests that wait for it; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// Stands for one load in a [`LoadQueue`].
+/// Identifies one load in a [`LoadQueue`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LoadTicket(u64);
 
-/// What a load that waits is to do now.
+/// What to do with a waiting load.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LoadTurn {
-    /// Be ordered so.
+    /// Send these orders to the engine.
     Order(LoadPlan),
-    /// Wait on.
+    /// Keep waiting.
     Wait,
-    /// End, as the adapter is there or on its way: another request had it loaded.
+    /// Remove it: another request already had the adapter loaded, or loading is in progress.
     NotNeeded,
-    /// Give up.
+    /// Give up for this reason.
     Refuse(LoadRefusal),
 }
 
-/// Loads from the weight store that are under way, and what is known of their times.
+/// The loads from the weight store in progress, with the expected load times.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreUse {
-    /// How long loads take.
+    /// Expected load times.
     pub times: LoadTimes,
-    /// Loads that should still be under way at the engine.
+    /// Loads expected to be in progress at this engine.
     pub at_engine: usize,
-    /// Loads under way over all engines.
+    /// Estimated loads in progress at all engines.
     pub over_all: f64,
 }
 
-/// The loads that wait at one engine for their order.
+/// The adapter loads that wait at one engine.
 ///
-/// Misses go before copies, urgent ones before routine ones, and among equals the one that came first.
-/// Few come from the weight store at once, so that what is ordered last is not held up by all that were
-/// ordered with it. What the engine brings back from its own memory passes them by.
+/// Misses go before copies, then the more urgent before the less urgent, then in order of arrival.
+/// Only a few loads from the weight store run at a time, so that a load is not slowed down by many
+/// others ordered together with it. Adapters that the engine restores from host memory skip the
+/// queue.
 ///
 /// ```
 /// use std::time::{Duration, Instant};
@@ -132,11 +135,12 @@
 }
 
 impl LoadQueue {
-    /// Has `load` wait for its turn.
+    /// Adds `load` to the queue.
     ///
     /// # Errors
     ///
-    /// [`LoadRefusal::QueueFull`] if too many others wait.
+    /// [`LoadRefusal::QueueFull`] if too many loads wait, unless one of them is for the same
+    /// adapter.
     pub fn join(&mut self, load: WaitingLoad) -> Result<LoadTicket, LoadRefusal> {
         let is_awaited = self.models().any(|model| *model == load.model);
         if self.waiting.len() >= QUEUE_LIMIT && !is_awaited {
@@ -148,17 +152,17 @@
         Ok(ticket)
     }
 
-    /// Takes a load out: it was ordered, or given up.
+    /// Removes a load that was ordered or given up.
     pub fn leave(&mut self, ticket: LoadTicket) {
         self.waiting.retain(|(waiting, _)| *waiting != ticket);
     }
 
-    /// The adapters that wait.
+    /// The adapters whose loads wait.
     pub fn models(&self) -> impl Iterator<Item = &ModelRef> {
         self.waiting.iter().map(|(_, load)| &load.model)
     }
 
-    /// What the load of `ticket` is to do now.
+    /// Decides what to do now with the load of `ticket`.
     pub fn turn(
         &self,
         ticket: LoadTicket,
@@ -168,7 +172,7 @@
     ) -> LoadTurn {
         let mut waiting = self.waiting.iter();
         let Some((_, load)) = waiting.find(|(waiting, _)| *waiting == ticket) else {
-            // It left the queue; whoever asks again has to join anew.
+            // The ticket was removed. The caller has to add the load again.
             return LoadTurn::Refuse(LoadRefusal::QueueFull);
         };
         if is_there(load, engine) {
@@ -200,10 +204,10 @@
     }
 }
 
-/// Whether an engine holds what `load` waits for, or it is on its way.
+/// Whether the engine holds what `load` is to load, or is loading it.
 fn is_there(load: &WaitingLoad, engine: &EngineContents<'_>) -> bool {
     let held = engine.holdings.version_of(&load.model);
     let is_held = held.is_some_and(|held| load.version.is_none_or(|version| held >= version));
-    // Which version is on its way is not known here.
+    // The version being loaded is not known here.
     is_held || (load.version.is_none() && engine.coming.contains(&load.model))
 }
--- a/crates/relay/src/load_times.rs
+++ b/crates/relay/src/load_times.rs
@@ -1,95 +1,99 @@
-//! How long loads take, told from reports that lag.
+//! Estimates how long adapter loads take, from reports that arrive with a delay.
 
 use std::time::Duration;
 
-/// How long a load takes at full speed until some were relied on: some hundred MB over a fast link.
+/// Assumed time of an uncongested load until loads have been used: some hundred MB over a fast
+/// link.
 pub(crate) const FIRST_LOAD_MS: f64 = 250.0;
 
-/// The least and the most that is taken for it.
+/// Lower and upper bound of the estimated load time, in milliseconds.
 const LOAD_RANGE_MS: (f64, f64) = (20.0, 3_000.0);
 
-/// How much shorter loads are taken to be with each that was relied on in time, as a part of it, until one
-/// was relied on too early: a load that takes half as long as assumed is found out within 25.
+/// Fraction by which the estimate shrinks with each adapter that was used on time, until the first
+/// was used too early. A load that takes half the assumed time is found within 25 loads.
 const FIRST_RELIED_STEP: f64 = 0.03;
 
-/// The same from then on. With [`EARLY_STEP`] one in 30 loads is relied on too early, whose callers wait
-/// for a report.
+/// The same after the first adapter was used too early. Together with [`EARLY_STEP`], one load in
+/// 30 is used too early, and its callers wait for a report.
 const RELIED_STEP: f64 = 0.002;
 
-/// How much longer loads are taken to be with each that was relied on too early.
+/// Fraction by which the estimate grows with each adapter that was used too early.
 const EARLY_STEP: f64 = 0.06;
 
-/// The same for the first one. While all adapters are cold each load that is relied on too early is a caller
-/// that waits for a second one.
+/// The same for the first one. It is larger because at a cold start every load that is used too
+/// early makes a caller wait for a second load.
 const FIRST_EARLY_STEP: f64 = 0.2;
 
-/// How far another node's word of the load time moves that of a node which has learned its own.
+/// Weight of another node's estimate for a node that has learned its own.
 const TOLD_STEP: f64 = 0.1;
 
-/// The part of a load's time that it takes an engine to bring back an adapter that it held a while ago.
+/// Time to restore an adapter from host memory, as a fraction of the time of a load from the weight
+/// store.
 pub(crate) const RECENT_SHARE: f64 = 0.1;
 
-/// How long the order of a load and the request that follows it are on their way, in milliseconds.
+/// Network time of a load order and of the request that follows it, in milliseconds.
 const WAY_MS: f64 = 7.0;
 
-/// How much one load moves the usual time.
+/// Weight of one load in the moving average of the time until a report shows a load.
 const USUAL_STEP: f64 = 0.2;
 
-/// Loads that are at full speed at once, over all engines, until some were seen: what weight stores
-/// give today, 8 beside 12 engines and 40 beside 140. Beyond it every load takes longer in proportion.
+/// Assumed number of loads, over all engines, that the weight store serves at full speed. Today's
+/// weight stores serve 8 for 12 engines and 40 for 140. With more, every load slows down in
+/// proportion.
 const FIRST_AT_ONCE: f64 = 8.0;
 
-/// The same for each engine in a large fleet.
+/// The same per engine, for large fleets.
 const FIRST_AT_ONCE_PER_ENGINE: f64 = 0.286;
 
-/// The least and the most that is taken for it.
+/// Lower and upper bound of the number of loads at full speed.
 const AT_ONCE_RANGE: (f64, f64) = (2.0, 1_000.0);
 
-/// How much one load moves it.
+/// Weight of one congested load in the estimate of the number of loads at full speed.
 const AT_ONCE_STEP: f64 = 0.1;
 
-/// The least that is taken for the part of unreported loads that is under way: reports lag by up to the
-/// time of a load.
+/// Lower bound for the fraction of unreported loads that are still in progress: reports are delayed
+/// by up to the time of a load.
 const LEAST_SHARE: f64 = 0.4;
 
-/// Loads under way, as a part of those that are taken to be at full speed, from which a quick load
-/// says that more would be.
+/// Loads in progress, as a fraction of those at full speed, from which a load without congestion
+/// raises the estimate.
 const NEAR_LIMIT_SHARE: f64 = 0.7;
 
-/// What such a load adds, as a part of it.
+/// Fraction by which such a load raises the estimate.
 const AT_ONCE_GROWTH: f64 = 0.04;
 
-/// A load that took this many times as long as at full speed has waited for others; nearer to it, reports are too
-/// coarse to tell.
+/// A load that took this multiple of the uncongested time was slowed down by others. Reports are
+/// too coarse to tell for smaller ratios.
 const CROWDED_RATIO: f64 = 1.3;
 
-/// Loads under way, as a part of those that are taken to be at full speed, from which a slow load has
-/// waited for others. With fewer its engine or the news of it was slow.
+/// Loads in progress, as a fraction of those at full speed, from which a slow load is attributed to
+/// congestion. With fewer in progress, its engine or its report was slow.
 const CROWD_SHARE: f64 = 0.5;
 
-/// Loads under way, as a part of those at full speed at once, up to which copies of adapters begin that other
-/// engines hold. The rest is for misses, of
-/// which two or three may come in the time of one load.
+/// Loads in progress, as a fraction of those at full speed, up to which further copies of adapters
+/// may be loaded. The remainder is kept for misses, two or three of which may occur in the time of
+/// one load.
 const COPY_ROOM_SHARE: f64 = 0.4;
 
-/// How far the time of a quick load moves down with a load that took less, and up with one that took
-/// more, in milliseconds: at a quarter of all loads both balance. The very quickest say nothing, as
-/// adapters that an engine held before come back in a tenth of the time.
+/// Steps by which the time of a quick load moves down for a faster load and up for a slower one, in
+/// milliseconds. Their ratio makes it track the lower quartile of all loads. The minimum is of no
+/// use, because adapters restored from host memory take a tenth of the time.
 const QUICK_STEPS_MS: (f64, f64) = (12.0, 4.0);
 
-/// What reports may lag, in milliseconds. Without the upper bound a long crowd of loads would pass
-/// for a lag, and adapters be taken as ready long before they are.
+/// Lower and upper bound of the report delay, in milliseconds. Without the upper bound, long
+/// congestion would be taken for report delay, and adapters would count as loaded long before they
+/// are.
 const LAG_RANGE_MS: (f64, f64) = (80.0, 260.0);
 
-/// Loads are quick while they take less than this over the quickest, in milliseconds: few others are
-/// under way anywhere.
+/// Loads count as quick while their average is less than this above the quick load time, in
+/// milliseconds; few loads are in progress then.
 const QUICK_MARGIN_MS: f64 = 80.0;
 
-/// The times that loads lately took until a report showed them.
+/// Estimates load times from the times until a report showed a load as done.
 ///
-/// Reports lag by a time that differs between deployments (some 100 to 230 ms) and is not told. A
-/// quick load took the least time there is, and that lag; what others take over it, they wait for
-/// the weight store, in proportion to the loads under way over all engines.
+/// Reports are delayed by a time that differs between deployments (about 100 to 230 ms) and is not
+/// known. A quick load took the uncongested load time plus that delay. Anything beyond is waiting
+/// for the weight store, which grows in proportion to the loads in progress over all engines.
 ///
 /// ```
 /// use std::time::Duration;
@@ -98,14 +102,15 @@
 /// for took_ms in [480, 480, 480] {
 ///     times.note(Duration::from_millis(took_ms), 2.0);
 /// }
-/// assert!(times.usual(2.0) < Duration::from_millis(280), "the rest is the reports' lag");
-/// assert!(times.usual(16.0) > Duration::from_millis(480), "twice as many as at full speed");
+/// assert!(times.usual(2.0) < Duration::from_millis(280), "the rest is report delay");
+/// assert!(times.usual(16.0) > Duration::from_millis(480), "twice the loads that run at full speed");
 /// assert!(times.are_quick());
 /// ```
 ///
-/// How much of that the load itself took no report tells. But requests are sent as soon as a load should
-/// be done, and come back unserved if it is not. So loads are taken to be a little shorter with each that
-/// was relied on in time, and longer with each that was not.
+/// Reports don't show which part of the quick time was the load itself. But requests are sent as
+/// soon as a load is expected to be done, and come back unserved if it is not. The estimate
+/// therefore shrinks a little with each adapter that was used on time, and grows with each that was
+/// used too early.
 ///
 /// ```
 /// use std::time::Duration;
@@ -124,11 +129,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LoadTimes {
     seen: Option<Seen>,
-    /// How long a load takes at full speed, in milliseconds.
+    /// Time of a load without congestion, in milliseconds.
     load_ms: f64,
-    /// Whether a load was relied on too early.
+    /// Whether any adapter was used too early.
     was_early: bool,
-    /// Loads that are at full speed at once.
+    /// Number of loads that the weight store serves at full speed.
     at_once: f64,
 }
 
@@ -160,8 +165,8 @@
 }
 
 impl LoadTimes {
-    /// Takes in how long a load took until a report showed it, while `under_way` loads were under
-    /// way over all engines, itself included.
+    /// Records the time until a report showed a load as done, with `under_way` loads in progress
+    /// over all engines, including this one.
     pub fn note(&mut self, took: Duration, under_way: f64) {
         let took_ms = took.as_secs_f64() * 1_000.0;
         let seen = match self.seen {
@@ -178,13 +183,13 @@
         self.note_at_once(took_ms - (seen.quick_ms - self.load_ms), under_way);
     }
 
-    /// The time until a report shows a load, within what reports may lag.
+    /// Clamps the time until a report shows a load to the possible report delays.
     fn within_lag(&self, took_ms: f64) -> f64 {
         let (least_ms, most_ms) = LAG_RANGE_MS;
         took_ms.clamp(self.load_ms + least_ms, self.load_ms + most_ms)
     }
 
-    /// Takes in that requests were sent to an adapter as soon as its load should have been done.
+    /// Records that requests were sent for an adapter as soon as its load was expected to be done.
     pub fn note_relied(&mut self) {
         let step = match self.was_early {
             true => RELIED_STEP,
@@ -193,7 +198,7 @@
         self.set_load_ms(self.load_ms * (1.0 - step));
     }
 
-    /// Takes in that such a request came back unserved, as the adapter was not there yet.
+    /// Records that such a request came back unserved because the load was not done.
     pub fn note_early(&mut self) {
         let step = match self.was_early {
             true => EARLY_STEP,
@@ -203,14 +208,16 @@
         self.set_load_ms(self.load_ms * (1.0 + step));
     }
 
-    /// The load time at full speed for other nodes, in milliseconds; nothing until it is learned.
+    /// The load time without congestion to share with other nodes, in milliseconds; `None` until it
+    /// is learned.
     pub fn to_tell(&self) -> Option<f32> {
         self.was_early.then_some(self.load_ms as f32)
     }
 
-    /// Takes in the load time that another node has learned.
+    /// Merges the load time that another node learned.
     ///
-    /// Answers a cold start: each node that learns by itself sends the callers of its first loads too early.
+    /// Without it, every node that learns the load time by itself sends its first requests too
+    /// early after a cold start.
     ///
     /// ```
     /// use nutmegsail_relay::LoadTimes;
@@ -248,8 +255,8 @@
         self.at_once = (self.at_once + change).clamp(least, most);
     }
 
-    /// The part of the loads that no report has shown as done which are still under way: of the time
-    /// until a report shows a load, the last part is the report's lag.
+    /// Fraction of the loads not yet reported as done that are really still in progress; the rest
+    /// only wait for their report.
     pub fn under_way_share(&self) -> f64 {
         self.seen.map_or(1.0, |seen| {
             let lag_ms = seen.quick_ms - self.load_ms;
@@ -257,34 +264,37 @@
         })
     }
 
-    /// Takes in how many engines there are, which tells what to expect until loads are seen.
+    /// Sets the number of engines, from which the speed of the weight store is assumed until loads
+    /// have been observed.
     pub fn set_engines(&mut self, engines: usize) {
         if self.seen.is_none() {
             self.at_once = FIRST_AT_ONCE.max(engines as f64 * FIRST_AT_ONCE_PER_ENGINE);
         }
     }
 
-    /// How long a load takes until the adapter can be used, with `under_way` loads under way over
-    /// all engines, itself included.
+    /// Expected time until an adapter can be used, with `under_way` loads in progress over all
+    /// engines, including this one.
     pub fn usual(&self, under_way: f64) -> Duration {
         let ms = self.load_ms * (under_way / self.at_once).max(1.0);
         Duration::from_secs_f64(ms / 1_000.0)
     }
 
-    /// How long an engine takes to bring back an adapter that it held a while ago, until it can be used.
+    /// Expected time until an adapter restored from host memory can be used.
     pub fn recent(&self) -> Duration {
         Duration::from_secs_f64((self.load_ms * RECENT_SHARE + WAY_MS) / 1_000.0)
     }
 
-    /// Whether a further copy of an adapter may begin to load, with `under_way` loads over all engines.
+    /// Whether a further copy of an adapter may be loaded, with `under_way` loads in progress over
+    /// all engines.
     ///
-    /// A copy spares some callers a queue; a load for a miss is what its callers wait for. When demand
-    /// moves to other adapters, copies alone could fill the weight store.
+    /// A copy only shortens a queue, while callers cannot be served at all until the load for their
+    /// miss is done. When demand shifts to other adapters, copies alone could saturate the weight
+    /// store.
     pub fn has_room_for_copy(&self, under_way: f64) -> bool {
         under_way < self.at_once * COPY_ROOM_SHARE
     }
 
-    /// Whether loads take hardly longer than the quickest.
+    /// Whether loads take hardly longer than a quick load.
     pub fn are_quick(&self) -> bool {
         self.seen
             .is_some_and(|seen| seen.usual_ms < seen.quick_ms + QUICK_MARGIN_MS)
--- a/crates/relay/src/model_plan.rs
+++ b/crates/relay/src/model_plan.rs
@@ -1,4 +1,4 @@
-//! Which base models the engines of a service are to hold.
+//! Plans which base models the engines of a service should hold.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -8,93 +8,94 @@
 
 use crate::{AtHand, CopySource, EngineSpec, ModelSpec};
 
-/// Work for one model, in engines, from which it counts as asked for. One request of 100 ms in the last
-/// half-minute is more, and each model that is asked for is to be held somewhere.
+/// Work above which a model is in demand, in engines. A single request of 100 ms in the last
+/// half-minute exceeds it, because every requested model should be held somewhere.
 const ASKED_LEAST: f64 = 0.000_1;
 
-/// Work for each holder of a model, as a part of an engine, over which another engine takes it as well.
-/// Beyond it queues grow within a second of a burst.
+/// Work per holder of a model, as a fraction of an engine, above which another engine loads the
+/// model. Above it, a burst makes queues grow within a second.
 const FULL_SHARE: f64 = 0.5;
 
-/// Work for each remaining holder up to which an engine may give a model up. Well under [`FULL_SHARE`],
-/// so that the model does not come back at once.
+/// Work per remaining holder up to which an engine may unload a model. It is well below
+/// [`FULL_SHARE`], so that the model is not loaded again at once.
 const EASY_SHARE: f64 = 0.3;
 
-/// Work for a model from which it is to be held in two failure domains, as a part of an engine: some
-/// requests a second would otherwise wait for a load when its only engine ends.
+/// Work above which a model should be held in two failure domains, as a fraction of an engine.
+/// Otherwise several requests per second would wait for a load when its only engine ends.
 const STEADY_SHARE: f64 = 0.1;
 
-/// How many times as much as another a model must be asked for to take the other's last engine, where
-/// there are more models than places. Less, and two models would take turns in one place, each load of
-/// which costs as much as several answers.
+/// How many times the demand of another model a model needs to replace that model on its last
+/// engine, where not all models fit. With a lower ratio two models could keep replacing each other,
+/// and each load costs as much as several responses.
 const TAKE_OVER_RATIO: f64 = 3.0;
 
-/// Adapters that must still fit beside the base models of an engine.
+/// Adapters that must fit into an engine in addition to its base models.
 const LEAST_ADAPTERS: u32 = 4;
 
-/// A base model at an engine.
+/// A base model on an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostedModel {
     /// The model.
     pub name: Arc<str>,
-    /// Its adapters there, those on their way counted in.
+    /// Number of its adapters there, including those being loaded.
     pub adapters: usize,
 }
 
-/// An engine as the plan sees it.
+/// An engine as input of the plan.
 #[derive(Clone, Debug)]
 pub struct ModelHost<'a> {
     /// The engine.
     pub id: &'a UpstreamId,
-    /// Where it stands.
+    /// Its failure domain.
     pub failure_domain: &'a FailureDomain,
-    /// Base models that it holds or that are on their way to it, without those that leave.
+    /// Base models that it holds or loads, without those being unloaded.
     pub models: Vec<HostedModel>,
-    /// Whether it can be given orders for base models now.
+    /// Whether it can be ordered to load and unload base models now.
     pub can_change: bool,
-    /// Whether it is loading or dropping a base model.
+    /// Whether it is loading or unloading a base model.
     pub is_changing: bool,
-    /// Whether it counts against the rate of the weight store, by a load under way or a moment ago.
+    /// Whether it counts towards the limit of loads from the weight store, because of a load that
+    /// is in progress or ended a moment ago.
     pub uses_store: bool,
-    /// Requests that it runs, as a part of its slots. A base model leaves when these have ended.
+    /// Fraction of its slots in use. A base model is only unloaded once its requests have ended.
     pub busy_share: f64,
-    /// Copies of weights that need not come from the weight store.
+    /// Copies of weights in host memory or on local disk.
     pub at_hand: &'a AtHand,
 }
 
-/// A change of what an engine holds.
+/// A change of the base models that an engine holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelChange {
     /// The engine.
     pub engine: UpstreamId,
-    /// Base models that make way.
+    /// Base models to unload.
     pub unload: Vec<Arc<str>>,
-    /// The base model that comes.
+    /// The base model to load.
     pub load: Arc<str>,
 }
 
-/// Why a model wants another engine, the most urgent first.
+/// Why a model needs another engine, ordered by urgency, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Reason {
-    /// It is asked for and held nowhere.
+    /// It is in demand and no engine holds it.
     Absent,
     /// Its holders have too much work.
     Full,
-    /// All its holders stand in one failure domain.
+    /// All its holders are in one failure domain.
     OneDomain,
 }
 
-/// What has to be done so that each model is held where it is asked for.
+/// Plans the changes needed for every model in demand to be held by enough engines.
 ///
-/// Every owner plans for all engines of the service, and carries out what concerns its own. Equal news
-/// give equal plans, and the engine that is chosen stays the same until its change shows in the news, so
-/// owners need not ask each other.
+/// Every owner plans for all engines of the service and carries out the changes of its own engines.
+/// Owners with the same information arrive at the same plan, and the selected engine stays the same
+/// until its change shows in that information, so owners don't need to coordinate.
 ///
-/// A model that is asked for and held nowhere goes first, then those whose holders have too much
-/// work, then those that one failure domain could take away. An engine gives up only what is not
-/// asked for, or what others hold with little work; where there are more models than places, one that
-/// is asked for three times as much takes the place. Of engines that could change, those
-/// with a copy at hand go first: a load from the weight store counts against its rate.
+/// Models in demand that no engine holds come first, then those whose holders have too much work,
+/// then those held in a single failure domain. An engine only unloads models that are not in
+/// demand, or whose other holders have little work. Where not all models fit, a model may replace
+/// another with a third of its demand. Among the possible engines, those with a local copy of the
+/// weights are preferred, because loads from the weight store are limited.
 ///
 /// ```
 /// use nutmegsail_relay::{AtHand, EngineSpec, HostedModel, ModelHost, ModelPlan, ModelSpec};
@@ -117,7 +118,7 @@
 /// };
 /// let work = |model: &str| if model == "mistral" { 0.02 } else { 0.2 };
 /// let plan = ModelPlan::new(&spec, vec![host(&one), host(&two)], work).changes(4);
-/// assert_eq!(plan.len(), 1, "one engine takes it, the other keeps what is asked for");
+/// assert_eq!(plan.len(), 1, "one engine loads it, the other keeps the model in demand");
 /// assert_eq!(&*plan[0].load, "mistral");
 /// assert_eq!(&*plan[0].unload[0], "llama");
 /// ```
@@ -127,14 +128,14 @@
     hosts: Vec<ModelHost<'a>>,
     /// Work for each model, in engines.
     work: HashMap<&'a str, f64>,
-    /// How many engines hold each model: counted anew for each question, a plan for 300 engines and 100
-    /// models took milliseconds, ten times a second.
+    /// Number of engines that hold each model. Counting them for each query made a plan for 300
+    /// engines and 100 models take milliseconds, and plans are made ten times a second.
     holder_counts: HashMap<Arc<str>, usize>,
 }
 
 impl<'a> ModelPlan<'a> {
-    /// Plans for `hosts`, with the work that there is for each model: the part of a second for which its
-    /// requests of one second take up an engine.
+    /// Creates a plan for `hosts`. `work` gives the engine time per second that the requests for a
+    /// model take.
     pub fn new(
         spec: &'a EngineSpec,
         hosts: Vec<ModelHost<'a>>,
@@ -152,8 +153,8 @@
         }
     }
 
-    /// The changes that are wanted now; at most so many loads from the weight store that, with those
-    /// under way, `store_loads` are.
+    /// The changes to make now. `store_loads` limits the loads from the weight store, including
+    /// those in progress.
     pub fn changes(mut self, store_loads: usize) -> Vec<ModelChange> {
         let under_way = self.hosts.iter().filter(|host| host.uses_store).count();
         let mut left = store_loads.saturating_sub(under_way);
@@ -200,13 +201,14 @@
         (work > STEADY_SHARE && is_in_one()).then_some(Reason::OneDomain)
     }
 
-    /// Whether a model that is to be held in two failure domains would be left in one without `host`.
+    /// Whether a model that should be held in two failure domains would remain in only one without
+    /// `host`.
     fn needs_domain_of(&self, host: &ModelHost<'_>, name: &str) -> bool {
         let others = self.holders(name).filter(|holder| holder.id != host.id);
         self.work_of(name) > STEADY_SHARE && are_in_one_domain(others)
     }
 
-    /// The change that gives `model` another engine.
+    /// The change that loads `model` into another engine.
     fn place(&self, model: &ModelSpec, reason: Reason, may_use_store: bool) -> Option<ModelChange> {
         let domains: HashSet<&FailureDomain> = self
             .holders(&model.name)
@@ -223,7 +225,8 @@
                 return None;
             }
             let gives_up_asked = unload.iter().any(|name| self.is_asked(name));
-            // Quarters of its slots: finer steps would have owners with different news differ.
+            // Rounded to quarters of the slots: with finer steps, owners with slightly different
+            // information would select different engines.
             let busy = (host.busy_share * 4.0) as u32;
             let hash = xxh3_64(format!("{} {}", model.name, host.id).as_bytes());
             let rank = (
@@ -244,8 +247,8 @@
         })
     }
 
-    /// An engine that holds nothing takes the model whose holders have most work, whether or not that
-    /// is too much: it serves nobody otherwise.
+    /// An engine without models loads the one with the most work per holder, even if its holders
+    /// are not overloaded, because it serves no requests otherwise.
     fn fill_empty(&self, may_use_store: bool) -> Option<ModelChange> {
         let is_empty = |host: &&ModelHost<'_>| host.models.is_empty();
         let empty = self.hosts.iter().filter(is_empty);
@@ -256,7 +259,8 @@
                 };
                 let models = self.spec.models.iter().filter(at_hand);
                 let fitting = models.filter(|model| self.is_free(host, model));
-                // Of equals the first, as the list names the busy ones first where nothing is known.
+                // Of equal models the first one: if there is no demand yet, the configured order
+                // puts the busiest first.
                 let most_work = fitting.rev().max_by(|a, b| {
                     let work = |model: &ModelSpec| self.work_per_holder(&model.name, 1);
                     work(a).total_cmp(&work(b))
@@ -276,7 +280,8 @@
             && host.models.iter().all(|held| held.name != model.name)
     }
 
-    /// What `host` drops to have room for `model`; nothing if it may not.
+    /// The models that `host` has to unload to make room for `model`; `None` if it must keep one of
+    /// them.
     fn room_for(
         &self,
         host: &ModelHost<'_>,
@@ -311,7 +316,7 @@
         weights_mb + more.weights_mb + adapters_mb <= self.spec.weights_mb
     }
 
-    /// Whether `host` may drop the model `name` for `model`.
+    /// Whether `host` may unload the model `name` in favor of `model`.
     fn may_leave(
         &self,
         host: &ModelHost<'_>,
@@ -329,15 +334,16 @@
             return match reason {
                 Reason::Absent => true,
                 Reason::Full => is_easy,
-                // Left in one failure domain, it would take the engine back for the same reason.
+                // If it remained in one failure domain only, it would take the engine back for the
+                // same reason.
                 Reason::OneDomain => is_easy && !self.needs_domain_of(host, name),
             };
         }
         reason == Reason::Absent && self.work_of(&model.name) > work * TAKE_OVER_RATIO
     }
 
-    /// Whether `host` is the last holder of a model that is asked for. It can load no adapters of it while
-    /// its base models change.
+    /// Whether `host` is the last holder of a model in demand. While its base models change, it
+    /// cannot load adapters of that model.
     fn is_last(&self, host: &ModelHost<'_>) -> bool {
         let mut held = host.models.iter();
         held.any(|held| self.is_asked(&held.name) && self.holder_count(&held.name) == 1)
@@ -387,8 +393,8 @@
         self.work_of(name) / holders.max(1) as f64
     }
 
-    /// An engine that is ordered to hold more than fits crashes with all its requests, and a model that
-    /// is asked for must not lose its last engine to one that is asked for less.
+    /// Checks that no engine is ordered to hold more than fits, which would crash it with all its
+    /// requests, and that no model in demand loses its last engine to one with less demand.
     fn assert_kept_promises(&self, changes: &[ModelChange]) {
         for change in changes {
             let mut hosts = self.hosts.iter();
@@ -406,7 +412,7 @@
                     self.work_of(&change.load) > self.work_of(name) * TAKE_OVER_RATIO;
                 assert!(
                     !self.is_asked(name) || self.holders(name).next().is_some() || is_taken_over,
-                    "{name} is asked for and would be held nowhere"
+                    "{name} is in demand and would be held by no engine"
                 );
             }
         }
--- a/crates/relay/src/model_ref.rs
+++ b/crates/relay/src/model_ref.rs
@@ -1,4 +1,4 @@
-//! Which model a request names.
+//! Reference to a base model or adapter.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// A base model, or an adapter of one.
+/// Names a base model or one of its adapters.
 ///
 /// ```
 /// use nutmegsail_relay::ModelRef;
@@ -21,12 +21,12 @@
 pub struct ModelRef {
     /// The base model.
     pub model: Arc<str>,
-    /// The adapter, if one is named.
+    /// The adapter; `None` for the base model itself.
     pub adapter: Option<AdapterName>,
 }
 
-/// Stands for a [`ModelRef`] in messages that are to be short. Two models may share one; what is
-/// decided by it costs a load at most.
+/// Short digest of a [`ModelRef`] for use in messages. Two models may have the same digest; a
+/// collision costs a load at most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ModelDigest(u32);
@@ -43,7 +43,7 @@
         ModelDigest(hasher.digest() as u32)
     }
 
-    /// The base model of this name.
+    /// Refers to the base model `model`.
     ///
     /// ```
     /// use nutmegsail_relay::ModelRef;
@@ -61,7 +61,7 @@
         Self::of_base(Arc::clone(&self.model))
     }
 
-    /// Reads `model` or `model/adapter`.
+    /// Parses `model` or `model/adapter`.
     pub fn parse(text: &str) -> Self {
         match text.split_once('/') {
             Some((model, adapter)) => Self {
--- a/crates/relay/src/prompt.rs
+++ b/crates/relay/src/prompt.rs
@@ -1,4 +1,4 @@
-//! The parts of a prompt, and which of them engines keep.
+//! The parts of a prompt, and which of them engines have cached.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -8,31 +8,31 @@
 
 use crate::ModelRef;
 
-/// How long an engine is taken to keep what it read. Engines drop what was used least recently when
-/// their memory is full, which is after some ten seconds under load.
+/// How long an engine is assumed to cache the prompts it processed. Engines evict the least
+/// recently used ones when their memory is full, which under load takes about ten seconds.
 const KEPT_LIFE: Duration = Duration::from_secs(10);
 
-/// Parts that are remembered for one engine: some dozen adapters with a few instructions each.
+/// Parts to track per engine: about a dozen adapters with several instructions each.
 const PARTS_LIMIT: usize = 128;
 
-/// A part of a prompt. Requests that have it in common give the same id.
+/// A part of a prompt. Requests with a common part give the same id for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its id.
+    /// The id that the caller gives for this part.
     pub id: u64,
-    /// Its length, in tokens.
+    /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// Stands for a part with all that goes before it: an engine reads a part again unless it keeps these
-/// too, for the same adapter.
+/// Digest of a part together with the adapter and all parts before it. An engine can only reuse a
+/// cached part if all of these are the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PartDigest(u64);
 
 /// The parts of a prompt for one adapter, in order.
 ///
-/// Requests that share parts go to the same engine while its queue is no longer than reading them again
-/// takes.
+/// Requests with common leading parts are sent to the same engine, unless its queue takes longer
+/// than processing those parts again elsewhere.
 ///
 /// ```
 /// use std::time::{Duration, Instant};
@@ -52,7 +52,7 @@
 }
 
 impl PromptChain {
-    /// The parts of a prompt for `model`.
+    /// Creates the chain of a prompt's parts for `model`.
     pub fn new(model: &ModelRef, parts: &[PromptPart]) -> Self {
         let mut before = match parts {
             [] => 0,
@@ -67,15 +67,17 @@
         }
     }
 
-    /// Tokens of the parts that other requests may have: all but the last, which is the request's own.
+    /// Tokens of the parts that other requests may share: all but the last part, which is specific
+    /// to the request.
     pub fn shared_tokens(&self) -> u64 {
         let shared = self.parts.len().saturating_sub(1);
         let shared = self.parts.iter().take(shared);
         shared.map(|(_, tokens)| u64::from(*tokens)).sum()
     }
 
-    /// The rank of `engine` among those that could answer, the same on every node: requests with the same
-    /// shared parts that go to the first find them kept, without a word between nodes.
+    /// Rendezvous hash of `engine` for the shared parts, the same on every node. Requests with the
+    /// same shared parts prefer the engine with the highest hash and find the parts cached there,
+    /// without any messages between nodes.
     pub(crate) fn rank_of(&self, engine: &UpstreamId) -> Option<u64> {
         let last_shared = self.parts.len().checked_sub(2)?;
         let (PartDigest(shared), _) = self.parts[last_shared];
@@ -83,14 +85,14 @@
     }
 }
 
-/// Parts of prompts that an engine was given lately.
+/// Prompt parts that were sent to an engine recently.
 #[derive(Clone, Debug, Default)]
 pub struct KeptPrompts {
     parts: HashMap<PartDigest, (u32, Instant)>,
 }
 
 impl KeptPrompts {
-    /// Takes in that the engine reads a prompt of these parts.
+    /// Records a prompt sent to the engine.
     pub fn note(&mut self, chain: &PromptChain, now: Instant) {
         for (part, tokens) in &chain.parts {
             self.parts.insert(*part, (*tokens, now));
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Tokens of a prompt that the engine need not read, as far as is known.
+    /// Prompt tokens that the engine is expected to have cached.
     pub fn tokens_of(&self, chain: &PromptChain, now: Instant) -> u64 {
         let kept = chain.parts.iter().map_while(|(part, tokens)| {
             let (kept, at) = self.parts.get(part)?;
@@ -121,7 +123,7 @@
         kept.sum()
     }
 
-    /// Forgets all: the engine dropped its weights.
+    /// Forgets all parts, because the engine unloaded its models.
     pub(crate) fn clear(&mut self) {
         self.parts.clear();
     }
--- a/crates/relay/src/recent.rs
+++ b/crates/relay/src/recent.rs
@@ -1,4 +1,4 @@
-//! Adapters that an engine held a while ago.
+//! Adapters that an engine dropped recently.
 
 use std::collections::VecDeque;
 
@@ -6,15 +6,15 @@
 
 use crate::{HeldModel, Holdings, ModelRef};
 
-/// Adapters that are remembered for one engine: some five times what it holds, which is what
-/// engines keep in the memory of their host today.
+/// Adapters to track per engine: about five times as many as it holds, which is what engines keep
+/// in host memory today.
 const ENTRIES_LIMIT: usize = 100;
 
-/// Adapters that an engine dropped lately, the oldest first.
+/// Adapters that an engine dropped recently, the oldest first.
 ///
-/// An engine brings an adapter that it dropped back from its own memory in a tenth of the time, and
-/// without the weight store. On a loaded day four loads in ten are of adapters that some engine
-/// dropped before; brought into another engine they cost a full load each.
+/// An engine restores such an adapter from host memory in a tenth of the time of a full load and
+/// without the weight store. On a busy day four loads in ten are of adapters that some engine has
+/// dropped; on any other engine each costs a full load.
 ///
 /// ```
 /// use nutmegsail_relay::{HeldAdapter, HeldModel, Holdings, ModelRef, RecentAdapters};
@@ -42,12 +42,12 @@
 }
 
 impl RecentAdapters {
-    /// Takes in that the engine held `before`, and holds `after` now.
+    /// Records the change of the engine's holdings from `before` to `after`.
     pub fn note_change(&mut self, before: &Holdings, after: &Holdings) {
         self.dropped
             .retain(|dropped| after.version_of(&dropped.adapter).is_none());
         for model in &before.models {
-            // Weights that were unloaded took what was kept of their adapters with them.
+            // Unloading a base model also drops the cached copies of its adapters.
             let Some(now) = after.models.iter().find(|held| held.name == model.name) else {
                 self.forget_model(model);
                 continue;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The version in which the engine held what `wanted` names.
+    /// The version of `wanted` that the engine dropped; `None` if it dropped none recently.
     pub fn version_of(&self, wanted: &ModelRef) -> Option<u64> {
         let mut dropped = self.dropped.iter();
         dropped
--- a/crates/relay/src/tracked.rs
+++ b/crates/relay/src/tracked.rs
@@ -1,4 +1,4 @@
-//! What a node knows of one upstream.
+//! The state of one upstream as a node knows it.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,39 +11,40 @@
     Upstream, VersionRule,
 };
 
-/// Load of an engine as others reported it.
+/// The load of an engine as other nodes reported it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// Requests that other nodes have there.
+    /// Requests that other nodes have in flight there.
     pub in_flight_of_others: u32,
-    /// Prompt tokens that other nodes have sent and that were not answered yet.
+    /// Prompt tokens sent by other nodes whose responses have not started.
     pub unread_tokens_of_others: u64,
-    /// Adapters on their way to it, or waiting for it.
+    /// Adapters being loaded, or queued for loading.
     pub coming: Vec<ModelDigest>,
-    /// Adapters that came or went a moment ago.
+    /// Adapters that were loaded or unloaded recently.
     pub moved: Vec<AdapterMove>,
-    /// Adapters that it could take now: free places, and those of adapters that nobody uses.
+    /// Number of adapters that could be loaded now: free adapter slots plus those of unused
+    /// adapters.
     pub room: u32,
-    /// Whether its owner can order loads now.
+    /// Whether the owner can order loads now.
     pub takes_loads: bool,
-    /// When it was taken.
+    /// When the report was received.
     pub taken: Instant,
 }
 
-/// What a message says of an engine's holdings.
+/// What a message says about the adapters and models that an engine holds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum HoldingsTold {
-    /// They are these now.
+    /// The complete new holdings.
     Changed(Holdings),
-    /// They are what this node was told last.
+    /// The same holdings as in the last message to this node.
     Unchanged,
-    /// Nothing.
+    /// The message does not cover holdings.
     #[default]
     Untold,
 }
 
 impl HoldingsTold {
-    /// What this and an `older` message say together.
+    /// Combines this message with an `older` one.
     pub fn after(self, older: Self) -> Self {
         match (self, older) {
             (Self::Unchanged, older @ Self::Changed(_)) => older,
@@ -53,7 +54,7 @@
     }
 }
 
-/// An adapter that came to an engine, or was dropped there.
+/// An adapter that was loaded into or unloaded from an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdapterMove {
     /// The adapter.
@@ -62,96 +63,99 @@
     pub is_held: bool,
 }
 
-/// How long a move goes before the list of upstreams and before what an owner told in full: longer
-/// than a heartbeat and the list's lag.
+/// How long a reported load or unload overrides the list of upstreams and the owner's last full
+/// report: longer than a heartbeat plus the list's delay.
 const MOVE_LIFE: Duration = Duration::from_millis(2_500);
 
-/// An engine is silent if nothing comes back for this many times as long as the queue should take,
-/// and for at least [`SILENCE_FLOOR_MS`].
+/// An engine counts as silent if nothing comes back for this multiple of the expected wait, but not
+/// before [`SILENCE_FLOOR_MS`].
 const SILENCE_RATIO: f64 = 3.0;
 
-/// The least silence that is taken for a failure, in milliseconds; sound engines answer the first of
-/// several requests within some 400 ms.
+/// Shortest silence that counts as a failure, in milliseconds. Healthy engines answer the first of
+/// several requests within about 400 ms.
 const SILENCE_FLOOR_MS: f64 = 700.0;
 
-/// How long an owner's word goes before the list of upstreams: longer than a heartbeat and the
-/// list's lag.
+/// How long the owner's report overrides the list of upstreams: longer than a heartbeat plus the
+/// list's delay.
 const TOLD_LIFE: Duration = Duration::from_millis(2_500);
 
-/// How long an upstream gets nothing after another process answered at its address. The list of upstreams shows
-/// by then that it is gone; one that is listed still may have answered wrongly.
+/// How long an upstream gets no requests after another process answered at its address. By then an
+/// upstream that has ended is gone from the list; one that is still listed may have given a wrong
+/// answer.
 const GONE_LIFE: Duration = Duration::from_secs(6);
 
-/// How long a report of the load says anything: a queue of prompts is read in some 300 ms.
+/// Age up to which a load report is used: an engine works off its queue of prompts in about 300 ms.
 const REPORT_LIFE: Duration = Duration::from_millis(600);
 
-/// How long a prompt token takes to be read at a sound engine, in milliseconds, until answers have told
-/// the pace of this deployment's engines.
+/// Assumed time for a healthy engine to process one prompt token, in milliseconds, before responses
+/// have shown the pace of the deployment's engines.
 pub(crate) const PROMPT_TOKEN_MS: f64 = 0.052;
 
-/// The time to the first event of an empty prompt at an idle engine: one step and the way there.
+/// Time to the first event of an empty prompt at an idle engine, in milliseconds: one step plus the
+/// network.
 const FIRST_EVENT_FLOOR_MS: f64 = 18.0;
 
-/// What each running request adds to the time of a step, in milliseconds.
+/// Time that each running request adds to a step, in milliseconds.
 const RUNNING_REQUEST_MS: f64 = 0.4;
 
-/// How long a request is taken to take up a slot until some have ended, in milliseconds.
+/// Assumed time for which a request occupies a slot until requests have ended, in milliseconds.
 pub(crate) const FIRST_RUN_MS: f64 = 1_000.0;
 
-/// How much one observation moves the slowness.
+/// Weight of one response in the moving average of the slowness.
 const SLOWNESS_STEP: f64 = 0.2;
 
-/// Bounds of the slowness: an upstream that is 20 times as slow as expected gets no work anyway.
+/// Lower and upper bound of the slowness. An upstream that is 20 times as slow as expected gets no
+/// requests anyway.
 const SLOWNESS_RANGE: (f64, f64) = (0.5, 20.0);
 
-/// In this time half of what made an upstream look slow is forgotten, so that it is tried again.
+/// Half-life of the slowness, in seconds. It decays so that a slow upstream is tried again.
 const SLOWNESS_HALF_LIFE_S: f64 = 4.0;
 
-/// One upstream with what this node sent there.
+/// One upstream with the requests that this node sent to it.
 #[derive(Clone, Debug)]
 pub struct Tracked {
-    /// The entry of the list of upstreams.
+    /// The upstream's entry in the list of upstreams.
     pub upstream: Arc<Upstream>,
-    /// What it holds.
+    /// The models and adapters that it holds.
     pub holdings: Holdings,
-    /// What it held before and can bring back quickly.
+    /// Adapters that it dropped and can restore quickly.
     recent: RecentAdapters,
-    /// Prompts that this node sent there.
+    /// Prompts that this node sent to it and that it may have cached.
     kept: KeptPrompts,
-    /// Adapters that came or went lately, and when that was told.
+    /// Adapters that were recently loaded or unloaded, with the time of the report.
     moves: Vec<(AdapterMove, Instant)>,
-    /// When its owner last confirmed what it holds.
+    /// When its owner last confirmed the holdings.
     holdings_told: Option<Instant>,
     /// Requests that this node sent and that have not ended.
     pub in_flight: u32,
-    /// Prompt tokens that this node sent and whose answers have not begun.
+    /// Prompt tokens that this node sent and whose responses have not started.
     pub unread_tokens: u64,
-    /// Failures.
+    /// Its recent failures.
     pub health: Health,
-    /// When it first said to this node that it leaves.
+    /// When it first announced its shutdown to this node.
     pub(crate) leaving_since: Option<Instant>,
-    /// The rest that it asked this node for.
+    /// Until when it asked this node to send nothing.
     pub(crate) rest: Rest,
-    /// Whether it limits the requests that it takes.
+    /// Whether it limits the rate of its requests.
     pub(crate) is_limited: bool,
-    /// Until when its limit leaves no room for another one, as far as is known.
+    /// Until when its limit is known to be exhausted.
     limited_until: Option<Instant>,
     /// When another process answered at its address.
     gone_at: Option<Instant>,
-    /// The last report of its load.
+    /// The last load report.
     pub report: Option<Report>,
-    /// How long a request takes up a slot, in milliseconds.
+    /// Average time for which a request occupies a slot, in milliseconds.
     run_ms: f64,
-    /// How many times as long as assumed engines of its kind take to read and step.
+    /// Observed over assumed time for engines to process prompts and run steps.
     pace: f64,
     slowness: f64,
     slowness_at: Instant,
-    /// Since when nothing has come back although answers are due.
+    /// Since when no response has arrived although some are pending.
     waiting_since: Option<Instant>,
 }
 
 impl Tracked {
-    /// An upstream that nothing was sent to.
+    /// An upstream to which nothing has been sent.
     pub fn new(upstream: Arc<Upstream>, now: Instant) -> Self {
         Self {
             holdings: upstream.holdings.clone(),
@@ -177,11 +181,11 @@
         }
     }
 
-    /// Takes in the entry of the list of upstreams.
+    /// Updates the upstream's entry from the list of upstreams.
     ///
-    /// Entries lag by a heartbeat or more. Taken at their word, they would bring back an adapter
-    /// that was unloaded since, and the request sent for it would come back unserved. So what the
-    /// owner told goes first while it is fresh.
+    /// Entries are delayed by a heartbeat or more. An old entry would bring back an adapter that
+    /// has been unloaded since, and requests for it would come back unserved. A recent report from
+    /// the owner therefore overrides the entry's holdings.
     pub fn note_entry(&mut self, upstream: Arc<Upstream>, now: Instant) {
         let is_told = |at| now.duration_since(at) < TOLD_LIFE;
         if !self.holdings_told.is_some_and(is_told) {
@@ -190,12 +194,12 @@
         self.upstream = upstream;
     }
 
-    /// Takes in what the owner knows of its load, and what it says of its holdings.
+    /// Records a report from the engine's owner, or one passed on by another node.
     ///
-    /// A load that was passed on says nothing of holdings. Taken for a word that they are unchanged, it
-    /// kept what an engine had held when this node last used it for good, and the list of upstreams was
-    /// not believed again: adapters that the engine held were loaded elsewhere, and requests sent for
-    /// those that it had dropped.
+    /// A report that another node passed on does not cover holdings. When it was treated as a
+    /// confirmation that they are unchanged, outdated holdings stayed in place and the list of
+    /// upstreams was ignored for good: adapters that the engine held were loaded on other engines,
+    /// and requests were sent for adapters that it had unloaded.
     pub fn note_told(&mut self, holdings: &HoldingsTold, report: Report) {
         match holdings {
             HoldingsTold::Changed(holdings) => {
@@ -220,10 +224,11 @@
         self.moves.extend(told);
     }
 
-    /// The version in which it holds what `wanted` names; 0 if that is not known.
+    /// The version that it holds of what `wanted` names; 0 if the version is unknown.
     ///
-    /// The list of upstreams lags by a heartbeat and more. Taken at its word, an adapter that came a
-    /// second ago is loaded once more elsewhere, and requests go where one was dropped.
+    /// The list of upstreams is delayed by a heartbeat or more. Using it alone, an adapter that was
+    /// loaded a second ago would be loaded again elsewhere, and requests would go to an engine that
+    /// has unloaded theirs.
     pub fn version_of(&self, wanted: &ModelRef, now: Instant) -> Option<u64> {
         let held = self.holdings.version_of(wanted);
         if self.moves.is_empty() {
@@ -245,8 +250,8 @@
 
     /// Whether it holds the base model that `wanted` names or belongs to.
     ///
-    /// A base model that is to leave gets nothing new: requests that have not begun would come back
-    /// unserved, and with each that does begin it leaves later.
+    /// A base model that is being unloaded gets no new requests: those that have not started would
+    /// come back unserved, and those that do start delay the unload.
     pub fn has_base(&self, wanted: &ModelRef, now: Instant) -> bool {
         match wanted.adapter {
             None => self.version_of(wanted, now).is_some(),
@@ -254,15 +259,15 @@
         }
     }
 
-    /// Takes in what it holds now that an adapter was brought in.
+    /// Records the holdings that the owner reported after an adapter was loaded.
     pub fn note_holdings(&mut self, holdings: &Holdings, now: Instant) {
         self.set_holdings(holdings);
         self.holdings_told = Some(now);
-        // What the owner now tells in full is newer than all moves before.
+        // The owner's full report is newer than all recorded changes.
         self.moves.clear();
     }
 
-    /// Takes in that it does not hold `model`, as it said itself.
+    /// Records that the upstream itself said it does not hold `model`.
     pub(crate) fn note_absent(&mut self, model: &ModelRef, now: Instant) {
         self.holdings.forget(model);
         let absent = AdapterMove {
@@ -273,7 +278,7 @@
         self.moves.push((absent, now));
     }
 
-    /// Whether it held `model` a while ago, in a version that requests are meant to begin on.
+    /// Whether it dropped `model` recently, in a version that new requests should start on.
     pub fn held_lately(&self, model: &ModelRef, version: VersionRule) -> bool {
         let held = self.recent.version_of(model);
         held.is_some_and(|held| version.prefers(held))
@@ -289,30 +294,31 @@
         }
     }
 
-    /// How old its owner's word of what it holds is; nothing if only the list of upstreams tells.
+    /// Age of the owner's last report of the holdings; `None` if they come from the list of
+    /// upstreams only.
     pub fn holdings_age(&self, now: Instant) -> Option<Duration> {
         self.holdings_told.map(|at| now.duration_since(at))
     }
 
-    /// How much longer answers take than expected; 1 for a sound upstream.
+    /// Observed over expected time to the first event; 1 for a healthy upstream.
     pub fn slowness(&self, now: Instant) -> f64 {
         let age_s = now.duration_since(self.slowness_at).as_secs_f64();
         1.0 + (self.slowness - 1.0) * 0.5_f64.powf(age_s / SLOWNESS_HALF_LIFE_S)
     }
 
-    /// Prompt tokens that are to be read before a new one, as far as is known.
+    /// Prompt tokens known to be processed before those of a new request.
     pub fn backlog_tokens(&self, now: Instant) -> u64 {
         let others = self.fresh_report(now);
         self.unread_tokens + others.map_or(0, |report| report.unread_tokens_of_others)
     }
 
-    /// Requests that run there, as far as is known.
+    /// Number of requests known to be running there.
     pub fn running(&self, now: Instant) -> u32 {
         let others = self.fresh_report(now);
         self.in_flight + others.map_or(0, |report| report.in_flight_of_others)
     }
 
-    /// Counts a request as sent.
+    /// Records that a request was sent.
     pub(crate) fn sent(&mut self, prompt_tokens: u64, now: Instant) {
         self.in_flight += 1;
         self.rest.note_sent(now);
@@ -320,22 +326,22 @@
         self.waiting_since.get_or_insert(now);
     }
 
-    /// Takes in that another process answered at its address.
+    /// Records that another process answered at its address.
     pub(crate) fn note_gone(&mut self, now: Instant) {
         self.gone_at = Some(now);
     }
 
-    /// Whether it has not been said, by the list or by itself, that it leaves.
+    /// Whether neither the list of upstreams nor the upstream itself has announced its shutdown.
     pub fn is_to_stay(&self) -> bool {
         self.upstream.takes_work() && self.leaving_since.is_none()
     }
 
-    /// Takes in that its limit leaves no room before `until`.
+    /// Records that its limit is exhausted until `until`.
     pub(crate) fn note_limited(&mut self, until: Instant) {
         self.limited_until = Some(until);
     }
 
-    /// How long its limit leaves no room yet, in milliseconds.
+    /// Remaining time for which its limit is exhausted, in milliseconds.
     pub(crate) fn limit_wait_ms(&self, now: Instant) -> f64 {
         let until = self.limited_until.filter(|_| self.is_limited);
         until.map_or(0.0, |until| {
@@ -343,29 +349,29 @@
         })
     }
 
-    /// Whether another process has its address, before the list of upstreams shows it.
+    /// Whether another process has taken its address, before the list of upstreams shows it.
     pub(crate) fn is_gone(&self, now: Instant) -> bool {
         self.gone_at
             .is_some_and(|at| now.duration_since(at) < GONE_LIFE)
     }
 
-    /// Takes in that it reads a prompt.
+    /// Records a prompt that was sent to it.
     pub(crate) fn note_prompt(&mut self, prompt: &PromptChain, now: Instant) {
         self.kept.note(prompt, now);
     }
 
-    /// Tokens of a prompt that it need not read, as far as this node knows.
+    /// Prompt tokens that it is expected to have cached.
     pub(crate) fn kept_tokens(&self, prompt: &PromptChain, now: Instant) -> u64 {
         self.kept.tokens_of(prompt, now)
     }
 
-    /// Takes in that something came back.
+    /// Records that something came back from it.
     pub(crate) fn note_alive(&mut self, now: Instant) {
         let is_waiting = self.in_flight > 0 && self.unread_tokens > 0;
         self.waiting_since = is_waiting.then_some(now);
     }
 
-    /// Counts a prompt as read, or given up.
+    /// Records that a prompt was processed or given up.
     pub(crate) fn prompt_read(&mut self, prompt_tokens: u64) {
         self.unread_tokens = self.unread_tokens.saturating_sub(prompt_tokens);
         if self.unread_tokens == 0 {
@@ -373,11 +379,11 @@
         }
     }
 
-    /// Whether nothing has come back for much longer than answers take.
+    /// Whether nothing has come back for much longer than responses take.
     ///
-    /// An engine that crashed without a word, or is behind a partition, keeps its connections and
-    /// says nothing. Each request sent there hangs until its caller gives up. Its heartbeats end
-    /// the matter after 3.6 s only.
+    /// An engine that crashed or is behind a partition may keep its connections open and send
+    /// nothing, so that requests hang until their callers give up. Missed heartbeats show this only
+    /// after 3.6 s.
     pub fn is_silent(&self, now: Instant) -> bool {
         let limit_ms = SILENCE_FLOOR_MS.max(SILENCE_RATIO * self.sound_first_event_ms(0, now));
         let limit = Duration::from_secs_f64(limit_ms / 1_000.0);
@@ -385,24 +391,24 @@
             .is_some_and(|since| now.duration_since(since) > limit)
     }
 
-    /// Adapters on their way to it, as far as is known.
+    /// Adapters known to be loading or queued for loading.
     pub fn coming(&self, now: Instant) -> &[ModelDigest] {
         self.fresh_report(now)
             .map_or(&[], |report| report.coming.as_slice())
     }
 
-    /// Whether it has a place for another adapter, as far as is known.
+    /// Whether it could take another adapter. True if there is no recent report.
     pub fn has_room(&self, now: Instant) -> bool {
         self.fresh_report(now).is_none_or(|report| report.room > 0)
     }
 
-    /// Whether loads can be ordered there, as far as is known.
+    /// Whether its owner can order loads. True if there is no recent report.
     pub fn takes_loads(&self, now: Instant) -> bool {
         self.fresh_report(now)
             .is_none_or(|report| report.takes_loads)
     }
 
-    /// How long a prompt of `tokens` is expected to wait for its first event, in milliseconds.
+    /// Expected time to the first event of a prompt of `tokens` tokens, in milliseconds.
     pub fn expected_first_event_ms(&self, tokens: u64, now: Instant) -> f64 {
         self.sound_first_event_ms(tokens, now) * self.slowness(now)
     }
@@ -414,28 +420,29 @@
         (FIRST_EVENT_FLOOR_MS + reading_ms) * self.pace + self.slot_wait_ms(now)
     }
 
-    /// How long a new request waits for a slot, in milliseconds.
+    /// Expected time that a new request waits for a slot, in milliseconds.
     ///
-    /// Where engines have few slots and answers are long, slots are short before prompt reading is.
-    /// An engine with twelve and streams of 2 s frees one in 160 ms; taken for the wait of its prompts
-    /// alone, its queue grew to several seconds.
+    /// With few slots and long responses, slots run out before prompt processing does. An engine
+    /// with twelve slots and streams of 2 s frees a slot every 160 ms; when only prompts were
+    /// counted, its queue grew to several seconds.
     fn slot_wait_ms(&self, now: Instant) -> f64 {
         let (running, slots) = (self.running(now), self.upstream.slots.max(1));
         let ahead = (running + 1).saturating_sub(slots);
         f64::from(ahead) * self.run_ms / f64::from(slots)
     }
 
-    /// Takes in how long requests take up a slot lately, in milliseconds.
+    /// Updates the average time for which requests occupy a slot, in milliseconds.
     pub(crate) fn set_run_ms(&mut self, run_ms: f64) {
         self.run_ms = run_ms;
     }
 
-    /// Takes in the pace of engines of its kind.
+    /// Updates the pace of the deployment's engines.
     pub(crate) fn set_pace(&mut self, pace: f64) {
         self.pace = pace;
     }
 
-    /// Takes in that an answer that was expected after `expected_ms` began after `took`.
+    /// Updates the slowness from a response that started after `took`, where `expected_ms` was
+    /// expected.
     pub fn note_first_event(&mut self, expected_ms: f64, took: Duration, now: Instant) {
         let sound_ms = expected_ms / self.slowness(now);
         let seen = took.as_secs_f64() * 1_000.0 / sound_ms.max(1.0);
--- a/crates/relay/src/versions.rs
+++ b/crates/relay/src/versions.rs
@@ -1,11 +1,11 @@
-//! Which version of an adapter a request may run on.
+//! Which versions of a model or adapter a request may start on.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use crate::ModelRef;
 
-/// The versions that a request may begin on.
+/// The versions that a request may start on.
 ///
 /// ```
 /// use nutmegsail_relay::VersionRule;
@@ -16,39 +16,39 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VersionRule {
-    /// The version that new requests are meant to begin on; 0 if none was named.
+    /// The version that new requests should start on; 0 if none was announced.
     pub wanted: u64,
-    /// The oldest that they may begin on.
+    /// The oldest version that they may start on.
     pub least: u64,
 }
 
 impl VersionRule {
-    /// No version was named; any will do.
+    /// No version was announced; any version may be used.
     pub const ANY: Self = Self {
         wanted: 0,
         least: 0,
     };
 
-    /// Whether a request may begin on `version`.
+    /// Whether a request may start on `version`.
     pub fn allows(self, version: u64) -> bool {
         version >= self.least
     }
 
-    /// Whether `version` is what new requests are meant to begin on.
+    /// Whether new requests should start on `version`.
     pub fn prefers(self, version: u64) -> bool {
         version >= self.wanted
     }
 
-    /// The version to load; none for the newest.
+    /// The version to load; `None` for the newest.
     pub fn to_load(self) -> Option<u64> {
         (self.wanted > 0).then_some(self.wanted)
     }
 }
 
-/// The versions that were named, each with the time it became known.
+/// The announced versions, each with the time of its announcement.
 #[derive(Clone, Debug, Default)]
 pub struct Versions {
-    /// By model, rising.
+    /// Versions of each model in ascending order.
     named: HashMap<ModelRef, Vec<Named>>,
 }
 
@@ -58,12 +58,12 @@
     since: Instant,
 }
 
-/// Versions of one model that are remembered. Only those within one overlap matter.
+/// Versions to keep for one model. Only those within one overlap period matter.
 const NAMED_LIMIT: usize = 8;
 
 impl Versions {
-    /// Takes in that `version` of `model` was named. Versions only rise: an older one comes late. Returns the
-    /// newest one.
+    /// Records that `version` of `model` was announced, and returns the newest announced version.
+    /// Versions only increase, so an older one is a late message and is ignored.
     pub fn name(&mut self, model: ModelRef, version: u64, now: Instant) -> u64 {
         let named = self.named.entry(model).or_default();
         if let Some(last) = named.last().filter(|last| version <= last.version) {
@@ -79,17 +79,18 @@
         version
     }
 
-    /// The version of each model that was named last.
+    /// The newest announced version of each model.
     pub fn latest(&self) -> impl Iterator<Item = (&ModelRef, u64)> {
         let named = self.named.iter();
         named.filter_map(|(model, named)| Some((model, named.last()?.version)))
     }
 
-    /// What a request for `model` may begin on, if an older version may be used for `overlap` after
-    /// a newer one became known.
+    /// The versions that a request for `model` may start on, if older versions may be used for
+    /// `overlap` after a newer one was announced.
     ///
-    /// Each version counts from its own naming. Counted from the last one's, a quick succession
-    /// would bring back versions that were over long ago.
+    /// The overlap of each version counts from its own announcement. If it counted from the latest
+    /// one, several announcements in quick succession would allow versions whose overlap ended long
+    /// ago.
     pub fn rule(&self, model: &ModelRef, overlap: Duration, now: Instant) -> VersionRule {
         let Some(named) = self.named.get(model) else {
             return VersionRule::ANY;
