--- a/crates/relay/tests/copies.rs
+++ b/crates/relay/tests/copies.rs
@@ -1,4 +1,4 @@
-//! When an engine's owner wants further copies of an adapter.
+//! Tests of the copies that an engine's owner orders.
 
 mod common;
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Ten seconds of `per_s` requests for `a1` from one failure domain.
+    /// Sends ten seconds of requests for `a1` from one failure domain, `per_s` in a second.
     fn ask(&mut self, domain: &str, per_s: f64) {
         for _ in 0..(10.0 * per_s) as usize {
             self.now += Duration::from_secs_f64(1.0 / per_s);
@@ -57,8 +57,8 @@
     }
 }
 
-// A prompt of 1,460 tokens is read in 76 ms: four a second take up a third of an engine, seven more
-// than half, and thirty are for six engines.
+// A prompt of 1,460 tokens takes 76 ms: four requests a second occupy a third of an engine, seven
+// more than half, and thirty need six engines.
 #[rstest]
 #[case::nothing(0.0, 0, 0)]
 #[case::asked_for_by_chance(0.5, 1, 0)]
@@ -78,8 +78,8 @@
     assert_eq!(owner.copies(in_flight), copies);
 }
 
-// A copy takes a quarter of a second and more to come, and the demand here falls some time after.
-// Ordered again meanwhile, one adapter filled the engines around it.
+// A copy takes at least a quarter of a second to load, and demand here drops only some time later.
+// When further copies were ordered before that, one adapter filled the surrounding engines.
 #[test]
 fn copies_are_not_ordered_again_before_they_can_show() {
     let mut owner = Owner::new();
@@ -90,7 +90,8 @@
     assert!(owner.copies(8) > 0);
 }
 
-// A failure domain that is cut off loses what its callers have under way elsewhere.
+// In a partition, a failure domain loses its callers' requests in flight at engines of other
+// domains.
 #[test]
 fn a_failure_domain_that_asks_often_gets_a_copy_of_its_own() {
     let mut owner = Owner::new();
--- a/crates/relay/tests/dispatching.rs
+++ b/crates/relay/tests/dispatching.rs
@@ -1,4 +1,4 @@
-//! Which upstream gets a request.
+//! Tests of upstream selection.
 
 #![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
 
@@ -92,8 +92,8 @@
     assert_eq!(world.choose(), Err(expected));
 }
 
-// A clerk's request waits behind a long prompt although another engine is free: the requests were
-// counted, not the tokens that are still to be read.
+// Guards against counting requests instead of prompt tokens: a request would wait behind a long
+// prompt while another engine is free.
 #[test]
 fn the_engine_with_fewer_tokens_to_read_gets_the_request() {
     let mut world = World::new([engine("e1", &["a1"]), engine("e2", &["a1"])]);
@@ -118,11 +118,11 @@
     assert_eq!(world.choose().unwrap(), "e2");
     world.now += Duration::from_secs(5);
     let chosen: Vec<_> = (0..50).map(|_| world.choose().unwrap()).collect();
-    assert!(chosen.contains(&"e1".to_owned()), "old news says nothing");
+    assert!(chosen.contains(&"e1".to_owned()), "an old report is ignored");
 }
 
-// An adapter was unloaded, and a late heartbeat still shows it. Sent by the heartbeat, the request
-// comes back unserved and draws on the retry budget.
+// A late heartbeat still lists an adapter that has been unloaded. A request sent there would come
+// back unserved and use up retry budget.
 #[test]
 fn a_late_heartbeat_does_not_bring_back_an_unloaded_adapter() {
     let mut world = World::new([engine("e1", &["a1"])]);
@@ -137,7 +137,7 @@
         .dispatcher
         .set_upstreams(&list([engine("e1", &["a1"])]), world.now);
     assert_eq!(world.choose(), Err(Refusal::AdapterAbsent));
-    // Without its owner's word for long, the list is all that is known.
+    // Without a recent report from the owner, only the list of upstreams is left.
     world.now += Duration::from_secs(10);
     world
         .dispatcher
@@ -153,8 +153,8 @@
     assert_eq!(world.choose(), Err(Refusal::AdapterAbsent));
 }
 
-// The engine's process has ended and another one has its address. Its entry stays in the list for
-// some seconds more.
+// The engine's process has ended and another one has taken its address. The list of upstreams shows
+// this only some seconds later.
 #[test]
 fn an_engine_whose_address_was_taken_over_gets_nothing() {
     let mut world = World::new([engine("e1", &["a1"])]);
@@ -165,7 +165,7 @@
     assert_eq!(world.choose(), Err(Refusal::NoUpstream));
 }
 
-// Guards against a node that never uses an upstream again which once answered under another name.
+// An upstream that answered under a different name once must not be excluded for good.
 #[test]
 fn an_upstream_that_stays_listed_is_tried_again() {
     let mut world = World::new([engine("e1", &["a1"])]);
@@ -227,8 +227,8 @@
     assert_eq!(demanded, Err(Refusal::AdapterAbsent));
 }
 
-// An upstream fails half of its requests while its health check passes. Every second guest would
-// get an error for as long as it is asked like the others.
+// An upstream fails half of its requests while its health check passes. As long as it gets its
+// usual share, every second caller gets an error.
 #[test]
 fn an_upstream_that_fails_is_left_alone_and_tried_again() {
     let mut world = World::new([plain("p1"), plain("p2")]);
@@ -255,11 +255,11 @@
             .note_outcome(&"p1".into(), Outcome::Answered, world.now);
     }
     let chosen: Vec<_> = (0..50).map(|_| world.choose_plain().unwrap()).collect();
-    assert!(chosen.contains(&"p1".to_owned()), "it is sound again");
+    assert!(chosen.contains(&"p1".to_owned()), "it is healthy again");
 }
 
-// A failure domain is cut off. Its one desk server fails now and then and was paused; the others are
-// behind the cut. Guests were sent there, and waited 300 ms for nothing.
+// During a partition, the only upstream on this side was paused after failures, and all others are
+// unreachable. Requests were sent to those and spent 300 ms without an answer.
 #[test]
 fn a_paused_upstream_goes_before_one_behind_a_partition() {
     let far = Upstream {
@@ -276,8 +276,8 @@
     assert_eq!(world.choose_plain().unwrap(), "near");
 }
 
-// An engine crashes without a word: its connections stay open and nothing comes. Every editor who
-// is sent there waits until the deadline, as long as the list still shows it.
+// An engine that crashes may leave its connections open and send nothing. Every request sent there
+// hangs until its deadline while the list of upstreams still shows the engine.
 #[test]
 fn a_silent_engine_gets_no_more_requests() {
     let mut world = World::new([engine("e1", &["a1"]), engine("e2", &["a1"])]);
@@ -288,7 +288,7 @@
     }
     world.dispatcher.prompt_read(&"e1".into(), 500);
     world.dispatcher.sent(&"e2".into(), 4_000, world.now);
-    assert_eq!(world.choose().unwrap(), "e1", "its answer came");
+    assert_eq!(world.choose().unwrap(), "e1", "its response arrived");
 }
 
 #[test]
@@ -298,7 +298,7 @@
     assert_eq!(world.choose_plain().unwrap(), "p1");
 }
 
-// Answers that cross failure domains are lost when the domains are cut off from each other.
+// Responses that cross failure domains are lost when the domains are partitioned.
 #[test]
 fn the_own_failure_domain_goes_first_until_it_is_much_busier() {
     let mut world = World::new([engine("near", &["a1"]), far_engine("far", &["a1"])]);
@@ -307,8 +307,8 @@
     assert_eq!(world.choose().unwrap(), "far");
 }
 
-// An engine that restarted is empty and idle. It was every request's first choice for a load that
-// it could not take, and callers were refused for a second.
+// A restarted engine is empty and idle. It was the first choice for every load although it could
+// not carry it out, and callers were refused for a second.
 #[test]
 fn an_engine_without_the_base_model_is_asked_for_no_adapter() {
     let mut empty = engine("e1", &[]);
@@ -325,8 +325,8 @@
     assert_eq!(ids, ["e2"]);
 }
 
-// Three nodes miss one adapter within a load's time. Each chose the engine that was idle for it,
-// and the adapter was loaded three times.
+// Three nodes miss the same adapter within the time of one load. Each selected the engine that
+// looked idle to it, and the adapter was loaded three times.
 #[test]
 fn the_engine_that_loads_an_adapter_already_goes_first() {
     let mut world = World::new([engine("e1", &[]), engine("e2", &[])]);
@@ -347,8 +347,8 @@
     assert!(engines[1].wait_ms - engines[0].wait_ms > 500.0);
 }
 
-// An engine is busy with its own adapters, and a summary's prompt would wait two seconds there. The
-// engines beside it are free, and could have the adapter in a third of a second.
+// The engine holding the adapter is busy, and a long prompt would wait two seconds there. Idle
+// engines could load the adapter in a third of a second.
 #[test]
 fn a_long_queue_is_left_for_an_engine_that_is_free() {
     let mut world = World::new([engine("e1", &["a1"]), engine("e2", &[])]);
@@ -365,13 +365,13 @@
         dispatcher.is_sooner_elsewhere(&need, expected_ms, world.now)
     };
     assert!(elsewhere(&world, 2_000.0));
-    assert!(!elsewhere(&world, 300.0), "it comes in time where it is");
+    assert!(!elsewhere(&world, 300.0), "it is answered in time where it is");
     world.dispatcher.sent(&"e2".into(), 30_000, world.now);
-    assert!(!elsewhere(&world, 2_000.0), "no engine is free");
+    assert!(!elsewhere(&world, 2_000.0), "no engine is idle");
 }
 
-// At a cold start every failure domain missed the same popular adapters and loaded each for itself,
-// while the weight store was the bottleneck. Later, loads stay in the domain.
+// After a cold start, every failure domain loaded the same popular adapters itself while the weight
+// store was the bottleneck. Once loads are quick, they stay in the domain.
 #[test]
 fn loads_stay_in_the_domain_only_while_they_are_quick() {
     let mut world = World::new([engine("near", &[]), far_engine("far", &[])]);
@@ -399,9 +399,9 @@
     assert!(difference(&world) > 300.0);
 }
 
-// Four loads in ten of a loaded day were of adapters that some engine had dropped. Brought into
-// another engine each took a full load, where the one that held it needs a tenth. A queue of half a
-// second there says that the callers would still be late.
+// On a busy day four loads in ten were of adapters that some engine had dropped. Each took a full
+// load on another engine, while the one that dropped it needs a tenth of that. With half a second
+// of queue there, the callers would still be late.
 #[test]
 fn an_engine_that_held_the_adapter_a_while_ago_is_asked_first() {
     let mut world = World::new([engine("e1", &["a1"]), engine("e2", &["a2"])]);
@@ -423,13 +423,13 @@
     };
     assert_eq!(first(&world), ("e1".to_owned(), true));
     world.dispatcher.sent(&"e1".into(), 6_000, now);
-    assert_eq!(first(&world).0, "e1", "300 ms of prompts");
+    assert_eq!(first(&world).0, "e1", "300 ms of pending prompts");
     world.dispatcher.sent(&"e1".into(), 8_000, now);
-    assert_eq!(first(&world), ("e2".to_owned(), false), "700 ms of prompts");
+    assert_eq!(first(&world), ("e2".to_owned(), false), "700 ms of pending prompts");
 }
 
-// A newer version was named since. What the engine kept is the older one; the newer comes from the
-// weight store, wherever it goes.
+// A newer version was announced since. The engine can only restore the older one, and the newer has
+// to come from the weight store.
 #[test]
 fn an_older_version_that_was_dropped_is_no_copy() {
     let mut world = World::new([engine("e1", &["a1"])]);
@@ -446,9 +446,9 @@
     assert!(!tracked.held_lately(&world.a1, newer));
 }
 
-// An engine's owner tells at once what came and went there; the list of upstreams shows it a second
-// or two later. Taken at the list's word, the adapter was loaded again elsewhere (637 adapters on a
-// loaded day of 140 engines), and requests went where it had been dropped.
+// An engine's owner reports loads and unloads at once, while the list of upstreams shows them a
+// second or two later. Using the list alone, adapters were loaded again elsewhere (637 adapters on
+// a busy day with 140 engines), and requests went to engines that had unloaded theirs.
 #[test]
 fn what_came_and_went_goes_before_the_list() {
     let mut world = World::new([engine("e1", &[]), engine("e2", &["a1"])]);
@@ -473,12 +473,12 @@
     assert_eq!(
         world.choose().unwrap(),
         "e2",
-        "by now the list shows what is"
+        "the list is up to date by now"
     );
 }
 
-// Engines with few slots and long answers have no slot free long before their prompts are read.
-// Judged by prompts alone, a queue there grew to several seconds while other engines were idle.
+// On engines with few slots and long responses, slots run out before prompt processing does. When
+// only prompts were counted, a queue grew to several seconds while other engines were idle.
 #[test]
 fn an_engine_without_a_free_slot_is_expected_to_be_slow() {
     let few = |id: &str| Upstream {
@@ -499,14 +499,14 @@
     let difference_ms = expected_ms(&world, "e1") - expected_ms(&world, "e2");
     assert!(
         difference_ms > 150.0,
-        "a slot is free in 2 s / 12: {difference_ms}"
+        "a slot becomes free in 2 s / 12: {difference_ms}"
     );
     assert_eq!(world.choose().unwrap(), "e2");
 }
 
-// The engines of a deployment read twice as fast as assumed, or half as fast. Taken for the assumed
-// ones, requests load their adapters elsewhere to be spared waits that never come, or wait where they
-// would have done well to leave.
+// Engines may process prompts twice as fast as assumed, or half as fast. Without learning this,
+// requests load their adapters elsewhere to avoid waits that don't exist, or wait where a load
+// elsewhere would have been faster.
 #[rstest]
 #[case::twice_as_fast(0.5)]
 #[case::half_as_fast(2.0)]
@@ -530,12 +530,12 @@
     let told = assumed_ms(&world, &idle) / (first_ms * pace);
     assert!(
         (0.8..=1.25).contains(&told),
-        "an engine that has not answered yet is expected to take {told} of its time"
+        "an engine without responses is expected to take {told} times its actual time"
     );
 }
 
-// A node of a large fleet asks an engine whose places are all in use for an adapter, loses a trip and
-// asks the next one, four times; then its caller is refused, while other engines have places free.
+// A node of a large fleet asked an engine without a free adapter slot, lost a round trip and asked
+// the next one, four times. Then its caller was refused although other engines had free slots.
 #[test]
 fn engines_with_a_free_place_are_asked_before_those_without() {
     let mut world = World::new([engine("e1", &[]), engine("e2", &[]), engine("e3", &[])]);
@@ -557,7 +557,7 @@
         ids
     };
     assert_eq!(asked(&world), ["e2"]);
-    // Where none has a place a moment ago, one may have become free since.
+    // If none had a free slot in the last report, one may have become free since.
     let full = report_of_room(0, world.now);
     world
         .dispatcher
@@ -565,8 +565,9 @@
     assert_eq!(asked(&world), ["e1", "e2", "e3"]);
 }
 
-// A node of a large fleet uses no engine of another failure domain for a while, and so hears nothing from
-// there. Its engines are sound, and hold adapters that would else be loaded here once more.
+// A node of a large fleet may use no engine of another failure domain for a while and so hear
+// nothing from it. The engines there are healthy, and hold adapters that would otherwise be loaded
+// again here.
 #[test]
 fn a_failure_domain_that_others_hear_is_not_cut_off() {
     let mut world = World::new([far_engine("e1", &["a1"])]);
@@ -590,9 +591,9 @@
     }
 }
 
-// A node of a large fleet used an engine once and was told what it holds. From then on it hears of the
-// engine's load only. The adapters have changed since: its callers' requests go where theirs was
-// dropped, or have it loaded elsewhere once more, until the list of upstreams is believed again.
+// A node used an engine once and was told its holdings. Later it only gets load reports passed on
+// by other nodes. If these counted as a confirmation of the old holdings, requests would go to an
+// engine that has unloaded their adapter, or it would be loaded again elsewhere.
 #[rstest]
 #[case::the_load_alone(HoldingsTold::Untold, true)]
 #[case::that_nothing_changed(HoldingsTold::Unchanged, false)]
@@ -622,8 +623,8 @@
     }
 }
 
-// Engines of a deployment read twice as fast as assumed. Taken at the assumed pace, a base model looked
-// twice as busy as it was, and took engines from models that were asked for.
+// With engines twice as fast as assumed, a base model's work appeared to be twice what it was, and
+// it took engines from models that were in demand.
 #[test]
 fn what_a_prompt_takes_of_an_engine_follows_the_pace_of_engines() {
     let mut world = World::new([engine("e1", &["a1"])]);
--- a/crates/relay/tests/heavy_load.rs
+++ b/crates/relay/tests/heavy_load.rs
@@ -1,4 +1,5 @@
-//! A burst over few engines, played on the decision alone: what callers wait for their first event.
+//! Simulates a burst on a few engines to test how upstream selection affects the time to the first
+//! event.
 
 #![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
 
@@ -13,19 +14,19 @@
 use rand::{RngExt as _, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Prompt tokens that an engine reads in a millisecond.
+/// Prompt tokens that an engine processes per millisecond.
 const TOKENS_PER_MS: f64 = 19.2;
 
-/// An engine that reads one prompt after the other, `slow` times as slowly as a sound one.
+/// An engine that processes one prompt at a time, `slow` times slower than a healthy one.
 struct Engine {
     slow: f64,
     free_at_ms: f64,
-    /// Requests on their way: when the first event comes, when it was sent, tokens, expected wait.
+    /// Pending requests: time of the first event, time of sending, prompt tokens, expected wait.
     reading: VecDeque<(f64, f64, u64, f64)>,
 }
 
-/// Plays 60 s of 78 requests a second over six engines, one of them five times as slow, and
-/// returns the waits in milliseconds, sorted.
+/// Simulates 60 s of 50 requests a second on six engines, one of them five times slower than the
+/// others. Returns the sorted waits in milliseconds.
 fn play(
     mut choose: impl FnMut(&mut Dispatcher, &Need<'_>, Instant, &mut ChaCha8Rng) -> usize,
 ) -> Vec<f64> {
@@ -96,9 +97,9 @@
     waits.iter().filter(|wait| **wait <= limit_ms).count() as f64 / waits.len() as f64
 }
 
-// Six engines, one of them slow, take 50 prompts a second. Choosing at random, the slow engine's
-// queue grows without end and one caller in six waits for ever: 0.827 get their first event within
-// 600 ms. By tokens to read and observed slowness all do.
+// Six engines, one of them slow, get 50 prompts a second. With random selection the slow engine's
+// queue grows without bound, and one caller in six never gets an answer: 0.827 get their first
+// event within 600 ms. With selection by pending tokens and observed slowness, all do.
 #[test]
 fn a_slow_engine_holds_up_few_callers() {
     let by_decision = play(|dispatcher, need, now, random| {
--- a/crates/relay/tests/load_queue.rs
+++ b/crates/relay/tests/load_queue.rs
@@ -1,4 +1,4 @@
-//! Which load goes next at an engine.
+//! Tests of the order of loads at an engine.
 
 #![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
 
@@ -35,7 +35,8 @@
     }
 }
 
-/// The turn of `ticket` at an engine with free places and so many transfers.
+/// The decision for `ticket` at an engine with free adapter slots and `transfers` loads in
+/// progress.
 fn turn(queue: &LoadQueue, ticket: LoadTicket, transfers: usize, store: &StoreUse) -> LoadTurn {
     let engine = EngineContents {
         holdings: &holdings(&[]),
@@ -51,8 +52,8 @@
     queue.turn(ticket, &engine, store, Instant::now())
 }
 
-// Routine requests miss their adapters at one engine, then an urgent one does. Ordered as they came,
-// its load waits behind theirs at a weight store that gives one at a time, and the urgent caller with it.
+// Several routine requests miss their adapters at an engine before an urgent one does. In order of
+// arrival, the urgent caller would wait for all their loads, one after the other.
 #[test]
 fn the_load_of_an_urgent_request_does_not_wait_behind_those_of_routine_ones() {
     let mut queue = LoadQueue::default();
@@ -75,8 +76,8 @@
     ));
 }
 
-// A fifth load would come after a second, too late for any latency objective; its caller is told at once.
-// One more request for an adapter that waits already costs nothing.
+// A fifth load would take over a second, too late for any latency objective, so its caller is
+// refused at once. A further request for an adapter that is already queued costs nothing.
 #[test]
 fn a_load_that_would_come_too_late_is_refused_at_once() {
     let mut queue = LoadQueue::default();
@@ -87,9 +88,9 @@
     assert!(queue.join(load(2, 1)).is_ok());
 }
 
-// Nodes are cut off from the store, and an owner hears of three other engines that load. It takes them for
-// all 78 and the weight store for full: for four seconds it orders nothing, while its engine is idle and
-// the callers of its adapters give up.
+// With the nodes cut off from the store, an owner hears of three other engines that are loading.
+// Extrapolated to all 78, the weight store looked saturated: the owner ordered nothing for four
+// seconds while its engine was idle and callers gave up.
 #[test]
 fn an_idle_engine_loads_whatever_its_owner_heard_of_others() {
     let mut queue = LoadQueue::default();
@@ -100,9 +101,9 @@
     assert_eq!(turn(&queue, first, 2, &busy), LoadTurn::Wait);
 }
 
-// Callers of several nodes wait for one popular adapter at an engine. The load of one of them is ordered,
-// and the others wait on for turns of their own, behind loads of other adapters and while the weight store
-// is full: 251 loads of ten seconds were given up after 3 s although most of their adapters were there.
+// Callers on several nodes wait for the same adapter. After one of their loads was ordered, the
+// others kept waiting behind loads of other adapters while the weight store was saturated: in ten
+// seconds, 251 loads were given up after 3 s, most of them for adapters that were already loaded.
 #[rstest]
 #[case::on_its_way(&[], &[0])]
 #[case::there(&["a0"], &[])]
@@ -137,12 +138,12 @@
     assert_eq!(
         turn,
         LoadTurn::Wait,
-        "an older version is not what it waits for"
+        "an older version does not satisfy it"
     );
 }
 
-// What an engine held a moment ago comes from its own memory in 25 ms. Behind loads that wait for the
-// weight store its callers would wait ten times as long.
+// An adapter that the engine dropped a moment ago is restored from host memory in 25 ms. Behind
+// loads from the weight store, its callers would wait ten times as long.
 #[test]
 fn what_the_engine_has_at_hand_passes_by_loads_from_the_store() {
     let mut queue = LoadQueue::default();
@@ -164,9 +165,9 @@
         ..ProptestConfig::default()
     })]
 
-    // Loads that are ordered together share the weight store, and the urgent one among them comes last
-    // with all the others. Whatever waits, at most one from the store may be ordered; it is the most
-    // urgent, and no copy goes while misses fill the store.
+    // Loads that are ordered together share the weight store's bandwidth, so an urgent one finishes
+    // as late as all others. At most one load from the weight store may be ordered, the most urgent
+    // one, and no copy while misses saturate the store.
     #[test]
     fn one_load_goes_next_and_none_more_urgent_waits(
         waiting in prop::collection::vec((0usize..6, 0u8..3, any::<bool>()), 1..5),
@@ -204,8 +205,9 @@
     }
 }
 
-/// Plays a minute of misses at one engine whose loads take 250 ms, one after the other, one miss in five
-/// urgent. Returns how long loads of each kind waited for their order, in milliseconds, sorted.
+/// Simulates a minute of misses at one engine that runs one load of 250 ms at a time; one miss in
+/// five is urgent. Returns the sorted times in milliseconds that urgent and routine loads waited
+/// for their order.
 fn play(rank_of: impl Fn(bool) -> u8) -> (Vec<f64>, Vec<f64>) {
     const LOAD_MS: f64 = 250.0;
     const MISSES_PER_S: f64 = 3.6;
@@ -245,9 +247,9 @@
     waits_ms[((waits_ms.len() - 1) as f64 * share) as usize]
 }
 
-// A tenth less misses than an engine's loads can take, one in five urgent. In the order in which they
-// came, nine urgent loads in ten wait for up to 780 ms; by urgency, for up to 190 ms. They are to wait for
-// less than two loads.
+// The engine gets a tenth fewer misses than it can load, one in five of them urgent. In order of
+// arrival, nine in ten urgent loads wait for up to 780 ms, and by priority for up to 190 ms. The
+// limit is the time of two loads.
 #[test]
 fn urgent_loads_wait_for_less_than_two_others_on_a_busy_engine() {
     let (urgent, routine) = play(|is_urgent| if is_urgent { 0 } else { 2 });
--- a/crates/relay/tests/load_times.rs
+++ b/crates/relay/tests/load_times.rs
@@ -1,4 +1,4 @@
-//! How long loads take at deployments that differ.
+//! Tests of the load time estimate with different actual load times.
 
 #![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
 
@@ -10,17 +10,17 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 
-/// What the callers of loads met.
+/// Result of a simulation.
 struct Played {
-    /// From the order until the adapter was used, at the median, in milliseconds.
+    /// Median time from the order of a load until the adapter was used, in milliseconds.
     wait_ms: f64,
-    /// Loads that were relied on too early, as a part of all.
+    /// Fraction of loads whose adapter was used too early.
     early: f64,
 }
 
-/// Plays `loads` loads that take `load_ms` and show in reports `lag_ms` later. A request is sent when
-/// the load should be done; if it is not, the request comes back and waits for a report. The first 40 are
-/// not counted.
+/// Simulates `loads` loads that take `load_ms` each and are reported `lag_ms` later. A request is
+/// sent when the load is expected to be done. If it is not, the request comes back and waits for
+/// the report. The first 40 loads are not counted.
 fn play(load_ms: f64, lag_ms: f64, loads: usize) -> Played {
     const FIRST: usize = 40;
     let mut random = ChaCha8Rng::seed_from_u64(23);
@@ -48,9 +48,9 @@
     }
 }
 
-// A deployment's adapters are smaller or larger than another's. Taken for those of the other, small ones
-// wait for a time in which they are long there, and callers of large ones are sent before they are there,
-// come back and wait for a report: with loads of 330 ms taken for 254, all of them.
+// Load times differ between deployments. With an estimate that is too high, callers of small
+// adapters wait unnecessarily. With one that is too low, requests arrive before the adapter, come
+// back and wait for a report: all of them, with loads of 330 ms estimated at 254.
 #[rstest]
 #[case::small(60.0)]
 #[case::half(120.0)]
@@ -73,8 +73,8 @@
         ..ProptestConfig::default()
     })]
 
-    // Whatever engines report and however requests end, a load is expected to end: later beside more
-    // others, never at once and never after the time for which callers wait.
+    // Whatever engines report and however requests end, the expected load time stays between its
+    // bounds and grows with the number of concurrent loads.
     #[test]
     fn a_load_is_always_expected_to_end(
         events in prop::collection::vec((0u8..3, 1u64..20_000, 0.0f64..500.0), 0..300),
--- a/crates/relay/tests/model_plan.rs
+++ b/crates/relay/tests/model_plan.rs
@@ -1,4 +1,4 @@
-//! Which base models engines hold, under demand that moves.
+//! Tests of the placement of base models under changing demand.
 
 use std::collections::HashMap;
 
@@ -9,12 +9,12 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Engines of one service, and what they hold.
+/// The engines of one service and the models they hold.
 #[derive(Debug)]
 struct Fleet {
     spec: EngineSpec,
     engines: Vec<Engine>,
-    /// Loads from the weight store that may begin in one plan.
+    /// Limit of loads from the weight store in one plan.
     store_loads: usize,
 }
 
@@ -29,7 +29,8 @@
 }
 
 impl Fleet {
-    /// Engines in two failure domains that hold one model each, of `models` of equal size.
+    /// Creates engines in two failure domains that hold the models in `holds`, of `models` models
+    /// of equal size.
     fn new(models: usize, holds: &[&str]) -> Self {
         let engines = holds.iter().enumerate().map(|(number, model)| Engine {
             id: format!("e-{number}").into(),
@@ -67,12 +68,12 @@
         ModelPlan::new(&self.spec, hosts.collect(), work).changes(self.store_loads)
     }
 
-    /// Has `changes` begun; they end with [`Fleet::finish`].
+    /// Starts `changes`. [`Fleet::finish`] completes them.
     fn begin(&mut self, changes: &[ModelChange]) {
         for change in changes {
             let mut engines = self.engines.iter_mut();
             let Some(engine) = engines.find(|engine| engine.id == change.engine) else {
-                panic!("{} is not of this fleet", change.engine);
+                panic!("{} is not an engine of this fleet", change.engine);
             };
             let stays = |model: &String| change.unload.iter().all(|name| **name != **model);
             engine.models.retain(stays);
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Plans and changes until nothing is left to do, and returns how many changes that took.
+    /// Plans and applies changes until none are left, and returns their number.
     fn settle(&mut self, work: impl Fn(&str) -> f64) -> usize {
         let mut count = 0;
         loop {
@@ -98,7 +99,7 @@
             count += changes.len();
             self.begin(&changes);
             self.finish();
-            assert!(count < 1_000, "it does not come to an end");
+            assert!(count < 1_000, "the changes do not come to an end");
         }
     }
 
@@ -122,20 +123,20 @@
     }
 }
 
-// Callers turn to a model that no engine holds. Until an engine loads it every one of them is refused,
-// however many engines stand idle: nothing else would ever have it loaded.
+// Callers request a model that no engine holds. Unless an engine loads it, all of them are refused,
+// even with idle engines.
 #[test]
 fn a_model_that_is_asked_for_and_held_nowhere_is_loaded_at_once() {
     let fleet = Fleet::new(3, &["m0", "m0", "m1"]);
     let changes = fleet.plan(work(&[("m0", 0.1), ("m2", 0.02)]));
     assert_eq!(changes.len(), 1);
     assert_eq!(&*changes[0].load, "m2");
-    assert_eq!(&*changes[0].unload[0], "m1", "nobody asks for it");
+    assert_eq!(&*changes[0].unload[0], "m1", "it is not in demand");
     assert_eq!(changes[0].engine.as_str(), "e-2");
 }
 
-// A model's only engine works for two seconds of every second. Its callers wait longer and longer while
-// engines beside it are hardly used.
+// A model's only engine gets two seconds of work per second. Its callers wait ever longer while
+// other engines are almost idle.
 #[test]
 fn a_model_with_too_much_work_gets_engines_until_it_has_enough() {
     let mut fleet = Fleet::new(2, &["m0", "m0", "m0", "m0", "m0", "m1"]);
@@ -144,8 +145,8 @@
     assert!(fleet.holders("m0") >= 1);
 }
 
-// A failure domain with all engines of a model is cut off: callers of the others would wait for a load,
-// though some requests come in every second.
+// All engines of a model are in one failure domain. If that is cut off, several requests a second
+// in the other domains wait for a load.
 #[test]
 fn what_is_asked_for_all_the_time_is_held_in_two_failure_domains() {
     let mut fleet = Fleet::new(2, &["m0", "m1", "m0", "m1"]);
@@ -160,19 +161,20 @@
     assert_eq!(domains.len(), 2);
 }
 
-// More models are asked for than engines have room for. Those that are asked for most stay; two that
-// are asked for alike don't take turns, as each turn costs a load and all that runs waits for it.
+// More models are in demand than fit. Those with the most demand stay, and two with similar demand
+// must not keep replacing each other: each replacement costs a load, and all requests there wait
+// for it.
 #[test]
 fn where_room_is_short_much_more_demand_is_needed_to_take_a_place() {
     let fleet = Fleet::new(3, &["m0", "m1"]);
     let alike = fleet.plan(work(&[("m0", 0.2), ("m1", 0.1), ("m2", 0.2)]));
-    assert_eq!(alike, [], "twice as much is not enough");
+    assert_eq!(alike, [], "twice the demand is not enough");
     let more = fleet.plan(work(&[("m0", 0.2), ("m1", 0.05), ("m2", 0.2)]));
     assert_eq!(&*more[0].unload[0], "m1");
 }
 
-// The rate of the weight store is shared by all engines; more loads than it allows break an agreement
-// with the platform. A copy on an engine's disk costs nothing of it.
+// All engines share the weight store, and loads beyond its limit break an agreement with the
+// platform. Copies on an engine's disk don't count towards that limit.
 #[test]
 fn a_copy_at_hand_goes_before_the_weight_store_and_beside_its_limit() {
     let mut fleet = Fleet::new(3, &["m0", "m0", "m0", "m0"]);
@@ -186,8 +188,8 @@
     assert_eq!(&*changes[0].load, "m1");
 }
 
-// An engine's owner is behind a cut. A plan that waits for its engine would wait until the cut ends,
-// while others could load the model.
+// An engine's owner is cut off. A plan that uses this engine would have to wait until the partition
+// ends, while other engines could load the model.
 #[test]
 fn engines_whose_owner_is_silent_are_asked_for_nothing() {
     let mut fleet = Fleet::new(2, &["m0", "m0", "m0"]);
@@ -197,8 +199,8 @@
     assert_eq!(changes[0].engine.as_str(), "e-2");
 }
 
-// An engine that starts again holds nothing and serves nobody. It takes the model whose engines have
-// most work, not the first of the list.
+// A restarted engine holds nothing and serves no requests. It loads the model with the most work
+// per holder, not the first one listed.
 #[rstest]
 #[case::the_one_with_most_work(&[("m0", 0.02), ("m1", 0.08), ("m2", 0.04)], "m1")]
 #[case::the_first_where_nothing_is_known(&[], "m0")]
@@ -209,7 +211,8 @@
     assert_eq!(changes[0].unload.len(), 0);
 }
 
-// A model fits beside another: nothing has to leave, and no requests wait for it.
+// If a model fits in addition to the others, nothing is unloaded and no requests have to wait for
+// that.
 #[test]
 fn a_model_that_fits_beside_others_has_nothing_leave() {
     let mut fleet = Fleet::new(3, &["m0", "m1"]);
@@ -219,7 +222,8 @@
     assert_eq!(changes[0].unload.len(), 0);
 }
 
-// Guards against two models that are each to be held in two failure domains, and take one engine from each other for ever.
+// Two models that should each be held in two failure domains must not keep taking the same engine
+// from each other.
 #[test]
 fn two_models_do_not_take_one_engine_in_turns() {
     let mut fleet = Fleet::new(3, &["m0", "m1", "m2", "m1"]);
@@ -264,7 +268,7 @@
         ..ProptestConfig::default()
     })]
 
-    // Under demand that stays the same changes come to an end, and nothing is swapped back.
+    // Under constant demand the changes come to an end, and none are undone.
     #[test]
     fn constant_demand_settles(mut fleet in fleets(), demand in demand()) {
         let work = |model: &str| demand.get(model).copied().unwrap_or(0.0);
@@ -272,8 +276,8 @@
         prop_assert_eq!(fleet.plan(work), []);
     }
 
-    // Whatever is asked for is held somewhere as soon as there is room for all, and no engine is
-    // ordered to hold more than fits.
+    // Every model in demand is held by an engine if all of them fit, and no engine is ordered to
+    // hold more than fits.
     #[test]
     fn all_that_is_asked_for_is_held_where_room_allows(mut fleet in fleets(), demand in demand()) {
         let work = |model: &str| demand.get(model).copied().unwrap_or(0.0);
@@ -286,13 +290,13 @@
         let asked: Vec<&String> = demand.iter().filter(|(_, work)| **work > 0.0).map(|(name, _)| name).collect();
         if asked.len() <= fleet.engines.len() {
             for model in asked {
-                prop_assert!(fleet.holders(model) > 0, "{} is held nowhere", model);
+                prop_assert!(fleet.holders(model) > 0, "no engine holds {}", model);
             }
         }
     }
 
-    // Owners plan for themselves. What one has begun shows to the others as under way, and their plans
-    // go on from there: together they do no more than one alone.
+    // Every owner plans on its own. Changes that one owner started show as in progress to the
+    // others, so that together they do no more than a single one would.
     #[test]
     fn owners_with_equal_news_make_one_plan(fleet in fleets(), demand in demand()) {
         let work = |model: &str| demand.get(model).copied().unwrap_or(0.0);
@@ -304,7 +308,7 @@
         prop_assert!(further.iter().all(|change| one.iter().all(|begun| begun.engine != change.engine)));
     }
 
-    // No more loads from the weight store begin than it allows, those under way counted in.
+    // Loads from the weight store stay within the limit, including those in progress.
     #[test]
     fn the_weight_store_is_not_asked_for_more_than_it_allows(
         mut fleet in fleets(), demand in demand(), most in 0_usize..4,
--- a/crates/relay/tests/prompts.rs
+++ b/crates/relay/tests/prompts.rs
@@ -1,4 +1,4 @@
-//! Requests go where the parts of their prompt are kept.
+//! Tests that requests are sent to engines that have cached parts of their prompt.
 
 #![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
 
@@ -24,7 +24,7 @@
     dispatcher
 }
 
-/// A prompt with 6,300 tokens that others share and 2,890 of its own.
+/// A prompt with 6,300 shared tokens and 2,890 of its own.
 fn prompt(shared: u64, own: u64) -> PromptChain {
     let parts = [
         PromptPart {
@@ -58,9 +58,9 @@
     (choice.upstream.id.clone(), choice.unread_tokens)
 }
 
-// Two callers send their requests with the same instructions to two nodes, which tell each other nothing.
-// Each node takes the engine with the shortest queue, both read the 6,300 tokens, and whoever waits
-// behind them waits twice.
+// Two callers send prompts with the same instructions to two nodes that don't communicate. If each
+// node selects the engine with the shortest queue, two engines process the 6,300 tokens, and
+// requests behind them wait twice.
 #[test]
 fn nodes_that_tell_each_other_nothing_send_equal_instructions_to_one_engine() {
     let now = Instant::now();
@@ -73,8 +73,8 @@
     }
 }
 
-// An engine keeps the instructions, but its queue is longer than reading them again takes elsewhere. A
-// request that went there for what is kept would be answered later.
+// An engine has cached the instructions, but its queue takes longer than processing them again
+// elsewhere. A request sent there for its cache would be answered later.
 #[test]
 fn a_long_queue_outweighs_what_is_kept() {
     let now = Instant::now();
@@ -93,9 +93,9 @@
     assert_eq!(unread, 9_190);
 }
 
-/// Plays a minute in which 20 nodes without news of each other get 24 prompts a second for one adapter,
-/// of 24 instructions, on four engines that keep what they read. Returns the shared tokens that were
-/// read again, as a part of all tokens that were read.
+/// Simulates a minute in which 20 nodes that don't communicate get 24 prompts a second for one
+/// adapter, with 24 different instructions, on four engines that cache prompts. Returns the shared
+/// tokens that were processed more than once, as a fraction of all tokens processed.
 fn read_again(tells_parts: bool) -> f64 {
     const NODES: usize = 20;
     const PROMPTS: u64 = 24 * 60;
@@ -127,9 +127,9 @@
     f64::from(again) / read as f64
 }
 
-// Instructions of 6,300 tokens are in every prompt of an adapter that four engines hold. Spread over all
-// of them, a fifth of all that engines read was read before (0.187); sent to one home each, next to
-// nothing (0.0015).
+// Every prompt of an adapter on four engines contains instructions of 6,300 tokens. Spread over all
+// engines, a fifth of the tokens they process was processed before (0.187). With one preferred
+// engine per instruction it is next to nothing (0.0015).
 #[test]
 fn shared_instructions_are_read_once_although_many_engines_hold_the_adapter() {
     let (by_home, spread) = (read_again(true), read_again(false));
@@ -145,8 +145,9 @@
         ..ProptestConfig::default()
     })]
 
-    // What is taken for kept is not expected to be read. Taken for too much, an engine's queue would look
-    // shorter than it is; so only leading parts count, of the same adapter, and no longer than was read.
+    // Cached tokens are not counted as work. Too high a count would make an engine's queue look
+    // shorter than it is. Only leading parts of the same adapter count, up to the length that was
+    // processed.
     #[test]
     fn no_more_is_taken_for_kept_than_was_read_before(
         read in prop::collection::vec((0u64..4, 1u32..900), 0..5),
