--- a/crates/relay/src/call_kind.rs
+++ b/crates/relay/src/call_kind.rs
@@ -7,7 +7,7 @@
     Idempotent,
     /// The call may run at most once.
     Once,
-    /// The response is a stream of events.
+    /// The answer is a stream of events.
     Stream {
         /// Whether another upstream can resume the stream after the last event received.
         is_resumable: bool,
@@ -29,7 +29,7 @@
         matches!(self, Self::Idempotent | Self::Stream { is_resumable: true })
     }
 
-    /// Whether the response is a stream of events.
+    /// Whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
--- a/crates/relay/src/copies.rs
+++ b/crates/relay/src/copies.rs
@@ -39,8 +39,8 @@
 }
 
 /// Cost of a load in another failure domain, in milliseconds of expected wait: more than that of
-/// one queued load. Most adapters are requested only once or twice, and then their responses stay
-/// in this domain.
+/// one queued load. Most adapters are requested only once or twice, and then their answers stay in
+/// this domain.
 const LOAD_ELSEWHERE_MS: f64 = 400.0;
 
 /// The same while the weight store is congested, as after a cold start. If domains did not share
--- a/crates/relay/src/dispatcher.rs
+++ b/crates/relay/src/dispatcher.rs
@@ -61,7 +61,7 @@
 }
 
 /// Cost of sending a request to another failure domain, in milliseconds of expected wait. The
-/// network adds only about 2 ms, but a response that crosses failure domains is lost when they are
+/// network adds only about 2 ms, but an answer that crosses failure domains is lost when they are
 /// partitioned, and traffic between them is billed.
 pub(crate) const OTHER_DOMAIN_MS: f64 = 60.0;
 
@@ -91,15 +91,15 @@
 /// Score of each request waiting for a slot at a plain upstream, in milliseconds.
 const PLAIN_QUEUED_MS: f64 = 50.0;
 
-/// Weight of one response in the update of the pace, applied to the logarithm of observed over
-/// expected time. About 35 responses take in half of a change.
+/// Weight of one answer in the update of the pace, applied to the logarithm of observed over
+/// expected time. About 35 answers take in half of a change.
 const PACE_STEP: f64 = 0.02;
 
 /// Lower and upper bound of the pace.
 const PACE_RANGE: (f64, f64) = (0.05, 20.0);
 
-/// Largest ratio, in either direction, that a single response contributes to the pace. A response
-/// that hung says little about the other engines.
+/// Largest ratio, in either direction, that a single answer contributes to the pace. An answer that
+/// hung says little about the other engines.
 const PACE_SEEN_MOST: f64 = 3.0;
 
 /// Weight of one request in the moving average of slot times.
@@ -118,7 +118,7 @@
     run_ms: f64,
     /// Observed over assumed time for engines to process prompts and run steps.
     pace: f64,
-    /// When a node of each failure domain was last heard from.
+    /// The last contact with a node of each failure domain.
     domains_heard: DomainsHeard,
     /// How long an upstream that announced its shutdown still gets requests that no other can
     /// serve.
@@ -202,14 +202,14 @@
         }
     }
 
-    /// Records that an upstream asked this node to send no requests before `until`.
+    /// Records that an upstream asked this node to back off until `until`.
     pub fn note_rest(&mut self, id: &UpstreamId, until: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.rest.begin(until);
         }
     }
 
-    /// Updates for every upstream until when it asked to be sent no requests.
+    /// Updates until when each upstream asked this node to back off.
     pub fn set_rests(&mut self, until: impl Fn(&UpstreamId) -> Option<Instant>) {
         for (id, tracked) in &mut self.upstreams {
             if let Some(until) = until(id) {
@@ -405,7 +405,7 @@
         prompt_tokens as f64 * PROMPT_TOKEN_MS * self.pace
     }
 
-    /// Merges the times at which failure domains were last heard from.
+    /// Merges the last contacts with other failure domains.
     pub fn note_domains_heard(&mut self, heard: &DomainsHeard) {
         self.domains_heard.merge(heard);
     }
@@ -425,7 +425,7 @@
         }
     }
 
-    /// Records that a request's prompt is no longer pending: its response started, or it ended
+    /// Records that a request's prompt is no longer pending: its answer started, or it ended
     /// without one.
     pub fn prompt_read(&mut self, id: &UpstreamId, prompt_tokens: u64) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
@@ -433,7 +433,7 @@
         }
     }
 
-    /// Records that a response started.
+    /// Records that an answer started.
     pub fn answer_began(
         &mut self,
         id: &UpstreamId,
@@ -447,7 +447,7 @@
         let sound_ms = expected_ms / tracked.slowness(now);
         tracked.rest.note_answered();
         tracked.note_first_event(expected_ms, took, now);
-        // The response time of plain services says nothing about engines.
+        // How fast plain services answer says nothing about engines.
         if !tracked.holdings.models.is_empty() {
             self.note_pace(sound_ms, took);
         }
@@ -477,7 +477,7 @@
         }
     }
 
-    /// Records how long a request occupied an engine slot, up to the end of its response.
+    /// Records how long a request occupied an engine slot, up to the end of its answer.
     pub fn note_run(&mut self, took: Duration) {
         let took_ms = took.as_secs_f64() * 1_000.0;
         self.run_ms += RUN_STEP * (took_ms - self.run_ms);
--- a/crates/relay/src/fitness.rs
+++ b/crates/relay/src/fitness.rs
@@ -36,8 +36,8 @@
         }
     }
 
-    /// When the first candidate for `need` accepts requests again, if all of them asked this node
-    /// to send none for now.
+    /// When the earliest backoff among the upstreams that could serve `need` ends; `None` if one of
+    /// them asked for no backoff.
     pub fn rest_ends(&self, need: &Need<'_>, now: Instant) -> Option<Instant> {
         let candidates = self.candidates(need);
         let to_stay = candidates.filter(|tracked| {
--- a/crates/relay/src/health.rs
+++ b/crates/relay/src/health.rs
@@ -7,7 +7,7 @@
 pub enum Outcome {
     /// The upstream answered successfully.
     Answered,
-    /// The connection failed, the response broke off, or the upstream reported a failure.
+    /// The connection failed, the answer broke off, or the upstream reported a failure.
     Failed,
     /// The upstream was full and did not run the request.
     Full,
--- a/crates/relay/src/model_plan.rs
+++ b/crates/relay/src/model_plan.rs
@@ -26,7 +26,7 @@
 
 /// How many times the demand of another model a model needs to replace that model on its last
 /// engine, where not all models fit. With a lower ratio two models could keep replacing each other,
-/// and each load costs as much as several responses.
+/// and each load costs as much as several answers.
 const TAKE_OVER_RATIO: f64 = 3.0;
 
 /// Adapters that must fit into an engine in addition to its base models.
--- a/crates/relay/src/tracked.rs
+++ b/crates/relay/src/tracked.rs
@@ -16,7 +16,7 @@
 pub struct Report {
     /// Requests that other nodes have in flight there.
     pub in_flight_of_others: u32,
-    /// Prompt tokens sent by other nodes whose responses have not started.
+    /// Prompt tokens sent by other nodes whose answers have not started.
     pub unread_tokens_of_others: u64,
     /// Adapters being loaded, or queued for loading.
     pub coming: Vec<ModelDigest>,
@@ -87,7 +87,7 @@
 /// Age up to which a load report is used: an engine works off its queue of prompts in about 300 ms.
 const REPORT_LIFE: Duration = Duration::from_millis(600);
 
-/// Assumed time for a healthy engine to process one prompt token, in milliseconds, before responses
+/// Assumed time for a healthy engine to process one prompt token, in milliseconds, before answers
 /// have shown the pace of the deployment's engines.
 pub(crate) const PROMPT_TOKEN_MS: f64 = 0.052;
 
@@ -101,7 +101,7 @@
 /// Assumed time for which a request occupies a slot until requests have ended, in milliseconds.
 pub(crate) const FIRST_RUN_MS: f64 = 1_000.0;
 
-/// Weight of one response in the moving average of the slowness.
+/// Weight of one answer in the moving average of the slowness.
 const SLOWNESS_STEP: f64 = 0.2;
 
 /// Lower and upper bound of the slowness. An upstream that is 20 times as slow as expected gets no
@@ -128,13 +128,13 @@
     holdings_told: Option<Instant>,
     /// Requests that this node sent and that have not ended.
     pub in_flight: u32,
-    /// Prompt tokens that this node sent and whose responses have not started.
+    /// Prompt tokens that this node sent and whose answers have not started.
     pub unread_tokens: u64,
     /// Its recent failures.
     pub health: Health,
     /// When it first announced its shutdown to this node.
     pub(crate) leaving_since: Option<Instant>,
-    /// Until when it asked this node to send nothing.
+    /// The backoff that it asked this node for.
     pub(crate) rest: Rest,
     /// Whether it limits the rate of its requests.
     pub(crate) is_limited: bool,
@@ -150,7 +150,7 @@
     pace: f64,
     slowness: f64,
     slowness_at: Instant,
-    /// Since when no response has arrived although some are pending.
+    /// Since when no answer has arrived although some are pending.
     waiting_since: Option<Instant>,
 }
 
@@ -379,7 +379,7 @@
         }
     }
 
-    /// Whether nothing has come back for much longer than responses take.
+    /// Whether nothing has come back for much longer than answers take.
     ///
     /// An engine that crashed or is behind a partition may keep its connections open and send
     /// nothing, so that requests hang until their callers give up. Missed heartbeats show this only
@@ -422,9 +422,9 @@
 
     /// Expected time that a new request waits for a slot, in milliseconds.
     ///
-    /// With few slots and long responses, slots run out before prompt processing does. An engine
-    /// with twelve slots and streams of 2 s frees a slot every 160 ms; when only prompts were
-    /// counted, its queue grew to several seconds.
+    /// With few slots and long answers, slots run out before prompt processing does. An engine with
+    /// twelve slots and streams of 2 s frees a slot every 160 ms; when only prompts were counted,
+    /// its queue grew to several seconds.
     fn slot_wait_ms(&self, now: Instant) -> f64 {
         let (running, slots) = (self.running(now), self.upstream.slots.max(1));
         let ahead = (running + 1).saturating_sub(slots);
@@ -441,7 +441,7 @@
         self.pace = pace;
     }
 
-    /// Updates the slowness from a response that started after `took`, where `expected_ms` was
+    /// Updates the slowness from an answer that started after `took`, where `expected_ms` was
     /// expected.
     pub fn note_first_event(&mut self, expected_ms: f64, took: Duration, now: Instant) {
         let sound_ms = expected_ms / self.slowness(now);
--- a/crates/relay/tests/dispatching.rs
+++ b/crates/relay/tests/dispatching.rs
@@ -288,7 +288,7 @@
     }
     world.dispatcher.prompt_read(&"e1".into(), 500);
     world.dispatcher.sent(&"e2".into(), 4_000, world.now);
-    assert_eq!(world.choose().unwrap(), "e1", "its response arrived");
+    assert_eq!(world.choose().unwrap(), "e1", "its answer arrived");
 }
 
 #[test]
@@ -298,7 +298,7 @@
     assert_eq!(world.choose_plain().unwrap(), "p1");
 }
 
-// Responses that cross failure domains are lost when the domains are partitioned.
+// Answers that cross failure domains are lost when the domains are partitioned.
 #[test]
 fn the_own_failure_domain_goes_first_until_it_is_much_busier() {
     let mut world = World::new([engine("near", &["a1"]), far_engine("far", &["a1"])]);
@@ -477,7 +477,7 @@
     );
 }
 
-// On engines with few slots and long responses, slots run out before prompt processing does. When
+// On engines with few slots and long answers, slots run out before prompt processing does. When
 // only prompts were counted, a queue grew to several seconds while other engines were idle.
 #[test]
 fn an_engine_without_a_free_slot_is_expected_to_be_slow() {
@@ -530,7 +530,7 @@
     let told = assumed_ms(&world, &idle) / (first_ms * pace);
     assert!(
         (0.8..=1.25).contains(&told),
-        "an engine without responses is expected to take {told} times its actual time"
+        "an engine without answers is expected to take {told} times its actual time"
     );
 }
 
