--- a/crates/relay/src/access.rs
+++ b/crates/relay/src/access.rs
@@ -9,14 +9,14 @@
 
 /// Fraction of the revocation bound for which a node accepts keys without an update. A watch may
 /// miss changes for a second before it notices, and a store call takes time to return.
-const RELIED_ON_SHARE: f64 = 0.8;
+const KEYS_ACCEPTED_FRACTION: f64 = 0.8;
 
 /// Fraction of the bound after which a node reports that it is not ready, so that callers have
 /// moved to other nodes before it stops accepting keys.
-const READY_SHARE: f64 = 0.6;
+const READY_FRACTION: f64 = 0.6;
 
 /// Age of the configuration above which an unknown key may have been added since.
-const KNOWN_WELL_FOR: Duration = Duration::from_millis(1_000);
+const FRESH_CONFIG_AGE: Duration = Duration::from_millis(1_000);
 
 /// Who sent a request.
 #[derive(Clone, Debug, PartialEq)]
@@ -86,14 +86,14 @@
         let Some(teams) = teams else {
             return Ok(Caller::Anonymous);
         };
-        let is_stale = !self.relies_on(news_age);
+        let is_stale = !self.accepts_keys(news_age);
         let denied = match key {
             CallerKey::Absent | CallerKey::Malformed => Denied::NoKey { may_be_new: false },
             CallerKey::Given(_) if is_stale => Denied::Stale,
             CallerKey::Given(key) => match teams.by_key(key) {
                 Some(team) => return Ok(Caller::Team(Arc::clone(team))),
                 None => Denied::NoKey {
-                    may_be_new: news_age > KNOWN_WELL_FOR,
+                    may_be_new: news_age > FRESH_CONFIG_AGE,
                 },
             },
         };
@@ -121,12 +121,12 @@
     /// Whether a node with a configuration of this age should receive requests.
     pub fn is_ready(&self, table: &RouteTable, news_age: Duration) -> bool {
         let revocation = self.revocation.filter(|_| table.teams().is_some());
-        revocation.is_none_or(|bound| news_age <= bound.mul_f64(READY_SHARE))
+        revocation.is_none_or(|bound| news_age <= bound.mul_f64(READY_FRACTION))
     }
 
     /// Whether keys are accepted with a configuration of this age.
-    fn relies_on(&self, news_age: Duration) -> bool {
+    fn accepts_keys(&self, news_age: Duration) -> bool {
         self.revocation
-            .is_none_or(|bound| news_age <= bound.mul_f64(RELIED_ON_SHARE))
+            .is_none_or(|bound| news_age <= bound.mul_f64(KEYS_ACCEPTED_FRACTION))
     }
 }
--- a/crates/relay/src/demand.rs
+++ b/crates/relay/src/demand.rs
@@ -8,7 +8,7 @@
 
 /// Maximum number of adapters to track: eight times what today's engines hold in total (252). Those
 /// with the lowest demand are dropped first.
-const ENTRIES_LIMIT: usize = 2_048;
+const MAX_ENTRIES: usize = 2_048;
 
 /// Exponentially decaying demand for each adapter or model.
 ///
@@ -59,7 +59,7 @@
                 };
             }
             None => {
-                self.make_room(now);
+                self.evict_half(now);
                 let entry = Entry {
                     score: amount,
                     at: now,
@@ -81,8 +81,8 @@
         self.score(model, now) * std::f64::consts::LN_2 / self.half_life_s
     }
 
-    fn make_room(&mut self, now: Instant) {
-        if self.entries.len() < ENTRIES_LIMIT {
+    fn evict_half(&mut self, now: Instant) {
+        if self.entries.len() < MAX_ENTRIES {
             return;
         }
         let mut scores: Vec<f64> = self
--- a/crates/relay/src/dispatcher.rs
+++ b/crates/relay/src/dispatcher.rs
@@ -7,9 +7,9 @@
 use nutmegsail_base::{FailureDomain, ServiceName, UpstreamId};
 use rand::{Rng, RngExt as _};
 
-use crate::fitness::Fitness;
-use crate::load_times::FIRST_LOAD_MS;
-use crate::tracked::{FIRST_RUN_MS, PROMPT_TOKEN_MS};
+use crate::eligibility::Eligibility;
+use crate::load_times::INITIAL_LOAD_MS;
+use crate::tracked::{INITIAL_SLOT_TIME_MS, PROMPT_TOKEN_MS};
 use crate::{
     DomainsHeard, Holdings, HoldingsTold, ModelRef, Outcome, PromptChain, Report, Tracked,
     Upstream, VersionRule,
@@ -63,7 +63,7 @@
 /// Cost of sending a request to another failure domain, in milliseconds of expected wait. The
 /// network adds only about 2 ms, but an answer that crosses failure domains is lost when they are
 /// partitioned, and traffic between them is billed.
-pub(crate) const OTHER_DOMAIN_MS: f64 = 60.0;
+pub(crate) const CROSS_DOMAIN_COST_MS: f64 = 60.0;
 
 /// Amplitude of the random noise added to each score, in milliseconds. It keeps nodes with the same
 /// information from all selecting the same upstream.
@@ -71,39 +71,39 @@
 
 /// Score penalty of a paused upstream. It is high enough that such an upstream is selected only if
 /// all are paused.
-const PAUSED_MS: f64 = 100_000.0;
+const PAUSED_PENALTY_MS: f64 = 100_000.0;
 
 /// Score penalty of a failing upstream in an unreachable failure domain. It ranks behind a paused
 /// upstream.
-const CUT_OFF_MS: f64 = 200_000.0;
+const UNREACHABLE_PENALTY_MS: f64 = 200_000.0;
 
 /// Silence of all nodes of a failure domain after which it counts as unreachable. This allows for
 /// four exchanges, because single datagrams are occasionally lost.
-const DOMAIN_SILENCE: Duration = Duration::from_millis(420);
+const MIN_DOMAIN_SILENCE: Duration = Duration::from_millis(420);
 
 /// Silence after which a failure domain no longer counts as unreachable: its nodes may have been
 /// removed while the upstreams there keep serving.
-const DOMAIN_SILENCE_ENDS: Duration = Duration::from_secs(30);
+const MAX_DOMAIN_SILENCE: Duration = Duration::from_secs(30);
 
 /// Score of each request running at a plain upstream, in milliseconds.
-const PLAIN_RUNNING_MS: f64 = 30.0;
+const PLAIN_RUNNING_COST_MS: f64 = 30.0;
 
 /// Score of each request waiting for a slot at a plain upstream, in milliseconds.
-const PLAIN_QUEUED_MS: f64 = 50.0;
+const PLAIN_QUEUED_COST_MS: f64 = 50.0;
 
-/// Weight of one answer in the update of the pace, applied to the logarithm of observed over
-/// expected time. About 35 answers take in half of a change.
-const PACE_STEP: f64 = 0.02;
+/// Weight of one answer in the update of the latency factor, applied to the logarithm of observed
+/// over expected time. About 35 answers take in half of a change.
+const LATENCY_FACTOR_WEIGHT: f64 = 0.02;
 
-/// Lower and upper bound of the pace.
-const PACE_RANGE: (f64, f64) = (0.05, 20.0);
+/// Lower and upper bound of the latency factor.
+const LATENCY_FACTOR_BOUNDS: (f64, f64) = (0.05, 20.0);
 
-/// Largest ratio, in either direction, that a single answer contributes to the pace. An answer that
-/// hung says little about the other engines.
-const PACE_SEEN_MOST: f64 = 3.0;
+/// Largest ratio, in either direction, that a single answer contributes to the latency factor. An
+/// answer that hung says little about the other engines.
+const MAX_LATENCY_RATIO: f64 = 3.0;
 
 /// Weight of one request in the moving average of slot times.
-const RUN_STEP: f64 = 0.05;
+const SLOT_TIME_WEIGHT: f64 = 0.05;
 
 /// Tracks the upstreams that one node knows and the requests it sent there, and selects upstreams.
 #[derive(Debug)]
@@ -115,9 +115,9 @@
     /// Time of a load from the weight store when few others are in progress, in milliseconds.
     pub(crate) load_ms: f64,
     /// Average time for which a request occupies an engine slot, in milliseconds.
-    run_ms: f64,
+    slot_time_ms: f64,
     /// Observed over assumed time for engines to process prompts and run steps.
-    pace: f64,
+    latency_factor: f64,
     /// The last contact with a node of each failure domain.
     domains_heard: DomainsHeard,
     /// How long an upstream that announced its shutdown still gets requests that no other can
@@ -132,9 +132,9 @@
             failure_domain,
             upstreams: HashMap::new(),
             are_loads_quick: false,
-            load_ms: FIRST_LOAD_MS,
-            run_ms: FIRST_RUN_MS,
-            pace: 1.0,
+            load_ms: INITIAL_LOAD_MS,
+            slot_time_ms: INITIAL_SLOT_TIME_MS,
+            latency_factor: 1.0,
             domains_heard: DomainsHeard::default(),
             leaving_grace: Duration::ZERO,
         }
@@ -152,11 +152,11 @@
         self.upstreams.retain(|id, _| listed.contains(id));
         for upstream in list {
             match self.upstreams.get_mut(&upstream.id) {
-                Some(tracked) => tracked.note_entry(Arc::clone(upstream), now),
+                Some(tracked) => tracked.update_entry(Arc::clone(upstream), now),
                 None => {
                     let mut tracked = Tracked::new(Arc::clone(upstream), now);
-                    tracked.set_run_ms(self.run_ms);
-                    tracked.set_pace(self.pace);
+                    tracked.set_slot_time_ms(self.slot_time_ms);
+                    tracked.set_latency_factor(self.latency_factor);
                     self.upstreams.insert(upstream.id.clone(), tracked);
                 }
             }
@@ -221,7 +221,7 @@
     /// Whether a request may still be sent to the upstream that was selected for it.
     pub fn may_send(&self, id: &UpstreamId, now: Instant) -> bool {
         let tracked = self.tracked(id);
-        tracked.is_some_and(|tracked| self.fitness(tracked, now) != Fitness::Unfit)
+        tracked.is_some_and(|tracked| self.eligibility(tracked, now) != Eligibility::Ineligible)
     }
 
     /// Updates which upstreams limit the rate of their requests.
@@ -259,109 +259,110 @@
         now: Instant,
         random: &mut dyn Rng,
     ) -> Result<Choice, Refusal> {
-        let able = self.able(need, now)?;
-        let home = prompt_home(need, &able);
-        let scored = able.into_iter().map(|able| {
-            let is_home = home.is_some_and(|home| *home == able.tracked.upstream.id);
+        let candidates = self.candidates(need, now)?;
+        let preferred = affinity_engine(need, &candidates);
+        let scored = candidates.into_iter().map(|candidate| {
+            let has_affinity = preferred.is_some_and(|preferred| *preferred == candidate.tracked.upstream.id);
             let noise_ms = random.random::<f64>() * SCORE_NOISE_MS;
-            (self.score(&able, need, is_home, now) + noise_ms, able)
+            (self.score(&candidate, need, has_affinity, now) + noise_ms, candidate)
         });
         let best = scored.min_by(|(a, _), (b, _)| a.total_cmp(b));
         let (score, best) = best.ok_or(Refusal::AllBusy)?;
         let (tracked, version) = (best.tracked, best.version);
-        if score >= PAUSED_MS && !need.tried.is_empty() {
+        if score >= PAUSED_PENALTY_MS && !need.tried.is_empty() {
             return Err(Refusal::AllBusy);
         }
-        let kept_tokens = tracked.kept_tokens(need.prompt, now);
-        let unread_tokens = need.prompt_tokens.saturating_sub(kept_tokens);
+        let cached_tokens = tracked.cached_tokens(need.prompt, now);
+        let unread_tokens = need.prompt_tokens.saturating_sub(cached_tokens);
         Ok(Choice {
             upstream: Arc::clone(&tracked.upstream),
             version,
             unread_tokens,
             expected_ms: tracked.expected_first_event_ms(unread_tokens, now),
             is_preferred: version.is_none_or(|version| need.version.prefers(version)),
-            is_leaving: best.fitness == Fitness::Leaving,
+            is_leaving: best.eligibility == Eligibility::Leaving,
         })
     }
 
-    /// The upstreams that can serve the request. If some of them hold the version that new requests
-    /// should start on, only those are returned.
-    fn able<'a>(&'a self, need: &Need<'_>, now: Instant) -> Result<Vec<Able<'a>>, Refusal> {
+    /// The upstreams that can serve the request. Those that are leaving are returned only if no other
+    /// can, and those with an older version only if none holds the version that new requests should
+    /// start on.
+    fn candidates<'a>(&'a self, need: &Need<'_>, now: Instant) -> Result<Vec<Candidate<'a>>, Refusal> {
         let mut refusal = Refusal::NoUpstream;
-        let mut able = Vec::new();
-        for tracked in self.candidates(need) {
-            let fitness = self.fitness(tracked, now);
-            if fitness == Fitness::Unfit {
+        let mut candidates = Vec::new();
+        for tracked in self.untried_upstreams(need) {
+            let eligibility = self.eligibility(tracked, now);
+            if eligibility == Eligibility::Ineligible {
                 continue;
             }
-            refusal = refusal.max_reason(Refusal::AdapterAbsent);
+            refusal = refusal.more_specific(Refusal::AdapterAbsent);
             let version = need.model.and_then(|model| tracked.version_of(model, now));
             if need.model.is_some() && !version.is_some_and(|version| need.version.allows(version))
             {
                 continue;
             }
-            if need.model.is_some() && fitness == Fitness::Failing {
+            if need.model.is_some() && eligibility == Eligibility::Failing {
                 continue;
             }
-            able.push(Able {
+            candidates.push(Candidate {
                 tracked,
                 version,
-                fitness,
+                eligibility,
             });
         }
-        if able.is_empty() {
+        if candidates.is_empty() {
             return Err(refusal);
         }
-        if able.iter().any(|able| able.fitness == Fitness::Fit) {
-            able.retain(|able| able.fitness != Fitness::Leaving);
+        if candidates.iter().any(|candidate| candidate.eligibility == Eligibility::Eligible) {
+            candidates.retain(|candidate| candidate.eligibility != Eligibility::Leaving);
         }
-        let is_preferred = |able: &Able<'_>| {
-            let version = able.version;
+        let is_preferred = |candidate: &Candidate<'_>| {
+            let version = candidate.version;
             version.is_none_or(|version| need.version.prefers(version))
         };
-        if able.iter().any(is_preferred) {
-            able.retain(is_preferred);
+        if candidates.iter().any(is_preferred) {
+            candidates.retain(is_preferred);
         }
-        Ok(able)
+        Ok(candidates)
     }
 
     /// The upstreams of the service that the request has not been sent to yet.
-    pub(crate) fn candidates(&self, need: &Need<'_>) -> impl Iterator<Item = &Tracked> {
+    pub(crate) fn untried_upstreams(&self, need: &Need<'_>) -> impl Iterator<Item = &Tracked> {
         let upstreams = self.upstreams.values();
         upstreams.filter(|tracked| {
             tracked.upstream.service == *need.service && !need.tried.contains(&tracked.upstream.id)
         })
     }
 
-    fn score(&self, able: &Able<'_>, need: &Need<'_>, is_home: bool, now: Instant) -> f64 {
-        let tracked = able.tracked;
-        let kept_tokens = match is_home {
+    fn score(&self, candidate: &Candidate<'_>, need: &Need<'_>, has_affinity: bool, now: Instant) -> f64 {
+        let tracked = candidate.tracked;
+        let cached_tokens = match has_affinity {
             true => need.prompt.shared_tokens(),
-            false => tracked.kept_tokens(need.prompt, now),
+            false => tracked.cached_tokens(need.prompt, now),
         };
-        let unread_tokens = need.prompt_tokens.saturating_sub(kept_tokens);
+        let unread_tokens = need.prompt_tokens.saturating_sub(cached_tokens);
         let mut score = match need.model {
             Some(_) => tracked.expected_first_event_ms(unread_tokens, now),
             None => self.plain_score(tracked, now),
         };
         if tracked.upstream.failure_domain != self.failure_domain {
-            score += OTHER_DOMAIN_MS;
+            score += CROSS_DOMAIN_COST_MS;
         }
         score += tracked.health.failure_rate() * 200.0;
         score += tracked.limit_wait_ms(now);
         score
-            + match able.fitness {
-                Fitness::Failing if self.is_cut_off(tracked, now) => CUT_OFF_MS,
-                Fitness::Failing => PAUSED_MS,
-                Fitness::Unfit | Fitness::Leaving | Fitness::Fit => 0.0,
+            + match candidate.eligibility {
+                Eligibility::Failing if self.is_domain_unreachable(tracked, now) => UNREACHABLE_PENALTY_MS,
+                Eligibility::Failing => PAUSED_PENALTY_MS,
+                Eligibility::Ineligible | Eligibility::Leaving | Eligibility::Eligible => 0.0,
             }
     }
 
     fn plain_score(&self, tracked: &Tracked, now: Instant) -> f64 {
         let (running, slots) = (tracked.in_flight, tracked.upstream.slots);
-        let ahead = (running + 1).saturating_sub(slots);
-        let running_ms = f64::from(running) * PLAIN_RUNNING_MS * tracked.slowness(now);
-        running_ms + f64::from(ahead) * PLAIN_QUEUED_MS
+        let queued = (running + 1).saturating_sub(slots);
+        let running_cost_ms = f64::from(running) * PLAIN_RUNNING_COST_MS * tracked.slowdown(now);
+        running_cost_ms + f64::from(queued) * PLAIN_QUEUED_COST_MS
     }
 
     /// Whether the upstream's failure domain is unreachable.
@@ -369,13 +370,13 @@
     /// During a partition, open connections stay up and requests sent over them hang; a request
     /// that must not run twice is then lost. All nodes of the domain, which otherwise send ten
     /// messages a second, fall silent at the same time.
-    pub(crate) fn is_cut_off(&self, tracked: &Tracked, now: Instant) -> bool {
+    pub(crate) fn is_domain_unreachable(&self, tracked: &Tracked, now: Instant) -> bool {
         let domain = &tracked.upstream.failure_domain;
-        let heard = self.domains_heard.heard(domain);
+        let last_contact = self.domains_heard.heard(domain);
         *domain != self.failure_domain
-            && heard.is_some_and(|at| {
+            && last_contact.is_some_and(|at| {
                 let silence = now.saturating_duration_since(at);
-                silence > DOMAIN_SILENCE && silence < DOMAIN_SILENCE_ENDS
+                silence > MIN_DOMAIN_SILENCE && silence < MAX_DOMAIN_SILENCE
             })
     }
 
@@ -384,7 +385,7 @@
     pub fn has_base(&self, service: &ServiceName, model: &ModelRef, now: Instant) -> bool {
         self.upstreams.values().any(|tracked| {
             tracked.upstream.service == *service
-                && self.fitness(tracked, now) == Fitness::Fit
+                && self.eligibility(tracked, now) == Eligibility::Eligible
                 && tracked.has_base(model, now)
         })
     }
@@ -397,12 +398,12 @@
             .filter(|tracked| tracked.upstream.service == *service)
             .map(|tracked| tracked.upstream.slots)
             .max();
-        self.reading_ms(prompt_tokens) + self.run_ms / f64::from(slots.unwrap_or(1).max(1))
+        self.prompt_time_ms(prompt_tokens) + self.slot_time_ms / f64::from(slots.unwrap_or(1).max(1))
     }
 
     /// Time for an engine to process a prompt, in milliseconds.
-    pub(crate) fn reading_ms(&self, prompt_tokens: u64) -> f64 {
-        prompt_tokens as f64 * PROMPT_TOKEN_MS * self.pace
+    pub(crate) fn prompt_time_ms(&self, prompt_tokens: u64) -> f64 {
+        prompt_tokens as f64 * PROMPT_TOKEN_MS * self.latency_factor
     }
 
     /// Merges the last contacts with other failure domains.
@@ -444,29 +445,29 @@
         let Some(tracked) = self.upstreams.get_mut(id) else {
             return;
         };
-        let sound_ms = expected_ms / tracked.slowness(now);
+        let healthy_ms = expected_ms / tracked.slowdown(now);
         tracked.rest.note_answered();
-        tracked.note_first_event(expected_ms, took, now);
+        tracked.record_first_event(expected_ms, took, now);
         // How fast plain services answer says nothing about engines.
         if !tracked.holdings.models.is_empty() {
-            self.note_pace(sound_ms, took);
+            self.update_latency_factor(healthy_ms, took);
         }
     }
 
-    /// Updates the pace from the time to the first event, compared with the one expected of a
-    /// healthy engine.
+    /// Updates the latency factor from the time to the first event, compared with the one expected
+    /// of a healthy engine.
     ///
     /// The speed of engines differs between deployments. With the figures of another deployment,
     /// the expected waits were twice the actual ones (542 ms instead of 266 ms at the median), and
     /// adapters were loaded on further engines to avoid waits that did not exist.
-    fn note_pace(&mut self, sound_ms: f64, took: Duration) {
-        let seen = took.as_secs_f64() * 1_000.0 / sound_ms.max(1.0);
-        let (least, most) = PACE_RANGE;
-        let seen = seen.clamp(1.0 / PACE_SEEN_MOST, PACE_SEEN_MOST);
-        let step = PACE_STEP * seen.ln();
-        self.pace = (self.pace * step.exp()).clamp(least, most);
+    fn update_latency_factor(&mut self, healthy_ms: f64, took: Duration) {
+        let ratio = took.as_secs_f64() * 1_000.0 / healthy_ms.max(1.0);
+        let (lower, upper) = LATENCY_FACTOR_BOUNDS;
+        let ratio = ratio.clamp(1.0 / MAX_LATENCY_RATIO, MAX_LATENCY_RATIO);
+        let step = LATENCY_FACTOR_WEIGHT * ratio.ln();
+        self.latency_factor = (self.latency_factor * step.exp()).clamp(lower, upper);
         for tracked in self.upstreams.values_mut() {
-            tracked.set_pace(self.pace);
+            tracked.set_latency_factor(self.latency_factor);
         }
     }
 
@@ -480,9 +481,9 @@
     /// Records how long a request occupied an engine slot, up to the end of its answer.
     pub fn note_run(&mut self, took: Duration) {
         let took_ms = took.as_secs_f64() * 1_000.0;
-        self.run_ms += RUN_STEP * (took_ms - self.run_ms);
+        self.slot_time_ms += SLOT_TIME_WEIGHT * (took_ms - self.slot_time_ms);
         for tracked in self.upstreams.values_mut() {
-            tracked.set_run_ms(self.run_ms);
+            tracked.set_slot_time_ms(self.slot_time_ms);
         }
     }
 
@@ -506,27 +507,27 @@
 }
 
 /// An upstream that can serve a request.
-struct Able<'a> {
+struct Candidate<'a> {
     tracked: &'a Tracked,
     /// The version of the requested model that it holds.
     version: Option<u64>,
-    fitness: Fitness,
+    eligibility: Eligibility,
 }
 
 /// The engine preferred for requests that share the leading parts of their prompt, if queues are
 /// equal.
-fn prompt_home<'a>(need: &Need<'_>, able: &[Able<'a>]) -> Option<&'a UpstreamId> {
-    if able.len() < 2 {
+fn affinity_engine<'a>(need: &Need<'_>, candidates: &[Candidate<'a>]) -> Option<&'a UpstreamId> {
+    if candidates.len() < 2 {
         return None;
     }
-    let ids = able.iter().map(|able| &able.tracked.upstream.id);
-    let ranked = ids.filter_map(|id| Some((need.prompt.rank_of(id)?, id)));
-    ranked.max().map(|(_, id)| id)
+    let ids = candidates.iter().map(|candidate| &candidate.tracked.upstream.id);
+    let hashed = ids.filter_map(|id| Some((need.prompt.affinity_hash(id)?, id)));
+    hashed.max().map(|(_, id)| id)
 }
 
 impl Refusal {
     /// The reason of the two that came closer to serving the request.
-    fn max_reason(self, other: Self) -> Self {
+    fn more_specific(self, other: Self) -> Self {
         let rank = |reason| match reason {
             Self::NoUpstream => 0,
             Self::AdapterAbsent => 1,
--- a/crates/relay/src/recent.rs
+++ b/crates/relay/src/dropped_adapters.rs
@@ -8,7 +8,7 @@
 
 /// Adapters to track per engine: about five times as many as it holds, which is what engines keep
 /// in host memory today.
-const ENTRIES_LIMIT: usize = 100;
+const MAX_ENTRIES: usize = 100;
 
 /// Adapters that an engine dropped recently, the oldest first.
 ///
@@ -17,7 +17,7 @@
 /// dropped; on any other engine each costs a full load.
 ///
 /// ```
-/// use nutmegsail_relay::{HeldAdapter, HeldModel, Holdings, ModelRef, RecentAdapters};
+/// use nutmegsail_relay::{DroppedAdapters, HeldAdapter, HeldModel, Holdings, ModelRef};
 /// let holding = |names: &[&str]| Holdings {
 ///     models: vec![HeldModel {
 ///         name: "llama".into(),
@@ -25,13 +25,13 @@
 ///         adapters: names.iter().map(|name| HeldAdapter { name: (*name).into(), version: 2 }).collect(),
 ///     }],
 /// };
-/// let mut recent = RecentAdapters::default();
-/// recent.note_change(&holding(&["a7"]), &holding(&["a8"]));
-/// assert_eq!(recent.version_of(&ModelRef::parse("llama/a7")), Some(2));
-/// assert_eq!(recent.version_of(&ModelRef::parse("llama/a8")), None);
+/// let mut dropped = DroppedAdapters::default();
+/// dropped.record_change(&holding(&["a7"]), &holding(&["a8"]));
+/// assert_eq!(dropped.version_of(&ModelRef::parse("llama/a7")), Some(2));
+/// assert_eq!(dropped.version_of(&ModelRef::parse("llama/a8")), None);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct RecentAdapters {
+pub struct DroppedAdapters {
     dropped: VecDeque<Dropped>,
 }
 
@@ -41,15 +41,15 @@
     version: u64,
 }
 
-impl RecentAdapters {
+impl DroppedAdapters {
     /// Records the change of the engine's holdings from `before` to `after`.
-    pub fn note_change(&mut self, before: &Holdings, after: &Holdings) {
+    pub fn record_change(&mut self, before: &Holdings, after: &Holdings) {
         self.dropped
             .retain(|dropped| after.version_of(&dropped.adapter).is_none());
         for model in &before.models {
             // Unloading a base model also drops the cached copies of its adapters.
             let Some(now) = after.models.iter().find(|held| held.name == model.name) else {
-                self.forget_model(model);
+                self.remove_model(model);
                 continue;
             };
             let is_gone = |name: &AdapterName| now.adapters.iter().all(|held| held.name != *name);
@@ -72,13 +72,13 @@
     }
 
     fn push(&mut self, adapter: ModelRef, version: u64) {
-        if self.dropped.len() >= ENTRIES_LIMIT {
+        if self.dropped.len() >= MAX_ENTRIES {
             self.dropped.pop_front();
         }
         self.dropped.push_back(Dropped { adapter, version });
     }
 
-    fn forget_model(&mut self, model: &HeldModel) {
+    fn remove_model(&mut self, model: &HeldModel) {
         self.dropped
             .retain(|dropped| dropped.adapter.model != model.name);
     }
--- a/crates/relay/src/fitness.rs
+++ b/crates/relay/src/eligibility.rs
@@ -7,9 +7,9 @@
 /// Whether an upstream may be sent requests, according to the list of upstreams, its own
 /// announcements and the outcome of earlier requests. Ordered from worst to best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Fitness {
+pub(crate) enum Eligibility {
     /// It gets no requests.
-    Unfit,
+    Ineligible,
     /// It is paused, silent or unreachable. Plain requests are sent there only if there is no
     /// alternative. Requests for an adapter are not: another engine can load the adapter before
     /// this one answers.
@@ -18,20 +18,20 @@
     /// upstream can serve now.
     Leaving,
     /// It accepts requests.
-    Fit,
+    Eligible,
 }
 
 impl Dispatcher {
     /// Determines whether an upstream may be sent requests.
-    pub(crate) fn fitness(&self, tracked: &Tracked, now: Instant) -> Fitness {
-        let by_state = self.fitness_by_state(tracked, now);
-        let is_at_rest = tracked.rest.ends(now).is_some();
-        if by_state == Fitness::Unfit || tracked.is_gone(now) || is_at_rest {
-            return Fitness::Unfit;
+    pub(crate) fn eligibility(&self, tracked: &Tracked, now: Instant) -> Eligibility {
+        let by_state = self.eligibility_by_state(tracked, now);
+        let is_backing_off = tracked.rest.ends(now).is_some();
+        if by_state == Eligibility::Ineligible || tracked.is_gone(now) || is_backing_off {
+            return Eligibility::Ineligible;
         }
-        let is_quiet = tracked.unread_tokens > 0 && tracked.is_silent(now);
-        match tracked.health.is_paused(now) || is_quiet || self.is_cut_off(tracked, now) {
-            true => Fitness::Failing,
+        let is_unresponsive = tracked.unread_tokens > 0 && tracked.is_silent(now);
+        match tracked.health.is_paused(now) || is_unresponsive || self.is_domain_unreachable(tracked, now) {
+            true => Eligibility::Failing,
             false => by_state,
         }
     }
@@ -39,25 +39,25 @@
     /// When the earliest backoff among the upstreams that could serve `need` ends; `None` if one of
     /// them asked for no backoff.
     pub fn rest_ends(&self, need: &Need<'_>, now: Instant) -> Option<Instant> {
-        let candidates = self.candidates(need);
-        let to_stay = candidates.filter(|tracked| {
-            !tracked.is_gone(now) && self.fitness_by_state(tracked, now) != Fitness::Unfit
+        let untried_upstreams = self.untried_upstreams(need);
+        let available = untried_upstreams.filter(|tracked| {
+            !tracked.is_gone(now) && self.eligibility_by_state(tracked, now) != Eligibility::Ineligible
         });
-        let ends = to_stay.map(|tracked| tracked.rest.ends(now));
+        let ends = available.map(|tracked| tracked.rest.ends(now));
         ends.collect::<Option<Vec<Instant>>>()?.into_iter().min()
     }
 
     /// Whether an upstream accepts requests according to the list of upstreams and its own
     /// announcements.
-    fn fitness_by_state(&self, tracked: &Tracked, now: Instant) -> Fitness {
+    fn eligibility_by_state(&self, tracked: &Tracked, now: Instant) -> Eligibility {
         match (tracked.upstream.state, tracked.leaving_since) {
-            (UpstreamState::Ready, None) => Fitness::Fit,
+            (UpstreamState::Ready, None) => Eligibility::Eligible,
             (UpstreamState::Ready | UpstreamState::Leaving, Some(since))
                 if now.duration_since(since) < self.leaving_grace =>
             {
-                Fitness::Leaving
+                Eligibility::Leaving
             }
-            _ => Fitness::Unfit,
+            _ => Eligibility::Ineligible,
         }
     }
 }
--- a/crates/relay/src/engine_demand.rs
+++ b/crates/relay/src/engine_demand.rs
@@ -14,15 +14,15 @@
 
 /// Fraction of an engine, in prompt processing or in slots, that the requests for one adapter may
 /// occupy before a further copy is worth its load. The rest is for the engine's other adapters.
-const COPY_SHARE: f64 = 0.4;
+const COPY_THRESHOLD: f64 = 0.4;
 
 /// Fraction from which a copy is as urgent as a load for a miss: the engine can hardly do anything
 /// else, and the adapter's own callers queue.
-const URGENT_SHARE: f64 = 0.8;
+const URGENT_THRESHOLD: f64 = 0.8;
 
 /// Requests per second for one adapter from a failure domain above which the domain gets its own
 /// copy. A load costs about a third of what a request is worth, and pays off within some seconds.
-const OWN_COPY_PER_S: f64 = 2.0;
+const DOMAIN_COPY_REQUESTS_PER_S: f64 = 2.0;
 
 /// Minimum interval between orders for copies of the same adapter. A copy takes at least 250 ms to
 /// load, and demand at this engine drops only some time later.
@@ -30,7 +30,7 @@
 
 /// Maximum number of copies ordered at the same time. An adapter that becomes popular in the whole
 /// fleet needs a dozen; ordered one by one they would take a dozen seconds.
-const COPIES_AT_ONCE: usize = 4;
+const MAX_COPIES_PER_ORDER: usize = 4;
 
 /// An adapter that needs further copies.
 #[derive(Clone, Debug, PartialEq)]
@@ -41,8 +41,8 @@
     pub place: CopyPlace,
     /// How many copies to load.
     pub copies: usize,
-    /// Whether the adapter's load exceeds this engine, so that callers wait for a copy as they
-    /// would for a miss.
+    /// Whether this engine is too small for the adapter's demand, so that callers wait for a copy
+    /// as they would for a miss.
     pub is_urgent: bool,
 }
 
@@ -89,9 +89,9 @@
         now: Instant,
     ) {
         self.tokens.add(model, prompt_tokens, now);
-        let from = self.requests.entry(domain.clone());
-        let from = from.or_insert_with(|| Demand::new(DEMAND_HALF_LIFE));
-        from.add(model, requests, now);
+        let demand = self.requests.entry(domain.clone());
+        let demand = demand.or_insert_with(|| Demand::new(DEMAND_HALF_LIFE));
+        demand.add(model, requests, now);
     }
 
     /// Returns the adapters that need further copies now, and records these as ordered. `in_flight`
@@ -114,7 +114,7 @@
             if self.ordered.contains_key(&model) {
                 continue;
             }
-            if let Some(copies) = self.copies_of(engine, &model, in_flight(&model), now) {
+            if let Some(copies) = self.needed_copies(engine, &model, in_flight(&model), now) {
                 self.ordered.insert(model, now);
                 wanted.push(copies);
             }
@@ -122,30 +122,30 @@
         wanted
     }
 
-    fn copies_of(
+    fn needed_copies(
         &self,
         engine: EngineLoadNow<'_>,
         model: &ModelRef,
         in_flight: u32,
         now: Instant,
     ) -> Option<WantedCopies> {
-        let reading = self.tokens.rate_per_s(model, now) * PROMPT_TOKEN_MS / 1_000.0;
-        let slots = f64::from(in_flight) / f64::from(engine.slots.max(1));
-        let share = reading.max(slots);
-        let copies = (share / COPY_SHARE).ceil() as usize;
+        let prompt_share = self.tokens.rate_per_s(model, now) * PROMPT_TOKEN_MS / 1_000.0;
+        let slot_share = f64::from(in_flight) / f64::from(engine.slots.max(1));
+        let used_share = prompt_share.max(slot_share);
+        let copies = (used_share / COPY_THRESHOLD).ceil() as usize;
         let further = copies.saturating_sub(1);
         if further > 0 {
             return Some(WantedCopies {
                 model: model.clone(),
                 place: CopyPlace::Anywhere,
-                copies: further.min(COPIES_AT_ONCE),
-                is_urgent: share > URGENT_SHARE,
+                copies: further.min(MAX_COPIES_PER_ORDER),
+                is_urgent: used_share > URGENT_THRESHOLD,
             });
         }
-        let is_far = |domain: &FailureDomain| domain != engine.failure_domain;
-        let mut far = self.requests.iter().filter(|(domain, _)| is_far(domain));
+        let is_remote = |domain: &FailureDomain| domain != engine.failure_domain;
+        let mut remote = self.requests.iter().filter(|(domain, _)| is_remote(domain));
         let (domain, _) =
-            far.find(|(_, requests)| requests.rate_per_s(model, now) > OWN_COPY_PER_S)?;
+            remote.find(|(_, requests)| requests.rate_per_s(model, now) > DOMAIN_COPY_REQUESTS_PER_S)?;
         Some(WantedCopies {
             model: model.clone(),
             place: CopyPlace::Domain(domain.clone()),
--- a/crates/relay/src/health.rs
+++ b/crates/relay/src/health.rs
@@ -26,7 +26,7 @@
 
 /// Weight of one outcome in the moving average of failures. Three failures in a row bring a healthy
 /// upstream above [`FAILURE_RATE_LIMIT`].
-const RATE_STEP: f64 = 0.25;
+const FAILURE_RATE_WEIGHT: f64 = 0.25;
 
 /// Failure rate above which an upstream is paused. Some services fail one request in eight even at
 /// their best; three in a row are rare for them. Upstreams that fail part of their requests while
@@ -38,7 +38,7 @@
 
 /// Longest pause. A crashed upstream is removed from the list of upstreams after three heartbeats,
 /// 3.6 s.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+const MAX_PAUSE: Duration = Duration::from_secs(4);
 
 /// Pause of an upstream that reported being full: about the time until one of its requests ends.
 const FULL_PAUSE: Duration = Duration::from_millis(60);
@@ -77,13 +77,13 @@
     pub fn note(&mut self, outcome: Outcome, now: Instant) {
         match outcome {
             Outcome::Answered => {
-                self.failure_rate -= RATE_STEP * self.failure_rate;
+                self.failure_rate -= FAILURE_RATE_WEIGHT * self.failure_rate;
                 self.pause /= 2;
             }
             Outcome::Failed => {
-                self.failure_rate += RATE_STEP * (1.0 - self.failure_rate);
+                self.failure_rate += FAILURE_RATE_WEIGHT * (1.0 - self.failure_rate);
                 if self.failure_rate > FAILURE_RATE_LIMIT {
-                    self.pause = (self.pause * 2).clamp(FIRST_PAUSE, LONGEST_PAUSE);
+                    self.pause = (self.pause * 2).clamp(FIRST_PAUSE, MAX_PAUSE);
                     self.paused_until = Some(now + self.pause);
                 }
             }
--- a/crates/relay/src/load_plan.rs
+++ b/crates/relay/src/load_plan.rs
@@ -108,18 +108,18 @@
         return Err(LoadRefusal::ModelAbsent);
     }
     let load = LoadStep::Load(wanted.clone(), version);
-    let is_replaced = holdings.version_of(wanted).is_some();
+    let is_replacement = holdings.version_of(wanted).is_some();
     let held = holdings.adapter_count() + engine.coming.len();
-    if is_replaced || held < engine.room.adapter_slots {
+    if is_replacement || held < engine.room.adapter_slots {
         return Ok(LoadPlan { steps: vec![load] });
     }
-    let victim = least_wanted(engine, now).ok_or(LoadRefusal::NothingToEvict)?;
+    let victim = lowest_demand(engine, now).ok_or(LoadRefusal::NothingToEvict)?;
     Ok(LoadPlan {
         steps: vec![LoadStep::Unload(victim), load],
     })
 }
 
-fn least_wanted(engine: &EngineContents<'_>, now: Instant) -> Option<ModelRef> {
+fn lowest_demand(engine: &EngineContents<'_>, now: Instant) -> Option<ModelRef> {
     let score = |adapter: &ModelRef| engine.demand.score(adapter, now);
     let models = engine.holdings.models.iter();
     models
--- a/crates/relay/src/load_queue.rs
+++ b/crates/relay/src/load_queue.rs
@@ -9,14 +9,14 @@
 
 /// Limit of loads waiting at one engine. The last of them takes about a second, so any further load
 /// would miss every latency objective.
-const QUEUE_LIMIT: usize = 4;
+const MAX_WAITING_LOADS: usize = 4;
 
 /// Concurrent loads from the weight store at one engine. With more of them, an urgent load that is
 /// ordered last would be slowed down by all the others.
 ///
 /// There is no fleet-wide limit: an owner hears of only a few other engines at a time, and its
 /// estimate would hold back loads while the weight store has capacity.
-const ENGINE_LOADS: usize = 2;
+const MAX_STORE_LOADS: usize = 2;
 
 /// Why an adapter is loaded. Ordered by urgency, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -131,7 +131,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct LoadQueue {
     waiting: Vec<(LoadTicket, WaitingLoad)>,
-    last: u64,
+    last_ticket: u64,
 }
 
 impl LoadQueue {
@@ -142,12 +142,12 @@
     /// [`LoadRefusal::QueueFull`] if too many loads wait, unless one of them is for the same
     /// adapter.
     pub fn join(&mut self, load: WaitingLoad) -> Result<LoadTicket, LoadRefusal> {
-        let is_awaited = self.models().any(|model| *model == load.model);
-        if self.waiting.len() >= QUEUE_LIMIT && !is_awaited {
+        let is_queued = self.models().any(|model| *model == load.model);
+        if self.waiting.len() >= MAX_WAITING_LOADS && !is_queued {
             return Err(LoadRefusal::QueueFull);
         }
-        self.last += 1;
-        let ticket = LoadTicket(self.last);
+        self.last_ticket += 1;
+        let ticket = LoadTicket(self.last_ticket);
         self.waiting.push((ticket, load));
         Ok(ticket)
     }
@@ -175,27 +175,27 @@
             // The ticket was removed. The caller has to add the load again.
             return LoadTurn::Refuse(LoadRefusal::QueueFull);
         };
-        if is_there(load, engine) {
+        if is_loaded_or_loading(load, engine) {
             return LoadTurn::NotNeeded;
         }
         if load.kind == LoadKind::FromStore {
             if load.purpose == LoadPurpose::Copy && !store.times.has_room_for_copy(store.over_all) {
                 return LoadTurn::Refuse(LoadRefusal::LeftToMisses);
             }
-            let has_transfer =
-                engine.transfers < engine.room.transfers && store.at_engine < ENGINE_LOADS;
-            if self.has_ahead(ticket, load) || !has_transfer {
+            let has_capacity =
+                engine.transfers < engine.room.transfers && store.at_engine < MAX_STORE_LOADS;
+            if self.has_more_urgent(ticket, load) || !has_capacity {
                 return LoadTurn::Wait;
             }
         }
         match plan_load(&load.model, load.version, engine, now) {
             Ok(plan) => LoadTurn::Order(plan),
-            Err(why) => LoadTurn::Refuse(why),
+            Err(reason) => LoadTurn::Refuse(reason),
         }
     }
 
     /// Whether another load from the weight store goes first.
-    fn has_ahead(&self, ticket: LoadTicket, load: &WaitingLoad) -> bool {
+    fn has_more_urgent(&self, ticket: LoadTicket, load: &WaitingLoad) -> bool {
         let rank = |ticket: LoadTicket, load: &WaitingLoad| (load.purpose, load.priority, ticket);
         let mut others = self.waiting.iter();
         others.any(|(other, waiting)| {
@@ -205,7 +205,7 @@
 }
 
 /// Whether the engine holds what `load` is to load, or is loading it.
-fn is_there(load: &WaitingLoad, engine: &EngineContents<'_>) -> bool {
+fn is_loaded_or_loading(load: &WaitingLoad, engine: &EngineContents<'_>) -> bool {
     let held = engine.holdings.version_of(&load.model);
     let is_held = held.is_some_and(|held| load.version.is_none_or(|version| held >= version));
     // The version being loaded is not known here.
--- a/crates/relay/src/model_plan.rs
+++ b/crates/relay/src/model_plan.rs
@@ -10,27 +10,27 @@
 
 /// Work above which a model is in demand, in engines. A single request of 100 ms in the last
 /// half-minute exceeds it, because every requested model should be held somewhere.
-const ASKED_LEAST: f64 = 0.000_1;
+const MIN_DEMAND: f64 = 0.000_1;
 
 /// Work per holder of a model, as a fraction of an engine, above which another engine loads the
 /// model. Above it, a burst makes queues grow within a second.
-const FULL_SHARE: f64 = 0.5;
+const OVERLOAD_THRESHOLD: f64 = 0.5;
 
 /// Work per remaining holder up to which an engine may unload a model. It is well below
-/// [`FULL_SHARE`], so that the model is not loaded again at once.
-const EASY_SHARE: f64 = 0.3;
+/// [`OVERLOAD_THRESHOLD`], so that the model is not loaded again at once.
+const UNLOAD_THRESHOLD: f64 = 0.3;
 
 /// Work above which a model should be held in two failure domains, as a fraction of an engine.
 /// Otherwise several requests per second would wait for a load when its only engine ends.
-const STEADY_SHARE: f64 = 0.1;
+const TWO_DOMAINS_THRESHOLD: f64 = 0.1;
 
 /// How many times the demand of another model a model needs to replace that model on its last
 /// engine, where not all models fit. With a lower ratio two models could keep replacing each other,
 /// and each load costs as much as several answers.
-const TAKE_OVER_RATIO: f64 = 3.0;
+const REPLACE_RATIO: f64 = 3.0;
 
 /// Adapters that must fit into an engine in addition to its base models.
-const LEAST_ADAPTERS: u32 = 4;
+const MIN_ADAPTERS: u32 = 4;
 
 /// A base model on an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -78,11 +78,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Reason {
     /// It is in demand and no engine holds it.
-    Absent,
+    NotHeld,
     /// Its holders have too much work.
-    Full,
+    Overloaded,
     /// All its holders are in one failure domain.
-    OneDomain,
+    SingleDomain,
 }
 
 /// Plans the changes needed for every model in demand to be held by enough engines.
@@ -156,56 +156,56 @@
     /// The changes to make now. `store_loads` limits the loads from the weight store, including
     /// those in progress.
     pub fn changes(mut self, store_loads: usize) -> Vec<ModelChange> {
-        let under_way = self.hosts.iter().filter(|host| host.uses_store).count();
-        let mut left = store_loads.saturating_sub(under_way);
+        let loads_in_progress = self.hosts.iter().filter(|host| host.uses_store).count();
+        let mut remaining_loads = store_loads.saturating_sub(loads_in_progress);
         let mut changes = Vec::new();
-        while let Some(change) = self.next_change(left > 0) {
+        while let Some(change) = self.next_change(remaining_loads > 0) {
             if self.source(&change) == CopySource::Store {
-                left = left.saturating_sub(1);
+                remaining_loads = remaining_loads.saturating_sub(1);
             }
             self.apply(&change);
             changes.push(change);
         }
-        self.assert_kept_promises(&changes);
+        self.assert_plan_is_safe(&changes);
         changes
     }
 
     fn next_change(&self, may_use_store: bool) -> Option<ModelChange> {
-        let mut wanting: Vec<(Reason, &ModelSpec)> = self
+        let mut unmet: Vec<(Reason, &ModelSpec)> = self
             .spec
             .models
             .iter()
-            .filter_map(|model| Some((self.wants_more(model)?, model)))
+            .filter_map(|model| Some((self.reason_to_load(model)?, model)))
             .collect();
         let load = |model: &ModelSpec| self.work_per_holder(&model.name, 0);
-        wanting.sort_by(|(reason_a, a), (reason_b, b)| {
+        unmet.sort_by(|(reason_a, a), (reason_b, b)| {
             let by_load = load(b).total_cmp(&load(a));
             reason_a.cmp(reason_b).then(by_load)
         });
-        let mut wanting = wanting.into_iter();
-        wanting
+        let mut unmet = unmet.into_iter();
+        unmet
             .find_map(|(reason, model)| self.place(model, reason, may_use_store))
-            .or_else(|| self.fill_empty(may_use_store))
+            .or_else(|| self.load_into_empty(may_use_store))
     }
 
-    fn wants_more(&self, model: &ModelSpec) -> Option<Reason> {
+    fn reason_to_load(&self, model: &ModelSpec) -> Option<Reason> {
         let work = self.work_of(&model.name);
         let holders = self.holder_count(&model.name);
         if holders == 0 {
-            return (work > ASKED_LEAST).then_some(Reason::Absent);
+            return (work > MIN_DEMAND).then_some(Reason::NotHeld);
         }
-        if work / holders as f64 > FULL_SHARE {
-            return Some(Reason::Full);
+        if work / holders as f64 > OVERLOAD_THRESHOLD {
+            return Some(Reason::Overloaded);
         }
-        let is_in_one = || are_in_one_domain(self.holders(&model.name));
-        (work > STEADY_SHARE && is_in_one()).then_some(Reason::OneDomain)
+        let is_single_domain = || are_in_one_domain(self.holders(&model.name));
+        (work > TWO_DOMAINS_THRESHOLD && is_single_domain()).then_some(Reason::SingleDomain)
     }
 
     /// Whether a model that should be held in two failure domains would remain in only one without
     /// `host`.
     fn needs_domain_of(&self, host: &ModelHost<'_>, name: &str) -> bool {
         let others = self.holders(name).filter(|holder| holder.id != host.id);
-        self.work_of(name) > STEADY_SHARE && are_in_one_domain(others)
+        self.work_of(name) > TWO_DOMAINS_THRESHOLD && are_in_one_domain(others)
     }
 
     /// The change that loads `model` into another engine.
@@ -215,26 +215,26 @@
             .map(|host| host.failure_domain)
             .collect();
         let changes = self.hosts.iter().filter_map(|host| {
-            let is_far = !domains.contains(host.failure_domain);
-            if !self.is_free(host, model) || (reason == Reason::OneDomain && !is_far) {
+            let is_new_domain = !domains.contains(host.failure_domain);
+            if !self.can_load(host, model) || (reason == Reason::SingleDomain && !is_new_domain) {
                 return None;
             }
-            let unload = self.room_for(host, model, reason)?;
+            let unload = self.models_to_unload(host, model, reason)?;
             let source = host.at_hand.source_of(&model.name);
             if source == CopySource::Store && !may_use_store {
                 return None;
             }
-            let gives_up_asked = unload.iter().any(|name| self.is_asked(name));
+            let unloads_demanded = unload.iter().any(|name| self.is_in_demand(name));
             // Rounded to quarters of the slots: with finer steps, owners with slightly different
             // information would select different engines.
-            let busy = (host.busy_share * 4.0) as u32;
+            let busy_quarters = (host.busy_share * 4.0) as u32;
             let hash = xxh3_64(format!("{} {}", model.name, host.id).as_bytes());
             let rank = (
-                gives_up_asked,
-                self.is_last(host),
+                unloads_demanded,
+                self.is_last_holder(host),
                 source,
-                !is_far,
-                busy,
+                !is_new_domain,
+                busy_quarters,
                 hash,
             );
             Some((rank, host, unload))
@@ -249,16 +249,16 @@
 
     /// An engine without models loads the one with the most work per holder, even if its holders
     /// are not overloaded, because it serves no requests otherwise.
-    fn fill_empty(&self, may_use_store: bool) -> Option<ModelChange> {
+    fn load_into_empty(&self, may_use_store: bool) -> Option<ModelChange> {
         let is_empty = |host: &&ModelHost<'_>| host.models.is_empty();
         let empty = self.hosts.iter().filter(is_empty);
         empty
             .filter_map(|host| {
-                let at_hand = |model: &&ModelSpec| {
+                let is_loadable = |model: &&ModelSpec| {
                     may_use_store || host.at_hand.source_of(&model.name) != CopySource::Store
                 };
-                let models = self.spec.models.iter().filter(at_hand);
-                let fitting = models.filter(|model| self.is_free(host, model));
+                let models = self.spec.models.iter().filter(is_loadable);
+                let fitting = models.filter(|model| self.can_load(host, model));
                 // Of equal models the first one: if there is no demand yet, the configured order
                 // puts the busiest first.
                 let most_work = fitting.rev().max_by(|a, b| {
@@ -274,7 +274,7 @@
             .min_by(|a, b| a.engine.cmp(&b.engine))
     }
 
-    fn is_free(&self, host: &ModelHost<'_>, model: &ModelSpec) -> bool {
+    fn can_load(&self, host: &ModelHost<'_>, model: &ModelSpec) -> bool {
         host.can_change
             && !host.is_changing
             && host.models.iter().all(|held| held.name != model.name)
@@ -282,24 +282,24 @@
 
     /// The models that `host` has to unload to make room for `model`; `None` if it must keep one of
     /// them.
-    fn room_for(
+    fn models_to_unload(
         &self,
         host: &ModelHost<'_>,
         model: &ModelSpec,
         reason: Reason,
     ) -> Option<Vec<Arc<str>>> {
-        let mut left: Vec<&HostedModel> = host.models.iter().collect();
-        left.sort_by(|a, b| {
+        let mut kept: Vec<&HostedModel> = host.models.iter().collect();
+        kept.sort_by(|a, b| {
             let work = |held: &HostedModel| self.work_of(&held.name);
             work(b).total_cmp(&work(a))
         });
         let mut unload = Vec::new();
-        while !self.fits(&left, model) {
-            let least = left.pop()?;
-            if !self.may_leave(host, &least.name, model, reason) {
+        while !self.fits(&kept, model) {
+            let least_demanded = kept.pop()?;
+            if !self.may_unload(host, &least_demanded.name, model, reason) {
                 return None;
             }
-            unload.push(Arc::clone(&least.name));
+            unload.push(Arc::clone(&least_demanded.name));
         }
         Some(unload)
     }
@@ -311,13 +311,13 @@
             .map(|spec| spec.adapter_mb)
             .fold(more.adapter_mb, f64::max);
         let adapters: usize = held.iter().map(|held| held.adapters).sum();
-        let least = self.spec.adapter_slots.min(LEAST_ADAPTERS) as usize;
-        let adapters_mb = adapters.max(least) as f64 * adapter_mb;
+        let min_adapters = self.spec.adapter_slots.min(MIN_ADAPTERS) as usize;
+        let adapters_mb = adapters.max(min_adapters) as f64 * adapter_mb;
         weights_mb + more.weights_mb + adapters_mb <= self.spec.weights_mb
     }
 
     /// Whether `host` may unload the model `name` in favor of `model`.
-    fn may_leave(
+    fn may_unload(
         &self,
         host: &ModelHost<'_>,
         name: &str,
@@ -325,28 +325,28 @@
         reason: Reason,
     ) -> bool {
         let work = self.work_of(name);
-        if work <= ASKED_LEAST {
+        if work <= MIN_DEMAND {
             return true;
         }
         let others = self.holder_count(name).saturating_sub(1);
         if others > 0 {
-            let is_easy = work / others as f64 <= EASY_SHARE;
+            let has_little_work = work / others as f64 <= UNLOAD_THRESHOLD;
             return match reason {
-                Reason::Absent => true,
-                Reason::Full => is_easy,
+                Reason::NotHeld => true,
+                Reason::Overloaded => has_little_work,
                 // If it remained in one failure domain only, it would take the engine back for the
                 // same reason.
-                Reason::OneDomain => is_easy && !self.needs_domain_of(host, name),
+                Reason::SingleDomain => has_little_work && !self.needs_domain_of(host, name),
             };
         }
-        reason == Reason::Absent && self.work_of(&model.name) > work * TAKE_OVER_RATIO
+        reason == Reason::NotHeld && self.work_of(&model.name) > work * REPLACE_RATIO
     }
 
     /// Whether `host` is the last holder of a model in demand. While its base models change, it
     /// cannot load adapters of that model.
-    fn is_last(&self, host: &ModelHost<'_>) -> bool {
+    fn is_last_holder(&self, host: &ModelHost<'_>) -> bool {
         let mut held = host.models.iter();
-        held.any(|held| self.is_asked(&held.name) && self.holder_count(&held.name) == 1)
+        held.any(|held| self.is_in_demand(&held.name) && self.holder_count(&held.name) == 1)
     }
 
     fn apply(&mut self, change: &ModelChange) {
@@ -384,8 +384,8 @@
         self.work.get(name).copied().unwrap_or(0.0)
     }
 
-    fn is_asked(&self, name: &str) -> bool {
-        self.work_of(name) > ASKED_LEAST
+    fn is_in_demand(&self, name: &str) -> bool {
+        self.work_of(name) > MIN_DEMAND
     }
 
     fn work_per_holder(&self, name: &str, more: usize) -> f64 {
@@ -395,7 +395,7 @@
 
     /// Checks that no engine is ordered to hold more than fits, which would crash it with all its
     /// requests, and that no model in demand loses its last engine to one with less demand.
-    fn assert_kept_promises(&self, changes: &[ModelChange]) {
+    fn assert_plan_is_safe(&self, changes: &[ModelChange]) {
         for change in changes {
             let mut hosts = self.hosts.iter();
             let host = hosts.find(|host| *host.id == change.engine);
@@ -408,10 +408,10 @@
                 change.engine
             );
             for name in &change.unload {
-                let is_taken_over =
-                    self.work_of(&change.load) > self.work_of(name) * TAKE_OVER_RATIO;
+                let is_replaced =
+                    self.work_of(&change.load) > self.work_of(name) * REPLACE_RATIO;
                 assert!(
-                    !self.is_asked(name) || self.holders(name).next().is_some() || is_taken_over,
+                    !self.is_in_demand(name) || self.holders(name).next().is_some() || is_replaced,
                     "{name} is in demand and would be held by no engine"
                 );
             }
--- a/crates/relay/src/prompt.rs
+++ b/crates/relay/src/prompt.rs
@@ -10,10 +10,10 @@
 
 /// How long an engine is assumed to cache the prompts it processed. Engines evict the least
 /// recently used ones when their memory is full, which under load takes about ten seconds.
-const KEPT_LIFE: Duration = Duration::from_secs(10);
+const CACHE_TTL: Duration = Duration::from_secs(10);
 
 /// Parts to track per engine: about a dozen adapters with several instructions each.
-const PARTS_LIMIT: usize = 128;
+const MAX_PARTS: usize = 128;
 
 /// A part of a prompt. Requests with a common part give the same id for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,15 +36,15 @@
 ///
 /// ```
 /// use std::time::{Duration, Instant};
-/// use nutmegsail_relay::{KeptPrompts, ModelRef, PromptChain, PromptPart};
+/// use nutmegsail_relay::{CachedPrompts, ModelRef, PromptChain, PromptPart};
 /// let (now, model) = (Instant::now(), ModelRef::parse("llama/a7"));
 /// let prompt = |own| [PromptPart { id: 1, tokens: 800 }, PromptPart { id: own, tokens: 250 }];
-/// let mut kept = KeptPrompts::default();
-/// kept.note(&PromptChain::new(&model, &prompt(2)), now);
+/// let mut cached = CachedPrompts::default();
+/// cached.note(&PromptChain::new(&model, &prompt(2)), now);
 /// let next = PromptChain::new(&model, &prompt(3));
 /// assert_eq!(next.shared_tokens(), 800);
-/// assert_eq!(kept.tokens_of(&next, now), 800);
-/// assert_eq!(kept.tokens_of(&next, now + Duration::from_secs(60)), 0);
+/// assert_eq!(cached.cached_tokens_of(&next, now), 800);
+/// assert_eq!(cached.cached_tokens_of(&next, now + Duration::from_secs(60)), 0);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptChain {
@@ -78,7 +78,7 @@
     /// Rendezvous hash of `engine` for the shared parts, the same on every node. Requests with the
     /// same shared parts prefer the engine with the highest hash and find the parts cached there,
     /// without any messages between nodes.
-    pub(crate) fn rank_of(&self, engine: &UpstreamId) -> Option<u64> {
+    pub(crate) fn affinity_hash(&self, engine: &UpstreamId) -> Option<u64> {
         let last_shared = self.parts.len().checked_sub(2)?;
         let (PartDigest(shared), _) = self.parts[last_shared];
         Some(xxh3_64_with_seed(engine.as_str().as_bytes(), shared))
@@ -87,25 +87,25 @@
 
 /// Prompt parts that were sent to an engine recently.
 #[derive(Clone, Debug, Default)]
-pub struct KeptPrompts {
+pub struct CachedPrompts {
     parts: HashMap<PartDigest, (u32, Instant)>,
 }
 
-impl KeptPrompts {
+impl CachedPrompts {
     /// Records a prompt sent to the engine.
     pub fn note(&mut self, chain: &PromptChain, now: Instant) {
         for (part, tokens) in &chain.parts {
             self.parts.insert(*part, (*tokens, now));
         }
-        if self.parts.len() > PARTS_LIMIT {
-            self.forget_oldest(now);
+        if self.parts.len() > MAX_PARTS {
+            self.evict_oldest(now);
         }
     }
 
-    fn forget_oldest(&mut self, now: Instant) {
+    fn evict_oldest(&mut self, now: Instant) {
         self.parts
-            .retain(|_, (_, at)| now.duration_since(*at) < KEPT_LIFE);
-        while self.parts.len() > PARTS_LIMIT {
+            .retain(|_, (_, at)| now.duration_since(*at) < CACHE_TTL);
+        while self.parts.len() > MAX_PARTS {
             let oldest = self.parts.iter().min_by_key(|(_, (_, at))| *at);
             let Some(oldest) = oldest.map(|(part, _)| *part) else {
                 return;
@@ -115,12 +115,12 @@
     }
 
     /// Prompt tokens that the engine is expected to have cached.
-    pub fn tokens_of(&self, chain: &PromptChain, now: Instant) -> u64 {
-        let kept = chain.parts.iter().map_while(|(part, tokens)| {
-            let (kept, at) = self.parts.get(part)?;
-            (now.duration_since(*at) < KEPT_LIFE).then_some(u64::from(*tokens.min(kept)))
+    pub fn cached_tokens_of(&self, chain: &PromptChain, now: Instant) -> u64 {
+        let cached = chain.parts.iter().map_while(|(part, tokens)| {
+            let (cached, at) = self.parts.get(part)?;
+            (now.duration_since(*at) < CACHE_TTL).then_some(u64::from(*tokens.min(cached)))
         });
-        kept.sum()
+        cached.sum()
     }
 
     /// Forgets all parts, because the engine unloaded its models.
--- a/crates/relay/src/tracked.rs
+++ b/crates/relay/src/tracked.rs
@@ -1,4 +1,4 @@
-//! The state of one upstream as a node knows it.
+//! What a node knows of each upstream.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,7 +7,7 @@
 
 use crate::rest::Rest;
 use crate::{
-    Health, HeldAdapter, Holdings, KeptPrompts, ModelDigest, ModelRef, PromptChain, RecentAdapters,
+    Health, HeldAdapter, Holdings, CachedPrompts, ModelDigest, ModelRef, PromptChain, DroppedAdapters,
     Upstream, VersionRule,
 };
 
@@ -65,53 +65,52 @@
 
 /// How long a reported load or unload overrides the list of upstreams and the owner's last full
 /// report: longer than a heartbeat plus the list's delay.
-const MOVE_LIFE: Duration = Duration::from_millis(2_500);
+const CHANGE_TTL: Duration = Duration::from_millis(2_500);
 
 /// An engine counts as silent if nothing comes back for this multiple of the expected wait, but not
-/// before [`SILENCE_FLOOR_MS`].
+/// before [`MIN_SILENCE_MS`].
 const SILENCE_RATIO: f64 = 3.0;
 
 /// Shortest silence that counts as a failure, in milliseconds. Healthy engines answer the first of
 /// several requests within about 400 ms.
-const SILENCE_FLOOR_MS: f64 = 700.0;
+const MIN_SILENCE_MS: f64 = 700.0;
 
 /// How long the owner's report overrides the list of upstreams: longer than a heartbeat plus the
 /// list's delay.
-const TOLD_LIFE: Duration = Duration::from_millis(2_500);
+const OWNER_REPORT_TTL: Duration = Duration::from_millis(2_500);
 
 /// How long an upstream gets no requests after another process answered at its address. By then an
-/// upstream that has ended is gone from the list; one that is still listed may have given a wrong
-/// answer.
-const GONE_LIFE: Duration = Duration::from_secs(6);
+/// upstream that has ended is no longer listed; if it is, that answer may have been wrong.
+const REPLACED_TTL: Duration = Duration::from_secs(6);
 
 /// Age up to which a load report is used: an engine works off its queue of prompts in about 300 ms.
-const REPORT_LIFE: Duration = Duration::from_millis(600);
+const LOAD_REPORT_TTL: Duration = Duration::from_millis(600);
 
-/// Assumed time for a healthy engine to process one prompt token, in milliseconds, before answers
-/// have shown the pace of the deployment's engines.
+/// Assumed time for a healthy engine to process one prompt token, in milliseconds. The latency factor
+/// learned from answers corrects it for the deployment's engines.
 pub(crate) const PROMPT_TOKEN_MS: f64 = 0.052;
 
 /// Time to the first event of an empty prompt at an idle engine, in milliseconds: one step plus the
 /// network.
-const FIRST_EVENT_FLOOR_MS: f64 = 18.0;
+const MIN_FIRST_EVENT_MS: f64 = 18.0;
 
 /// Time that each running request adds to a step, in milliseconds.
 const RUNNING_REQUEST_MS: f64 = 0.4;
 
 /// Assumed time for which a request occupies a slot until requests have ended, in milliseconds.
-pub(crate) const FIRST_RUN_MS: f64 = 1_000.0;
+pub(crate) const INITIAL_SLOT_TIME_MS: f64 = 1_000.0;
 
-/// Weight of one answer in the moving average of the slowness.
-const SLOWNESS_STEP: f64 = 0.2;
+/// Weight of one answer in the moving average of the slowdown.
+const SLOWDOWN_WEIGHT: f64 = 0.2;
 
-/// Lower and upper bound of the slowness. An upstream that is 20 times as slow as expected gets no
+/// Lower and upper bound of the slowdown. An upstream that is 20 times as slow as expected gets no
 /// requests anyway.
-const SLOWNESS_RANGE: (f64, f64) = (0.5, 20.0);
+const SLOWDOWN_BOUNDS: (f64, f64) = (0.5, 20.0);
 
-/// Half-life of the slowness, in seconds. It decays so that a slow upstream is tried again.
-const SLOWNESS_HALF_LIFE_S: f64 = 4.0;
+/// Half-life of the slowdown, in seconds. It decays so that a slow upstream is tried again.
+const SLOWDOWN_HALF_LIFE_S: f64 = 4.0;
 
-/// One upstream with the requests that this node sent to it.
+/// What a node knows of one upstream, with the requests that it sent there.
 #[derive(Clone, Debug)]
 pub struct Tracked {
     /// The upstream's entry in the list of upstreams.
@@ -119,13 +118,13 @@
     /// The models and adapters that it holds.
     pub holdings: Holdings,
     /// Adapters that it dropped and can restore quickly.
-    recent: RecentAdapters,
+    dropped_adapters: DroppedAdapters,
     /// Prompts that this node sent to it and that it may have cached.
-    kept: KeptPrompts,
+    cached_prompts: CachedPrompts,
     /// Adapters that were recently loaded or unloaded, with the time of the report.
-    moves: Vec<(AdapterMove, Instant)>,
+    recent_changes: Vec<(AdapterMove, Instant)>,
     /// When its owner last confirmed the holdings.
-    holdings_told: Option<Instant>,
+    holdings_reported_at: Option<Instant>,
     /// Requests that this node sent and that have not ended.
     pub in_flight: u32,
     /// Prompt tokens that this node sent and whose answers have not started.
@@ -141,15 +140,15 @@
     /// Until when its limit is known to be exhausted.
     limited_until: Option<Instant>,
     /// When another process answered at its address.
-    gone_at: Option<Instant>,
+    replaced_at: Option<Instant>,
     /// The last load report.
     pub report: Option<Report>,
     /// Average time for which a request occupies a slot, in milliseconds.
-    run_ms: f64,
+    slot_time_ms: f64,
     /// Observed over assumed time for engines to process prompts and run steps.
-    pace: f64,
-    slowness: f64,
-    slowness_at: Instant,
+    latency_factor: f64,
+    slowdown: f64,
+    slowdown_updated_at: Instant,
     /// Since when no answer has arrived although some are pending.
     waiting_since: Option<Instant>,
 }
@@ -159,10 +158,10 @@
     pub fn new(upstream: Arc<Upstream>, now: Instant) -> Self {
         Self {
             holdings: upstream.holdings.clone(),
-            recent: RecentAdapters::default(),
-            kept: KeptPrompts::default(),
-            moves: Vec::new(),
-            holdings_told: None,
+            dropped_adapters: DroppedAdapters::default(),
+            cached_prompts: CachedPrompts::default(),
+            recent_changes: Vec::new(),
+            holdings_reported_at: None,
             upstream,
             in_flight: 0,
             unread_tokens: 0,
@@ -171,12 +170,12 @@
             rest: Rest::default(),
             is_limited: false,
             limited_until: None,
-            gone_at: None,
+            replaced_at: None,
             report: None,
-            run_ms: FIRST_RUN_MS,
-            pace: 1.0,
-            slowness: 1.0,
-            slowness_at: now,
+            slot_time_ms: INITIAL_SLOT_TIME_MS,
+            latency_factor: 1.0,
+            slowdown: 1.0,
+            slowdown_updated_at: now,
             waiting_since: None,
         }
     }
@@ -186,9 +185,9 @@
     /// Entries are delayed by a heartbeat or more. An old entry would bring back an adapter that
     /// has been unloaded since, and requests for it would come back unserved. A recent report from
     /// the owner therefore overrides the entry's holdings.
-    pub fn note_entry(&mut self, upstream: Arc<Upstream>, now: Instant) {
-        let is_told = |at| now.duration_since(at) < TOLD_LIFE;
-        if !self.holdings_told.is_some_and(is_told) {
+    pub fn update_entry(&mut self, upstream: Arc<Upstream>, now: Instant) {
+        let is_recent = |at| now.duration_since(at) < OWNER_REPORT_TTL;
+        if !self.holdings_reported_at.is_some_and(is_recent) {
             self.set_holdings(&upstream.holdings);
         }
         self.upstream = upstream;
@@ -204,24 +203,24 @@
         match holdings {
             HoldingsTold::Changed(holdings) => {
                 self.set_holdings(holdings);
-                self.holdings_told = Some(report.taken);
+                self.holdings_reported_at = Some(report.taken);
             }
-            HoldingsTold::Unchanged if self.holdings_told.is_some() => {
-                self.holdings_told = Some(report.taken);
+            HoldingsTold::Unchanged if self.holdings_reported_at.is_some() => {
+                self.holdings_reported_at = Some(report.taken);
             }
             HoldingsTold::Unchanged | HoldingsTold::Untold => {}
         }
-        self.note_moves(&report);
+        self.record_changes(&report);
         self.report = Some(report);
     }
 
-    fn note_moves(&mut self, report: &Report) {
-        let is_told = |model| report.moved.iter().any(|moved| moved.model == model);
-        self.moves.retain(|(moved, at)| {
-            report.taken.duration_since(*at) < MOVE_LIFE && !is_told(moved.model)
+    fn record_changes(&mut self, report: &Report) {
+        let is_reported = |model| report.moved.iter().any(|moved| moved.model == model);
+        self.recent_changes.retain(|(moved, at)| {
+            report.taken.duration_since(*at) < CHANGE_TTL && !is_reported(moved.model)
         });
-        let told = report.moved.iter().map(|moved| (*moved, report.taken));
-        self.moves.extend(told);
+        let reported = report.moved.iter().map(|moved| (*moved, report.taken));
+        self.recent_changes.extend(reported);
     }
 
     /// The version that it holds of what `wanted` names; 0 if the version is unknown.
@@ -231,17 +230,17 @@
     /// has unloaded theirs.
     pub fn version_of(&self, wanted: &ModelRef, now: Instant) -> Option<u64> {
         let held = self.holdings.version_of(wanted);
-        if self.moves.is_empty() {
+        if self.recent_changes.is_empty() {
             return held;
         }
         if wanted.adapter.is_some() && !self.has_base(wanted, now) {
             return None;
         }
         let digest = wanted.digest();
-        let is_it = |(moved, at): &&(AdapterMove, Instant)| {
-            moved.model == digest && now.duration_since(*at) < MOVE_LIFE
+        let is_wanted = |(moved, at): &&(AdapterMove, Instant)| {
+            moved.model == digest && now.duration_since(*at) < CHANGE_TTL
         };
-        match self.moves.iter().find(is_it) {
+        match self.recent_changes.iter().find(is_wanted) {
             Some((moved, _)) if moved.is_held => held.or(Some(HeldAdapter::UNSTATED_VERSION)),
             Some(_) => None,
             None => held,
@@ -262,9 +261,9 @@
     /// Records the holdings that the owner reported after an adapter was loaded.
     pub fn note_holdings(&mut self, holdings: &Holdings, now: Instant) {
         self.set_holdings(holdings);
-        self.holdings_told = Some(now);
+        self.holdings_reported_at = Some(now);
         // The owner's full report is newer than all recorded changes.
-        self.moves.clear();
+        self.recent_changes.clear();
     }
 
     /// Records that the upstream itself said it does not hold `model`.
@@ -274,21 +273,21 @@
             model: model.digest(),
             is_held: false,
         };
-        self.moves.retain(|(moved, _)| moved.model != absent.model);
-        self.moves.push((absent, now));
+        self.recent_changes.retain(|(moved, _)| moved.model != absent.model);
+        self.recent_changes.push((absent, now));
     }
 
     /// Whether it dropped `model` recently, in a version that new requests should start on.
-    pub fn held_lately(&self, model: &ModelRef, version: VersionRule) -> bool {
-        let held = self.recent.version_of(model);
+    pub fn dropped_recently(&self, model: &ModelRef, version: VersionRule) -> bool {
+        let held = self.dropped_adapters.version_of(model);
         held.is_some_and(|held| version.prefers(held))
     }
 
     fn set_holdings(&mut self, holdings: &Holdings) {
         if self.holdings != *holdings {
-            self.recent.note_change(&self.holdings, holdings);
+            self.dropped_adapters.record_change(&self.holdings, holdings);
             if holdings.models.is_empty() {
-                self.kept.clear();
+                self.cached_prompts.clear();
             }
             self.holdings = holdings.clone();
         }
@@ -297,13 +296,13 @@
     /// Age of the owner's last report of the holdings; `None` if they come from the list of
     /// upstreams only.
     pub fn holdings_age(&self, now: Instant) -> Option<Duration> {
-        self.holdings_told.map(|at| now.duration_since(at))
+        self.holdings_reported_at.map(|at| now.duration_since(at))
     }
 
     /// Observed over expected time to the first event; 1 for a healthy upstream.
-    pub fn slowness(&self, now: Instant) -> f64 {
-        let age_s = now.duration_since(self.slowness_at).as_secs_f64();
-        1.0 + (self.slowness - 1.0) * 0.5_f64.powf(age_s / SLOWNESS_HALF_LIFE_S)
+    pub fn slowdown(&self, now: Instant) -> f64 {
+        let age_s = now.duration_since(self.slowdown_updated_at).as_secs_f64();
+        1.0 + (self.slowdown - 1.0) * 0.5_f64.powf(age_s / SLOWDOWN_HALF_LIFE_S)
     }
 
     /// Prompt tokens known to be processed before those of a new request.
@@ -328,7 +327,7 @@
 
     /// Records that another process answered at its address.
     pub(crate) fn note_gone(&mut self, now: Instant) {
-        self.gone_at = Some(now);
+        self.replaced_at = Some(now);
     }
 
     /// Whether neither the list of upstreams nor the upstream itself has announced its shutdown.
@@ -351,22 +350,22 @@
 
     /// Whether another process has taken its address, before the list of upstreams shows it.
     pub(crate) fn is_gone(&self, now: Instant) -> bool {
-        self.gone_at
-            .is_some_and(|at| now.duration_since(at) < GONE_LIFE)
+        self.replaced_at
+            .is_some_and(|at| now.duration_since(at) < REPLACED_TTL)
     }
 
     /// Records a prompt that was sent to it.
     pub(crate) fn note_prompt(&mut self, prompt: &PromptChain, now: Instant) {
-        self.kept.note(prompt, now);
+        self.cached_prompts.note(prompt, now);
     }
 
     /// Prompt tokens that it is expected to have cached.
-    pub(crate) fn kept_tokens(&self, prompt: &PromptChain, now: Instant) -> u64 {
-        self.kept.tokens_of(prompt, now)
+    pub(crate) fn cached_tokens(&self, prompt: &PromptChain, now: Instant) -> u64 {
+        self.cached_prompts.cached_tokens_of(prompt, now)
     }
 
     /// Records that something came back from it.
-    pub(crate) fn note_alive(&mut self, now: Instant) {
+    pub(crate) fn record_activity(&mut self, now: Instant) {
         let is_waiting = self.in_flight > 0 && self.unread_tokens > 0;
         self.waiting_since = is_waiting.then_some(now);
     }
@@ -385,7 +384,7 @@
     /// nothing, so that requests hang until their callers give up. Missed heartbeats show this only
     /// after 3.6 s.
     pub fn is_silent(&self, now: Instant) -> bool {
-        let limit_ms = SILENCE_FLOOR_MS.max(SILENCE_RATIO * self.sound_first_event_ms(0, now));
+        let limit_ms = MIN_SILENCE_MS.max(SILENCE_RATIO * self.healthy_first_event_ms(0, now));
         let limit = Duration::from_secs_f64(limit_ms / 1_000.0);
         self.waiting_since
             .is_some_and(|since| now.duration_since(since) > limit)
@@ -410,14 +409,14 @@
 
     /// Expected time to the first event of a prompt of `tokens` tokens, in milliseconds.
     pub fn expected_first_event_ms(&self, tokens: u64, now: Instant) -> f64 {
-        self.sound_first_event_ms(tokens, now) * self.slowness(now)
+        self.healthy_first_event_ms(tokens, now) * self.slowdown(now)
     }
 
-    fn sound_first_event_ms(&self, tokens: u64, now: Instant) -> f64 {
-        let to_read = (self.backlog_tokens(now) + tokens) as f64;
+    fn healthy_first_event_ms(&self, tokens: u64, now: Instant) -> f64 {
+        let pending_tokens = (self.backlog_tokens(now) + tokens) as f64;
         let running = f64::from(self.running(now));
-        let reading_ms = to_read * PROMPT_TOKEN_MS + running * RUNNING_REQUEST_MS;
-        (FIRST_EVENT_FLOOR_MS + reading_ms) * self.pace + self.slot_wait_ms(now)
+        let processing_ms = pending_tokens * PROMPT_TOKEN_MS + running * RUNNING_REQUEST_MS;
+        (MIN_FIRST_EVENT_MS + processing_ms) * self.latency_factor + self.slot_wait_ms(now)
     }
 
     /// Expected time that a new request waits for a slot, in milliseconds.
@@ -427,35 +426,35 @@
     /// its queue grew to several seconds.
     fn slot_wait_ms(&self, now: Instant) -> f64 {
         let (running, slots) = (self.running(now), self.upstream.slots.max(1));
-        let ahead = (running + 1).saturating_sub(slots);
-        f64::from(ahead) * self.run_ms / f64::from(slots)
+        let queued = (running + 1).saturating_sub(slots);
+        f64::from(queued) * self.slot_time_ms / f64::from(slots)
     }
 
     /// Updates the average time for which requests occupy a slot, in milliseconds.
-    pub(crate) fn set_run_ms(&mut self, run_ms: f64) {
-        self.run_ms = run_ms;
+    pub(crate) fn set_slot_time_ms(&mut self, slot_time_ms: f64) {
+        self.slot_time_ms = slot_time_ms;
     }
 
-    /// Updates the pace of the deployment's engines.
-    pub(crate) fn set_pace(&mut self, pace: f64) {
-        self.pace = pace;
+    /// Updates the latency factor of the deployment's engines.
+    pub(crate) fn set_latency_factor(&mut self, latency_factor: f64) {
+        self.latency_factor = latency_factor;
     }
 
-    /// Updates the slowness from an answer that started after `took`, where `expected_ms` was
+    /// Updates the slowdown from an answer that started after `took`, where `expected_ms` was
     /// expected.
-    pub fn note_first_event(&mut self, expected_ms: f64, took: Duration, now: Instant) {
-        let sound_ms = expected_ms / self.slowness(now);
-        let seen = took.as_secs_f64() * 1_000.0 / sound_ms.max(1.0);
-        let known = self.slowness(now);
-        let (least, most) = SLOWNESS_RANGE;
-        self.slowness = (known + SLOWNESS_STEP * (seen - known)).clamp(least, most);
-        self.slowness_at = now;
-        self.note_alive(now);
+    pub fn record_first_event(&mut self, expected_ms: f64, took: Duration, now: Instant) {
+        let healthy_ms = expected_ms / self.slowdown(now);
+        let ratio = took.as_secs_f64() * 1_000.0 / healthy_ms.max(1.0);
+        let current = self.slowdown(now);
+        let (lower, upper) = SLOWDOWN_BOUNDS;
+        self.slowdown = (current + SLOWDOWN_WEIGHT * (ratio - current)).clamp(lower, upper);
+        self.slowdown_updated_at = now;
+        self.record_activity(now);
     }
 
     fn fresh_report(&self, now: Instant) -> Option<&Report> {
         self.report
             .as_ref()
-            .filter(|report| now.duration_since(report.taken) < REPORT_LIFE)
+            .filter(|report| now.duration_since(report.taken) < LOAD_REPORT_TTL)
     }
 }
--- a/crates/relay/src/versions.rs
+++ b/crates/relay/src/versions.rs
@@ -49,30 +49,30 @@
 #[derive(Clone, Debug, Default)]
 pub struct Versions {
     /// Versions of each model in ascending order.
-    named: HashMap<ModelRef, Vec<Named>>,
+    announced: HashMap<ModelRef, Vec<Announced>>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Named {
+struct Announced {
     version: u64,
     since: Instant,
 }
 
 /// Versions to keep for one model. Only those within one overlap period matter.
-const NAMED_LIMIT: usize = 8;
+const MAX_VERSIONS: usize = 8;
 
 impl Versions {
     /// Records that `version` of `model` was announced, and returns the newest announced version.
     /// Versions only increase, so an older one is a late message and is ignored.
     pub fn name(&mut self, model: ModelRef, version: u64, now: Instant) -> u64 {
-        let named = self.named.entry(model).or_default();
-        if let Some(last) = named.last().filter(|last| version <= last.version) {
+        let announced = self.announced.entry(model).or_default();
+        if let Some(last) = announced.last().filter(|last| version <= last.version) {
             return last.version;
         }
-        if named.len() >= NAMED_LIMIT {
-            named.remove(0);
+        if announced.len() >= MAX_VERSIONS {
+            announced.remove(0);
         }
-        named.push(Named {
+        announced.push(Announced {
             version,
             since: now,
         });
@@ -81,8 +81,8 @@
 
     /// The newest announced version of each model.
     pub fn latest(&self) -> impl Iterator<Item = (&ModelRef, u64)> {
-        let named = self.named.iter();
-        named.filter_map(|(model, named)| Some((model, named.last()?.version)))
+        let announced = self.announced.iter();
+        announced.filter_map(|(model, announced)| Some((model, announced.last()?.version)))
     }
 
     /// The versions that a request for `model` may start on, if older versions may be used for
@@ -92,14 +92,14 @@
     /// one, several announcements in quick succession would allow versions whose overlap ended long
     /// ago.
     pub fn rule(&self, model: &ModelRef, overlap: Duration, now: Instant) -> VersionRule {
-        let Some(named) = self.named.get(model) else {
+        let Some(announced) = self.announced.get(model) else {
             return VersionRule::ANY;
         };
-        let is_over = |named: &&Named| now.duration_since(named.since) >= overlap;
-        let settled = named.iter().rev().find(is_over);
+        let is_overlap_over = |announced: &&Announced| now.duration_since(announced.since) >= overlap;
+        let past_overlap = announced.iter().rev().find(is_overlap_over);
         VersionRule {
-            wanted: named.last().map_or(0, |last| last.version),
-            least: settled.map_or(0, |settled| settled.version),
+            wanted: announced.last().map_or(0, |last| last.version),
+            least: past_overlap.map_or(0, |past_overlap| past_overlap.version),
         }
     }
 }
--- a/crates/relay/tests/copies.rs
+++ b/crates/relay/tests/copies.rs
@@ -29,7 +29,7 @@
     }
 
     /// Sends ten seconds of requests for `a1` from one failure domain, `per_s` in a second.
-    fn ask(&mut self, domain: &str, per_s: f64) {
+    fn send_requests(&mut self, domain: &str, per_s: f64) {
         for _ in 0..(10.0 * per_s) as usize {
             self.now += Duration::from_secs_f64(1.0 / per_s);
             let model = ModelRef::parse("base/a1");
@@ -61,19 +61,19 @@
 // more than half, and thirty need six engines.
 #[rstest]
 #[case::nothing(0.0, 0, 0)]
-#[case::asked_for_by_chance(0.5, 1, 0)]
+#[case::single_request(0.5, 1, 0)]
 #[case::a_third(4.0, 3, 0)]
 #[case::over_half(7.0, 4, 1)]
-#[case::far_too_much(30.0, 8, 4)]
-#[case::short_of_slots(1.0, 11, 2)]
-fn copies_follow_what_an_adapter_takes_of_its_engine(
+#[case::several_engines(30.0, 8, 4)]
+#[case::few_free_slots(1.0, 11, 2)]
+fn number_of_copies_follows_the_share_of_the_engine_an_adapter_uses(
     #[case] per_s: f64,
     #[case] in_flight: u32,
     #[case] copies: usize,
 ) {
     let mut owner = Owner::new();
     if per_s > 0.0 {
-        owner.ask("here", per_s);
+        owner.send_requests("here", per_s);
     }
     assert_eq!(owner.copies(in_flight), copies);
 }
@@ -81,9 +81,9 @@
 // A copy takes at least a quarter of a second to load, and demand here drops only some time later.
 // When further copies were ordered before that, one adapter filled the surrounding engines.
 #[test]
-fn copies_are_not_ordered_again_before_they_can_show() {
+fn copies_are_not_ordered_again_before_they_take_effect() {
     let mut owner = Owner::new();
-    owner.ask("here", 30.0);
+    owner.send_requests("here", 30.0);
     assert_eq!(owner.copies(8), 4);
     assert_eq!(owner.copies(8), 0);
     owner.now += Duration::from_millis(1_100);
@@ -93,15 +93,15 @@
 // In a partition, a failure domain loses its callers' requests in flight at engines of other
 // domains.
 #[test]
-fn a_failure_domain_that_asks_often_gets_a_copy_of_its_own() {
+fn failure_domain_with_frequent_requests_gets_its_own_copy() {
     let mut owner = Owner::new();
-    owner.ask("there", 3.0);
+    owner.send_requests("there", 3.0);
     let place = CopyPlace::Domain("there".into());
     assert_eq!(
         owner.wanted(2).first().map(|wanted| &wanted.place),
         Some(&place)
     );
-    let mut seldom = Owner::new();
-    seldom.ask("there", 1.0);
-    assert_eq!(seldom.wanted(2), []);
+    let mut infrequent = Owner::new();
+    infrequent.send_requests("there", 1.0);
+    assert_eq!(infrequent.wanted(2), []);
 }
--- a/crates/relay/tests/dispatching.rs
+++ b/crates/relay/tests/dispatching.rs
@@ -16,7 +16,7 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 
-struct World {
+struct Fixture {
     dispatcher: Dispatcher,
     now: Instant,
     random: ChaCha8Rng,
@@ -25,7 +25,7 @@
     a1: ModelRef,
 }
 
-impl World {
+impl Fixture {
     fn new(upstreams: impl IntoIterator<Item = Upstream>) -> Self {
         let now = Instant::now();
         let mut dispatcher = Dispatcher::new("here".into());
@@ -77,47 +77,47 @@
 
 #[test]
 fn only_an_engine_with_the_adapter_gets_the_request() {
-    let mut world = World::new([engine("e1", &["a2"]), engine("e2", &["a1"])]);
+    let mut fixture = Fixture::new([engine("e1", &["a2"]), engine("e2", &["a1"])]);
     for _ in 0..50 {
-        assert_eq!(world.choose().unwrap(), "e2");
+        assert_eq!(fixture.choose().unwrap(), "e2");
     }
 }
 
 #[rstest]
 #[case::none_listed(&[], Refusal::NoUpstream)]
 #[case::adapter_absent(&["a2"], Refusal::AdapterAbsent)]
-fn what_is_missing_is_told(#[case] adapters: &[&str], #[case] expected: Refusal) {
+fn refusal_names_what_is_missing(#[case] adapters: &[&str], #[case] expected: Refusal) {
     let listed = (!adapters.is_empty()).then(|| engine("e1", adapters));
-    let mut world = World::new(listed);
-    assert_eq!(world.choose(), Err(expected));
+    let mut fixture = Fixture::new(listed);
+    assert_eq!(fixture.choose(), Err(expected));
 }
 
 // Guards against counting requests instead of prompt tokens: a request would wait behind a long
 // prompt while another engine is free.
 #[test]
-fn the_engine_with_fewer_tokens_to_read_gets_the_request() {
-    let mut world = World::new([engine("e1", &["a1"]), engine("e2", &["a1"])]);
-    world.dispatcher.sent(&"e1".into(), 6_000, world.now);
+fn engine_with_fewer_pending_tokens_gets_the_request() {
+    let mut fixture = Fixture::new([engine("e1", &["a1"]), engine("e2", &["a1"])]);
+    fixture.dispatcher.sent(&"e1".into(), 6_000, fixture.now);
     for _ in 0..3 {
-        world.dispatcher.sent(&"e2".into(), 100, world.now);
+        fixture.dispatcher.sent(&"e2".into(), 100, fixture.now);
     }
-    assert_eq!(world.choose().unwrap(), "e2");
-    world.dispatcher.prompt_read(&"e1".into(), 6_000);
-    world.dispatcher.sent(&"e2".into(), 6_000, world.now);
-    assert_eq!(world.choose().unwrap(), "e1");
+    assert_eq!(fixture.choose().unwrap(), "e2");
+    fixture.dispatcher.prompt_read(&"e1".into(), 6_000);
+    fixture.dispatcher.sent(&"e2".into(), 6_000, fixture.now);
+    assert_eq!(fixture.choose().unwrap(), "e1");
 }
 
 #[test]
-fn what_other_nodes_sent_counts_while_the_news_is_fresh() {
-    let mut world = World::new([engine("e1", &["a1"]), engine("e2", &["a1"])]);
-    world.dispatcher.note_told(
+fn requests_of_other_nodes_count_while_the_report_is_recent() {
+    let mut fixture = Fixture::new([engine("e1", &["a1"]), engine("e2", &["a1"])]);
+    fixture.dispatcher.note_told(
         &"e1".into(),
         &HoldingsTold::Unchanged,
-        report(20_000, world.now),
+        report(20_000, fixture.now),
     );
-    assert_eq!(world.choose().unwrap(), "e2");
-    world.now += Duration::from_secs(5);
-    let chosen: Vec<_> = (0..50).map(|_| world.choose().unwrap()).collect();
+    assert_eq!(fixture.choose().unwrap(), "e2");
+    fixture.now += Duration::from_secs(5);
+    let chosen: Vec<_> = (0..50).map(|_| fixture.choose().unwrap()).collect();
     assert!(chosen.contains(&"e1".to_owned()), "an old report is ignored");
 }
 
@@ -125,75 +125,75 @@
 // back unserved and use up retry budget.
 #[test]
 fn a_late_heartbeat_does_not_bring_back_an_unloaded_adapter() {
-    let mut world = World::new([engine("e1", &["a1"])]);
+    let mut fixture = Fixture::new([engine("e1", &["a1"])]);
     let gone = holdings(&["a2"]);
-    world.dispatcher.note_told(
+    fixture.dispatcher.note_told(
         &"e1".into(),
         &HoldingsTold::Changed(gone),
-        report(0, world.now),
+        report(0, fixture.now),
     );
-    world.now += Duration::from_millis(900);
-    world
+    fixture.now += Duration::from_millis(900);
+    fixture
         .dispatcher
-        .set_upstreams(&list([engine("e1", &["a1"])]), world.now);
-    assert_eq!(world.choose(), Err(Refusal::AdapterAbsent));
+        .set_upstreams(&list([engine("e1", &["a1"])]), fixture.now);
+    assert_eq!(fixture.choose(), Err(Refusal::AdapterAbsent));
     // Without a recent report from the owner, only the list of upstreams is left.
-    world.now += Duration::from_secs(10);
-    world
+    fixture.now += Duration::from_secs(10);
+    fixture
         .dispatcher
-        .set_upstreams(&list([engine("e1", &["a1"])]), world.now);
-    assert_eq!(world.choose().unwrap(), "e1");
+        .set_upstreams(&list([engine("e1", &["a1"])]), fixture.now);
+    assert_eq!(fixture.choose().unwrap(), "e1");
 }
 
 #[test]
-fn an_engine_that_said_it_lacks_the_adapter_is_not_asked_again() {
-    let mut world = World::new([engine("e1", &["a1"])]);
-    let a1 = world.a1.clone();
-    world.dispatcher.note_absent(&"e1".into(), &a1, world.now);
-    assert_eq!(world.choose(), Err(Refusal::AdapterAbsent));
+fn engine_that_reported_a_missing_adapter_gets_no_requests_for_it() {
+    let mut fixture = Fixture::new([engine("e1", &["a1"])]);
+    let a1 = fixture.a1.clone();
+    fixture.dispatcher.note_absent(&"e1".into(), &a1, fixture.now);
+    assert_eq!(fixture.choose(), Err(Refusal::AdapterAbsent));
 }
 
 // The engine's process has ended and another one has taken its address. The list of upstreams shows
 // this only some seconds later.
 #[test]
-fn an_engine_whose_address_was_taken_over_gets_nothing() {
-    let mut world = World::new([engine("e1", &["a1"])]);
-    world.dispatcher.note_gone(&"e1".into(), world.now);
-    world
+fn engine_whose_address_was_taken_over_gets_no_requests() {
+    let mut fixture = Fixture::new([engine("e1", &["a1"])]);
+    fixture.dispatcher.note_gone(&"e1".into(), fixture.now);
+    fixture
         .dispatcher
-        .set_upstreams(&list([engine("e1", &["a1"])]), world.now);
-    assert_eq!(world.choose(), Err(Refusal::NoUpstream));
+        .set_upstreams(&list([engine("e1", &["a1"])]), fixture.now);
+    assert_eq!(fixture.choose(), Err(Refusal::NoUpstream));
 }
 
 // An upstream that answered under a different name once must not be excluded for good.
 #[test]
-fn an_upstream_that_stays_listed_is_tried_again() {
-    let mut world = World::new([engine("e1", &["a1"])]);
-    world.dispatcher.note_gone(&"e1".into(), world.now);
-    world.now += Duration::from_secs(6);
-    assert!(world.choose().is_ok());
+fn upstream_that_stays_listed_is_tried_again() {
+    let mut fixture = Fixture::new([engine("e1", &["a1"])]);
+    fixture.dispatcher.note_gone(&"e1".into(), fixture.now);
+    fixture.now += Duration::from_secs(6);
+    assert!(fixture.choose().is_ok());
 }
 
 #[test]
-fn a_draining_engine_gets_nothing_new() {
+fn draining_engine_gets_no_new_requests() {
     let draining = Upstream {
         state: UpstreamState::Draining { remaining: None },
         ..engine("e1", &["a1"])
     };
-    let mut world = World::new([draining]);
-    assert_eq!(world.choose(), Err(Refusal::NoUpstream));
+    let mut fixture = Fixture::new([draining]);
+    assert_eq!(fixture.choose(), Err(Refusal::NoUpstream));
 }
 
 #[test]
-fn the_named_version_goes_before_an_older_one_and_may_be_demanded() {
+fn announced_version_is_preferred_and_can_be_required() {
     let mut older = engine("e1", &["a1"]);
     older.holdings.models[0].adapters[0].version = 1;
     let mut newer = engine("e2", &["a1"]);
     newer.holdings.models[0].adapters[0].version = 2;
-    let mut world = World::new([older.clone(), newer]);
-    world.dispatcher.sent(&"e2".into(), 5_000, world.now);
+    let mut fixture = Fixture::new([older.clone(), newer]);
+    fixture.dispatcher.sent(&"e2".into(), 5_000, fixture.now);
     assert_eq!(
-        world
+        fixture
             .choose_after(
                 &[],
                 VersionRule {
@@ -204,9 +204,9 @@
             .unwrap(),
         "e2"
     );
-    let mut world = World::new([older]);
+    let mut fixture = Fixture::new([older]);
     assert_eq!(
-        world
+        fixture
             .choose_after(
                 &[],
                 VersionRule {
@@ -217,7 +217,7 @@
             .unwrap(),
         "e1"
     );
-    let demanded = world.choose_after(
+    let demanded = fixture.choose_after(
         &[],
         VersionRule {
             wanted: 2,
@@ -230,96 +230,96 @@
 // An upstream fails half of its requests while its health check passes. As long as it gets its
 // usual share, every second caller gets an error.
 #[test]
-fn an_upstream_that_fails_is_left_alone_and_tried_again() {
-    let mut world = World::new([plain("p1"), plain("p2")]);
+fn failing_upstream_is_paused_and_tried_again() {
+    let mut fixture = Fixture::new([plain("p1"), plain("p2")]);
     for _ in 0..3 {
-        world
+        fixture
             .dispatcher
-            .note_outcome(&"p1".into(), Outcome::Failed, world.now);
+            .note_outcome(&"p1".into(), Outcome::Failed, fixture.now);
     }
     for _ in 0..50 {
-        assert_eq!(world.choose_plain().unwrap(), "p2");
+        assert_eq!(fixture.choose_plain().unwrap(), "p2");
     }
     for _ in 0..10 {
-        world
+        fixture
             .dispatcher
-            .note_outcome(&"p2".into(), Outcome::Answered, world.now);
+            .note_outcome(&"p2".into(), Outcome::Answered, fixture.now);
     }
-    world.now += Duration::from_secs(5);
-    world
+    fixture.now += Duration::from_secs(5);
+    fixture
         .dispatcher
-        .note_outcome(&"p1".into(), Outcome::Answered, world.now);
+        .note_outcome(&"p1".into(), Outcome::Answered, fixture.now);
     for _ in 0..10 {
-        world
+        fixture
             .dispatcher
-            .note_outcome(&"p1".into(), Outcome::Answered, world.now);
+            .note_outcome(&"p1".into(), Outcome::Answered, fixture.now);
     }
-    let chosen: Vec<_> = (0..50).map(|_| world.choose_plain().unwrap()).collect();
+    let chosen: Vec<_> = (0..50).map(|_| fixture.choose_plain().unwrap()).collect();
     assert!(chosen.contains(&"p1".to_owned()), "it is healthy again");
 }
 
 // During a partition, the only upstream on this side was paused after failures, and all others are
 // unreachable. Requests were sent to those and spent 300 ms without an answer.
 #[test]
-fn a_paused_upstream_goes_before_one_behind_a_partition() {
+fn paused_upstream_is_preferred_to_an_unreachable_one() {
     let far = Upstream {
         failure_domain: "there".into(),
         ..plain("far")
     };
-    let mut world = World::new([plain("near"), far]);
-    let heard = world.now;
+    let mut fixture = Fixture::new([plain("near"), far]);
+    let heard = fixture.now;
     let mut domains = DomainsHeard::default();
     domains.note(&"there".into(), heard);
-    world.dispatcher.note_domains_heard(&domains);
-    world.now += Duration::from_secs(1);
-    world.dispatcher.note_unreachable(&"near".into(), world.now);
-    assert_eq!(world.choose_plain().unwrap(), "near");
+    fixture.dispatcher.note_domains_heard(&domains);
+    fixture.now += Duration::from_secs(1);
+    fixture.dispatcher.note_unreachable(&"near".into(), fixture.now);
+    assert_eq!(fixture.choose_plain().unwrap(), "near");
 }
 
 // An engine that crashes may leave its connections open and send nothing. Every request sent there
 // hangs until its deadline while the list of upstreams still shows the engine.
 #[test]
-fn a_silent_engine_gets_no_more_requests() {
-    let mut world = World::new([engine("e1", &["a1"]), engine("e2", &["a1"])]);
-    world.dispatcher.sent(&"e1".into(), 500, world.now);
-    world.now += Duration::from_millis(900);
+fn silent_engine_gets_no_more_requests() {
+    let mut fixture = Fixture::new([engine("e1", &["a1"]), engine("e2", &["a1"])]);
+    fixture.dispatcher.sent(&"e1".into(), 500, fixture.now);
+    fixture.now += Duration::from_millis(900);
     for _ in 0..20 {
-        assert_eq!(world.choose().unwrap(), "e2");
+        assert_eq!(fixture.choose().unwrap(), "e2");
     }
-    world.dispatcher.prompt_read(&"e1".into(), 500);
-    world.dispatcher.sent(&"e2".into(), 4_000, world.now);
-    assert_eq!(world.choose().unwrap(), "e1", "its answer arrived");
+    fixture.dispatcher.prompt_read(&"e1".into(), 500);
+    fixture.dispatcher.sent(&"e2".into(), 4_000, fixture.now);
+    assert_eq!(fixture.choose().unwrap(), "e1", "its answer arrived");
 }
 
 #[test]
-fn with_all_paused_one_is_tried_rather_than_none() {
-    let mut world = World::new([plain("p1")]);
-    world.dispatcher.note_unreachable(&"p1".into(), world.now);
-    assert_eq!(world.choose_plain().unwrap(), "p1");
+fn paused_upstream_is_tried_if_there_is_no_other() {
+    let mut fixture = Fixture::new([plain("p1")]);
+    fixture.dispatcher.note_unreachable(&"p1".into(), fixture.now);
+    assert_eq!(fixture.choose_plain().unwrap(), "p1");
 }
 
 // Answers that cross failure domains are lost when the domains are partitioned.
 #[test]
-fn the_own_failure_domain_goes_first_until_it_is_much_busier() {
-    let mut world = World::new([engine("near", &["a1"]), far_engine("far", &["a1"])]);
-    assert_eq!(world.choose().unwrap(), "near");
-    world.dispatcher.sent(&"near".into(), 4_000, world.now);
-    assert_eq!(world.choose().unwrap(), "far");
+fn own_failure_domain_is_preferred_until_it_is_much_busier() {
+    let mut fixture = Fixture::new([engine("near", &["a1"]), far_engine("far", &["a1"])]);
+    assert_eq!(fixture.choose().unwrap(), "near");
+    fixture.dispatcher.sent(&"near".into(), 4_000, fixture.now);
+    assert_eq!(fixture.choose().unwrap(), "far");
 }
 
 // A restarted engine is empty and idle. It was the first choice for every load although it could
 // not carry it out, and callers were refused for a second.
 #[test]
-fn an_engine_without_the_base_model_is_asked_for_no_adapter() {
+fn engine_without_the_base_model_is_not_asked_to_load_adapters() {
     let mut empty = engine("e1", &[]);
     empty.holdings.models.clear();
-    let world = World::new([empty, engine("e2", &[])]);
-    let engines = world.dispatcher.engines_to_load(
-        &world.engines,
-        &world.a1,
+    let fixture = Fixture::new([empty, engine("e2", &[])]);
+    let engines = fixture.dispatcher.engines_to_load(
+        &fixture.engines,
+        &fixture.a1,
         VersionRule::ANY,
         &CopyPlace::Anywhere,
-        world.now,
+        fixture.now,
     );
     let ids: Vec<_> = engines.iter().map(|place| place.engine.as_str()).collect();
     assert_eq!(ids, ["e2"]);
@@ -328,19 +328,19 @@
 // Three nodes miss the same adapter within the time of one load. Each selected the engine that
 // looked idle to it, and the adapter was loaded three times.
 #[test]
-fn the_engine_that_loads_an_adapter_already_goes_first() {
-    let mut world = World::new([engine("e1", &[]), engine("e2", &[])]);
-    let mut told = report(9_000, world.now);
-    told.coming = vec![world.a1.digest()];
-    world
+fn engine_already_loading_the_adapter_is_preferred() {
+    let mut fixture = Fixture::new([engine("e1", &[]), engine("e2", &[])]);
+    let mut told = report(9_000, fixture.now);
+    told.coming = vec![fixture.a1.digest()];
+    fixture
         .dispatcher
         .note_told(&"e2".into(), &HoldingsTold::Unchanged, told);
-    let mut engines = world.dispatcher.engines_to_load(
-        &world.engines,
-        &world.a1,
+    let mut engines = fixture.dispatcher.engines_to_load(
+        &fixture.engines,
+        &fixture.a1,
         VersionRule::ANY,
         &CopyPlace::Anywhere,
-        world.now,
+        fixture.now,
     );
     engines.sort_by(|a, b| a.wait_ms.total_cmp(&b.wait_ms));
     assert_eq!(engines[0].engine.as_str(), "e2");
@@ -350,38 +350,38 @@
 // The engine holding the adapter is busy, and a long prompt would wait two seconds there. Idle
 // engines could load the adapter in a third of a second.
 #[test]
-fn a_long_queue_is_left_for_an_engine_that_is_free() {
-    let mut world = World::new([engine("e1", &["a1"]), engine("e2", &[])]);
-    let elsewhere = |world: &World, expected_ms: f64| {
+fn long_queue_is_left_for_a_load_on_an_idle_engine() {
+    let mut fixture = Fixture::new([engine("e1", &["a1"]), engine("e2", &[])]);
+    let elsewhere = |fixture: &Fixture, expected_ms: f64| {
         let need = Need {
-            service: &world.engines,
-            model: Some(&world.a1),
+            service: &fixture.engines,
+            model: Some(&fixture.a1),
             version: VersionRule::ANY,
             prompt_tokens: 1_400,
             prompt: &PromptChain::default(),
             tried: &[],
         };
-        let dispatcher = &world.dispatcher;
-        dispatcher.is_sooner_elsewhere(&need, expected_ms, world.now)
+        let dispatcher = &fixture.dispatcher;
+        dispatcher.is_sooner_elsewhere(&need, expected_ms, fixture.now)
     };
-    assert!(elsewhere(&world, 2_000.0));
-    assert!(!elsewhere(&world, 300.0), "it is answered in time where it is");
-    world.dispatcher.sent(&"e2".into(), 30_000, world.now);
-    assert!(!elsewhere(&world, 2_000.0), "no engine is idle");
+    assert!(elsewhere(&fixture, 2_000.0));
+    assert!(!elsewhere(&fixture, 300.0), "it is answered in time where it is");
+    fixture.dispatcher.sent(&"e2".into(), 30_000, fixture.now);
+    assert!(!elsewhere(&fixture, 2_000.0), "no engine is idle");
 }
 
 // After a cold start, every failure domain loaded the same popular adapters itself while the weight
 // store was the bottleneck. Once loads are quick, they stay in the domain.
 #[test]
-fn loads_stay_in_the_domain_only_while_they_are_quick() {
-    let mut world = World::new([engine("near", &[]), far_engine("far", &[])]);
-    let difference = |world: &World| {
-        let engines = world.dispatcher.engines_to_load(
-            &world.engines,
-            &world.a1,
+fn loads_stay_in_the_failure_domain_only_while_they_are_quick() {
+    let mut fixture = Fixture::new([engine("near", &[]), far_engine("far", &[])]);
+    let difference = |fixture: &Fixture| {
+        let engines = fixture.dispatcher.engines_to_load(
+            &fixture.engines,
+            &fixture.a1,
             VersionRule::ANY,
             &CopyPlace::Anywhere,
-            world.now,
+            fixture.now,
         );
         let cost = |wanted: &str| {
             let mut engines = engines.iter();
@@ -392,86 +392,86 @@
         };
         cost("far") - cost("near")
     };
-    assert!(difference(&world) < 100.0);
+    assert!(difference(&fixture) < 100.0);
     let mut times = LoadTimes::default();
     times.note(Duration::from_millis(380), 1.0);
-    world.dispatcher.set_load_times(&times);
-    assert!(difference(&world) > 300.0);
+    fixture.dispatcher.set_load_times(&times);
+    assert!(difference(&fixture) > 300.0);
 }
 
 // On a busy day four loads in ten were of adapters that some engine had dropped. Each took a full
 // load on another engine, while the one that dropped it needs a tenth of that. With half a second
 // of queue there, the callers would still be late.
 #[test]
-fn an_engine_that_held_the_adapter_a_while_ago_is_asked_first() {
-    let mut world = World::new([engine("e1", &["a1"]), engine("e2", &["a2"])]);
-    let now = world.now;
+fn engine_that_dropped_the_adapter_recently_is_preferred() {
+    let mut fixture = Fixture::new([engine("e1", &["a1"]), engine("e2", &["a2"])]);
+    let now = fixture.now;
     let told = |adapters: &[&str]| holdings(adapters);
-    world
+    fixture
         .dispatcher
         .note_holdings(&"e1".into(), &told(&["a3"]), now);
-    let first = |world: &World| {
-        let mut engines = world.dispatcher.engines_to_load(
-            &world.engines,
-            &world.a1,
+    let first = |fixture: &Fixture| {
+        let mut engines = fixture.dispatcher.engines_to_load(
+            &fixture.engines,
+            &fixture.a1,
             VersionRule::ANY,
             &CopyPlace::Anywhere,
-            world.now,
+            fixture.now,
         );
         engines.sort_by(|a, b| a.wait_ms.total_cmp(&b.wait_ms));
         (engines[0].engine.to_string(), engines[0].is_recent)
     };
-    assert_eq!(first(&world), ("e1".to_owned(), true));
-    world.dispatcher.sent(&"e1".into(), 6_000, now);
-    assert_eq!(first(&world).0, "e1", "300 ms of pending prompts");
-    world.dispatcher.sent(&"e1".into(), 8_000, now);
-    assert_eq!(first(&world), ("e2".to_owned(), false), "700 ms of pending prompts");
+    assert_eq!(first(&fixture), ("e1".to_owned(), true));
+    fixture.dispatcher.sent(&"e1".into(), 6_000, now);
+    assert_eq!(first(&fixture).0, "e1", "300 ms of pending prompts");
+    fixture.dispatcher.sent(&"e1".into(), 8_000, now);
+    assert_eq!(first(&fixture), ("e2".to_owned(), false), "700 ms of pending prompts");
 }
 
 // A newer version was announced since. The engine can only restore the older one, and the newer has
 // to come from the weight store.
 #[test]
-fn an_older_version_that_was_dropped_is_no_copy() {
-    let mut world = World::new([engine("e1", &["a1"])]);
-    let now = world.now;
-    world
+fn dropped_adapter_of_an_older_version_does_not_count() {
+    let mut fixture = Fixture::new([engine("e1", &["a1"])]);
+    let now = fixture.now;
+    fixture
         .dispatcher
         .note_holdings(&"e1".into(), &holdings(&[]), now);
-    let tracked = world.dispatcher.tracked(&"e1".into()).unwrap();
-    assert!(tracked.held_lately(&world.a1, VersionRule::ANY));
+    let tracked = fixture.dispatcher.tracked(&"e1".into()).unwrap();
+    assert!(tracked.dropped_recently(&fixture.a1, VersionRule::ANY));
     let newer = VersionRule {
         wanted: 2,
         least: 1,
     };
-    assert!(!tracked.held_lately(&world.a1, newer));
+    assert!(!tracked.dropped_recently(&fixture.a1, newer));
 }
 
 // An engine's owner reports loads and unloads at once, while the list of upstreams shows them a
 // second or two later. Using the list alone, adapters were loaded again elsewhere (637 adapters on
 // a busy day with 140 engines), and requests went to engines that had unloaded theirs.
 #[test]
-fn what_came_and_went_goes_before_the_list() {
-    let mut world = World::new([engine("e1", &[]), engine("e2", &["a1"])]);
-    let told = |world: &mut World, id: &str, is_held: bool| {
-        let mut news = report(0, world.now);
+fn reported_loads_and_unloads_override_the_list() {
+    let mut fixture = Fixture::new([engine("e1", &[]), engine("e2", &["a1"])]);
+    let told = |fixture: &mut Fixture, id: &str, is_held: bool| {
+        let mut news = report(0, fixture.now);
         news.moved = vec![AdapterMove {
-            model: world.a1.digest(),
+            model: fixture.a1.digest(),
             is_held,
         }];
-        world
+        fixture
             .dispatcher
             .note_told(&id.into(), &HoldingsTold::Unchanged, news);
         let list = list([engine("e1", &[]), engine("e2", &["a1"])]);
-        world.dispatcher.set_upstreams(&list, world.now);
+        fixture.dispatcher.set_upstreams(&list, fixture.now);
     };
-    told(&mut world, "e1", true);
-    told(&mut world, "e2", false);
+    told(&mut fixture, "e1", true);
+    told(&mut fixture, "e2", false);
     for _ in 0..20 {
-        assert_eq!(world.choose().unwrap(), "e1");
+        assert_eq!(fixture.choose().unwrap(), "e1");
     }
-    world.now += Duration::from_secs(3);
+    fixture.now += Duration::from_secs(3);
     assert_eq!(
-        world.choose().unwrap(),
+        fixture.choose().unwrap(),
         "e2",
         "the list is up to date by now"
     );
@@ -480,28 +480,28 @@
 // On engines with few slots and long answers, slots run out before prompt processing does. When
 // only prompts were counted, a queue grew to several seconds while other engines were idle.
 #[test]
-fn an_engine_without_a_free_slot_is_expected_to_be_slow() {
+fn engine_without_a_free_slot_is_expected_to_be_slow() {
     let few = |id: &str| Upstream {
         slots: 12,
         ..engine(id, &["a1"])
     };
-    let mut world = World::new([few("e1"), few("e2")]);
+    let mut fixture = Fixture::new([few("e1"), few("e2")]);
     for _ in 0..200 {
-        world.dispatcher.note_run(Duration::from_secs(2));
+        fixture.dispatcher.note_run(Duration::from_secs(2));
     }
     for _ in 0..12 {
-        world.dispatcher.sent(&"e1".into(), 10, world.now);
+        fixture.dispatcher.sent(&"e1".into(), 10, fixture.now);
     }
-    let expected_ms = |world: &World, id: &str| {
-        let tracked = world.dispatcher.tracked(&id.into()).unwrap();
-        tracked.expected_first_event_ms(10, world.now)
+    let expected_ms = |fixture: &Fixture, id: &str| {
+        let tracked = fixture.dispatcher.tracked(&id.into()).unwrap();
+        tracked.expected_first_event_ms(10, fixture.now)
     };
-    let difference_ms = expected_ms(&world, "e1") - expected_ms(&world, "e2");
+    let difference_ms = expected_ms(&fixture, "e1") - expected_ms(&fixture, "e2");
     assert!(
         difference_ms > 150.0,
         "a slot becomes free in 2 s / 12: {difference_ms}"
     );
-    assert_eq!(world.choose().unwrap(), "e2");
+    assert_eq!(fixture.choose().unwrap(), "e2");
 }
 
 // Engines may process prompts twice as fast as assumed, or half as fast. Without learning this,
@@ -511,23 +511,23 @@
 #[case::twice_as_fast(0.5)]
 #[case::half_as_fast(2.0)]
 #[case::five_times_as_slow(5.0)]
-fn the_pace_of_engines_is_told_by_their_answers(#[case] pace: f64) {
-    let mut world = World::new((0..8).map(|number| engine(&format!("e{number}"), &["a1"])));
-    let assumed_ms = |world: &World, id: &UpstreamId| {
-        let tracked = world.dispatcher.tracked(id).unwrap();
-        tracked.expected_first_event_ms(1_000, world.now)
+fn latency_factor_is_learned_from_answers(#[case] latency_factor: f64) {
+    let mut fixture = Fixture::new((0..8).map(|number| engine(&format!("e{number}"), &["a1"])));
+    let assumed_ms = |fixture: &Fixture, id: &UpstreamId| {
+        let tracked = fixture.dispatcher.tracked(id).unwrap();
+        tracked.expected_first_event_ms(1_000, fixture.now)
     };
     let idle: UpstreamId = "e7".into();
-    let first_ms = assumed_ms(&world, &idle);
+    let first_ms = assumed_ms(&fixture, &idle);
     for answer in 0..400 {
         let id: UpstreamId = format!("e{}", answer % 7).into();
-        let expected_ms = assumed_ms(&world, &id);
-        let took = Duration::from_secs_f64(first_ms * pace / 1_000.0);
-        let now = world.now;
-        world.dispatcher.answer_began(&id, expected_ms, took, now);
-        world.now += Duration::from_millis(50);
+        let expected_ms = assumed_ms(&fixture, &id);
+        let took = Duration::from_secs_f64(first_ms * latency_factor / 1_000.0);
+        let now = fixture.now;
+        fixture.dispatcher.answer_began(&id, expected_ms, took, now);
+        fixture.now += Duration::from_millis(50);
     }
-    let told = assumed_ms(&world, &idle) / (first_ms * pace);
+    let told = assumed_ms(&fixture, &idle) / (first_ms * latency_factor);
     assert!(
         (0.8..=1.25).contains(&told),
         "an engine without answers is expected to take {told} times its actual time"
@@ -537,41 +537,41 @@
 // A node of a large fleet asked an engine without a free adapter slot, lost a round trip and asked
 // the next one, four times. Then its caller was refused although other engines had free slots.
 #[test]
-fn engines_with_a_free_place_are_asked_before_those_without() {
-    let mut world = World::new([engine("e1", &[]), engine("e2", &[]), engine("e3", &[])]);
+fn engines_with_a_free_adapter_slot_are_preferred_for_loads() {
+    let mut fixture = Fixture::new([engine("e1", &[]), engine("e2", &[]), engine("e3", &[])]);
     for (id, room) in [("e1", 0), ("e2", 3), ("e3", 0)] {
-        let told = report_of_room(room, world.now);
-        world
+        let told = report_with_room(room, fixture.now);
+        fixture
             .dispatcher
             .note_told(&id.into(), &HoldingsTold::Unchanged, told);
     }
-    let asked = |world: &World| {
+    let candidates = |fixture: &Fixture| {
         let place = &CopyPlace::Anywhere;
-        let (service, model) = (&world.engines, &world.a1);
-        let dispatcher = &world.dispatcher;
+        let (service, model) = (&fixture.engines, &fixture.a1);
+        let dispatcher = &fixture.dispatcher;
         let engines =
-            dispatcher.engines_to_load(service, model, VersionRule::ANY, place, world.now);
+            dispatcher.engines_to_load(service, model, VersionRule::ANY, place, fixture.now);
         let ids = engines.into_iter().map(|place| place.engine.to_string());
         let mut ids: Vec<String> = ids.collect();
         ids.sort();
         ids
     };
-    assert_eq!(asked(&world), ["e2"]);
+    assert_eq!(candidates(&fixture), ["e2"]);
     // If none had a free slot in the last report, one may have become free since.
-    let full = report_of_room(0, world.now);
-    world
+    let full = report_with_room(0, fixture.now);
+    fixture
         .dispatcher
         .note_told(&"e2".into(), &HoldingsTold::Unchanged, full);
-    assert_eq!(asked(&world), ["e1", "e2", "e3"]);
+    assert_eq!(candidates(&fixture), ["e1", "e2", "e3"]);
 }
 
 // A node of a large fleet may use no engine of another failure domain for a while and so hear
 // nothing from it. The engines there are healthy, and hold adapters that would otherwise be loaded
 // again here.
 #[test]
-fn a_failure_domain_that_others_hear_is_not_cut_off() {
-    let mut world = World::new([far_engine("e1", &["a1"])]);
-    let (there, began) = ("there".into(), world.now);
+fn failure_domain_that_other_nodes_hear_is_not_unreachable() {
+    let mut fixture = Fixture::new([far_engine("e1", &["a1"])]);
+    let (there, began) = ("there".into(), fixture.now);
     let mut reader = DomainsHeard::default();
     let mut node = DomainsHeard::default();
     for tick in 0..30 {
@@ -580,12 +580,12 @@
             reader.note(&there, now);
         }
         node.take(&reader.ages(now), now);
-        world.now = now;
-        world.dispatcher.note_domains_heard(&node);
-        let is_cut_off = tick >= 24;
+        fixture.now = now;
+        fixture.dispatcher.note_domains_heard(&node);
+        let is_unreachable = tick >= 24;
         assert_eq!(
-            world.choose().is_err(),
-            is_cut_off,
+            fixture.choose().is_err(),
+            is_unreachable,
             "after {tick} exchanges"
         );
     }
@@ -597,26 +597,26 @@
 #[rstest]
 #[case::the_load_alone(HoldingsTold::Untold, true)]
 #[case::that_nothing_changed(HoldingsTold::Unchanged, false)]
-fn news_of_the_load_alone_does_not_confirm_what_an_engine_holds(
+fn load_report_alone_does_not_confirm_holdings(
     #[case] told: HoldingsTold,
-    #[case] is_list_believed: bool,
+    #[case] is_list_used: bool,
 ) {
-    let mut world = World::new([engine("e1", &[])]);
+    let mut fixture = Fixture::new([engine("e1", &[])]);
     let before = HoldingsTold::Changed(holdings(&["a9"]));
-    world
+    fixture
         .dispatcher
-        .note_told(&"e1".into(), &before, report(0, world.now));
+        .note_told(&"e1".into(), &before, report(0, fixture.now));
     for _ in 0..40 {
-        world.now += Duration::from_millis(100);
-        let report = report(0, world.now);
-        world.dispatcher.note_told(&"e1".into(), &told, report);
+        fixture.now += Duration::from_millis(100);
+        let report = report(0, fixture.now);
+        fixture.dispatcher.note_told(&"e1".into(), &told, report);
     }
     let listed = list([engine("e1", &["a1"])]);
-    world.dispatcher.set_upstreams(&listed, world.now);
-    assert_eq!(world.choose().is_ok(), is_list_believed);
+    fixture.dispatcher.set_upstreams(&listed, fixture.now);
+    assert_eq!(fixture.choose().is_ok(), is_list_used);
 }
 
-fn report_of_room(room: u32, taken: Instant) -> Report {
+fn report_with_room(room: u32, taken: Instant) -> Report {
     Report {
         room,
         ..report(0, taken)
@@ -626,19 +626,19 @@
 // With engines twice as fast as assumed, a base model's work appeared to be twice what it was, and
 // it took engines from models that were in demand.
 #[test]
-fn what_a_prompt_takes_of_an_engine_follows_the_pace_of_engines() {
-    let mut world = World::new([engine("e1", &["a1"])]);
+fn engine_time_of_a_prompt_follows_the_latency_factor() {
+    let mut fixture = Fixture::new([engine("e1", &["a1"])]);
     let id = "e1".into();
-    let assumed_ms = world.dispatcher.engine_ms(&world.engines, 10_000);
+    let assumed_ms = fixture.dispatcher.engine_ms(&fixture.engines, 10_000);
     for _ in 0..400 {
-        let tracked = world.dispatcher.tracked(&id).unwrap();
-        let expected_ms = tracked.expected_first_event_ms(10_000, world.now);
-        world
+        let tracked = fixture.dispatcher.tracked(&id).unwrap();
+        let expected_ms = tracked.expected_first_event_ms(10_000, fixture.now);
+        fixture
             .dispatcher
-            .answer_began(&id, expected_ms, Duration::from_millis(260), world.now);
+            .answer_began(&id, expected_ms, Duration::from_millis(260), fixture.now);
     }
-    let learned_ms = world.dispatcher.engine_ms(&world.engines, 10_000);
-    let plain_ms = world.dispatcher.engine_ms(&world.engines, 0);
+    let learned_ms = fixture.dispatcher.engine_ms(&fixture.engines, 10_000);
+    let plain_ms = fixture.dispatcher.engine_ms(&fixture.engines, 0);
     let reading = (learned_ms - plain_ms) / (assumed_ms - plain_ms);
     assert!((0.45..0.55).contains(&reading), "{reading}");
 }
--- a/crates/relay/tests/heavy_load.rs
+++ b/crates/relay/tests/heavy_load.rs
@@ -22,12 +22,12 @@
     slow: f64,
     free_at_ms: f64,
     /// Pending requests: time of the first event, time of sending, prompt tokens, expected wait.
-    reading: VecDeque<(f64, f64, u64, f64)>,
+    pending: VecDeque<(f64, f64, u64, f64)>,
 }
 
 /// Simulates 60 s of 50 requests a second on six engines, one of them five times slower than the
 /// others. Returns the sorted waits in milliseconds.
-fn play(
+fn simulate(
     mut choose: impl FnMut(&mut Dispatcher, &Need<'_>, Instant, &mut ChaCha8Rng) -> usize,
 ) -> Vec<f64> {
     let names: Vec<String> = (0..6).map(|index| format!("e{index}")).collect();
@@ -39,7 +39,7 @@
         .map(|index| Engine {
             slow: if index == 0 { 5.0 } else { 1.0 },
             free_at_ms: 0.0,
-            reading: VecDeque::new(),
+            pending: VecDeque::new(),
         })
         .collect();
     let (service, model) = ("engines".into(), ModelRef::parse("base/a1"));
@@ -50,11 +50,11 @@
         at_ms += -(1.0 - random.random::<f64>()).ln() * 1_000.0 / 50.0;
         let now = began + Duration::from_secs_f64(at_ms / 1_000.0);
         for (engine, id) in engines.iter_mut().zip(&ids) {
-            while let Some(&(done_ms, sent_ms, tokens, expected_ms)) = engine.reading.front() {
+            while let Some(&(done_ms, sent_ms, tokens, expected_ms)) = engine.pending.front() {
                 if done_ms > at_ms {
                     break;
                 }
-                engine.reading.pop_front();
+                engine.pending.pop_front();
                 let took = Duration::from_secs_f64((done_ms - sent_ms) / 1_000.0);
                 dispatcher.prompt_read(id, tokens);
                 dispatcher.answer_began(id, expected_ms, took, now);
@@ -85,7 +85,7 @@
         engine.free_at_ms = engine.free_at_ms.max(at_ms) + reading_ms;
         let done_ms = engine.free_at_ms + 15.0;
         engine
-            .reading
+            .pending
             .push_back((done_ms, at_ms, tokens, expected_ms));
         waits.push(done_ms - at_ms);
     }
@@ -99,14 +99,14 @@
 
 // Six engines, one of them slow, get 50 prompts a second. With random selection the slow engine's
 // queue grows without bound, and one caller in six never gets an answer: 0.827 get their first
-// event within 600 ms. With selection by pending tokens and observed slowness, all do.
+// event within 600 ms. With selection by pending tokens and observed slowdown, all do.
 #[test]
-fn a_slow_engine_holds_up_few_callers() {
-    let by_decision = play(|dispatcher, need, now, random| {
+fn slow_engine_delays_few_callers() {
+    let by_decision = simulate(|dispatcher, need, now, random| {
         let choice = dispatcher.choose(need, now, random).unwrap();
         choice.upstream.id.as_str()[1..].parse().unwrap()
     });
-    let at_random = play(|_, _, _, random| random.random_range(0..6));
+    let at_random = simulate(|_, _, _, random| random.random_range(0..6));
     let (decided, random) = (
         share_within(&by_decision, 600.0),
         share_within(&at_random, 600.0),
--- a/crates/relay/tests/load_queue.rs
+++ b/crates/relay/tests/load_queue.rs
@@ -55,7 +55,7 @@
 // Several routine requests miss their adapters at an engine before an urgent one does. In order of
 // arrival, the urgent caller would wait for all their loads, one after the other.
 #[test]
-fn the_load_of_an_urgent_request_does_not_wait_behind_those_of_routine_ones() {
+fn urgent_load_does_not_wait_for_routine_ones() {
     let mut queue = LoadQueue::default();
     let routine: Vec<LoadTicket> = (0..3)
         .map(|index| queue.join(load(index, 2)).unwrap())
@@ -79,7 +79,7 @@
 // A fifth load would take over a second, too late for any latency objective, so its caller is
 // refused at once. A further request for an adapter that is already queued costs nothing.
 #[test]
-fn a_load_that_would_come_too_late_is_refused_at_once() {
+fn load_that_would_be_too_late_is_refused_at_once() {
     let mut queue = LoadQueue::default();
     for index in 0..4 {
         queue.join(load(index, 1)).unwrap();
@@ -92,7 +92,7 @@
 // Extrapolated to all 78, the weight store looked saturated: the owner ordered nothing for four
 // seconds while its engine was idle and callers gave up.
 #[test]
-fn an_idle_engine_loads_whatever_its_owner_heard_of_others() {
+fn idle_engine_loads_regardless_of_reported_loads_elsewhere() {
     let mut queue = LoadQueue::default();
     let first = queue.join(load(0, 1)).unwrap();
     let heard = store_use(0, 156.0);
@@ -107,7 +107,7 @@
 #[rstest]
 #[case::on_its_way(&[], &[0])]
 #[case::there(&["a0"], &[])]
-fn who_waits_for_an_adapter_that_another_had_loaded_waits_no_longer(
+fn load_is_not_needed_once_another_request_loaded_the_adapter(
     #[case] held: &[&str],
     #[case] coming: &[usize],
 ) {
@@ -145,7 +145,7 @@
 // An adapter that the engine dropped a moment ago is restored from host memory in 25 ms. Behind
 // loads from the weight store, its callers would wait ten times as long.
 #[test]
-fn what_the_engine_has_at_hand_passes_by_loads_from_the_store() {
+fn loads_from_host_memory_skip_the_queue() {
     let mut queue = LoadQueue::default();
     queue.join(load(0, 0)).unwrap();
     let recent = WaitingLoad {
@@ -169,7 +169,7 @@
     // as late as all others. At most one load from the weight store may be ordered, the most urgent
     // one, and no copy while misses saturate the store.
     #[test]
-    fn one_load_goes_next_and_none_more_urgent_waits(
+    fn only_the_most_urgent_load_is_ordered(
         waiting in prop::collection::vec((0usize..6, 0u8..3, any::<bool>()), 1..5),
         at_engine in 0usize..4,
         transfers in 0usize..6,
@@ -208,7 +208,7 @@
 /// Simulates a minute of misses at one engine that runs one load of 250 ms at a time; one miss in
 /// five is urgent. Returns the sorted times in milliseconds that urgent and routine loads waited
 /// for their order.
-fn play(rank_of: impl Fn(bool) -> u8) -> (Vec<f64>, Vec<f64>) {
+fn simulate(rank_of: impl Fn(bool) -> u8) -> (Vec<f64>, Vec<f64>) {
     const LOAD_MS: f64 = 250.0;
     const MISSES_PER_S: f64 = 3.6;
     let mut random = ChaCha8Rng::seed_from_u64(5);
@@ -243,7 +243,7 @@
     (urgent, routine)
 }
 
-fn at_share(waits_ms: &[f64], share: f64) -> f64 {
+fn quantile(waits_ms: &[f64], share: f64) -> f64 {
     waits_ms[((waits_ms.len() - 1) as f64 * share) as usize]
 }
 
@@ -251,11 +251,11 @@
 // arrival, nine in ten urgent loads wait for up to 780 ms, and by priority for up to 190 ms. The
 // limit is the time of two loads.
 #[test]
-fn urgent_loads_wait_for_less_than_two_others_on_a_busy_engine() {
-    let (urgent, routine) = play(|is_urgent| if is_urgent { 0 } else { 2 });
-    let (as_they_came, _) = play(|_| 1);
-    let (ranked_ms, unranked_ms) = (at_share(&urgent, 0.9), at_share(&as_they_came, 0.9));
+fn urgent_loads_wait_less_than_two_load_times_on_a_busy_engine() {
+    let (urgent, routine) = simulate(|is_urgent| if is_urgent { 0 } else { 2 });
+    let (unranked, _) = simulate(|_| 1);
+    let (ranked_ms, unranked_ms) = (quantile(&urgent, 0.9), quantile(&unranked, 0.9));
     assert!(ranked_ms < 500.0, "{ranked_ms}");
     assert!(unranked_ms > 500.0, "{unranked_ms}");
-    assert!(at_share(&routine, 0.5) < 750.0);
+    assert!(quantile(&routine, 0.5) < 750.0);
 }
--- a/crates/relay/tests/load_times.rs
+++ b/crates/relay/tests/load_times.rs
@@ -11,40 +11,40 @@
 use rstest::rstest;
 
 /// Result of a simulation.
-struct Played {
+struct Simulated {
     /// Median time from the order of a load until the adapter was used, in milliseconds.
     wait_ms: f64,
     /// Fraction of loads whose adapter was used too early.
-    early: f64,
+    too_early: f64,
 }
 
-/// Simulates `loads` loads that take `load_ms` each and are reported `lag_ms` later. A request is
+/// Simulates `loads` loads that take `load_ms` each and are reported `delay_ms` later. A request is
 /// sent when the load is expected to be done. If it is not, the request comes back and waits for
 /// the report. The first 40 loads are not counted.
-fn play(load_ms: f64, lag_ms: f64, loads: usize) -> Played {
+fn simulate(load_ms: f64, delay_ms: f64, loads: usize) -> Simulated {
     const FIRST: usize = 40;
     let mut random = ChaCha8Rng::seed_from_u64(23);
     let mut times = LoadTimes::default();
-    let (mut waits_ms, mut early) = (Vec::new(), 0);
+    let (mut waits_ms, mut too_early) = (Vec::new(), 0);
     for load in 0..loads {
         let took_ms = load_ms * random.random_range(0.98..1.02);
-        let reported_ms = took_ms + lag_ms * random.random_range(0.7..1.3);
-        let relied_ms = times.usual(1.0).as_secs_f64() * 1_000.0;
+        let reported_ms = took_ms + delay_ms * random.random_range(0.7..1.3);
+        let expected_ms = times.usual(1.0).as_secs_f64() * 1_000.0;
         times.note_relied();
-        let is_early = relied_ms < took_ms;
-        if is_early {
+        let is_too_early = expected_ms < took_ms;
+        if is_too_early {
             times.note_early();
         }
         times.note(Duration::from_secs_f64(reported_ms / 1_000.0), 1.0);
         if load >= FIRST {
-            early += usize::from(is_early);
-            waits_ms.push(if is_early { reported_ms } else { relied_ms });
+            too_early += usize::from(is_too_early);
+            waits_ms.push(if is_too_early { reported_ms } else { expected_ms });
         }
     }
     waits_ms.sort_by(f64::total_cmp);
-    Played {
+    Simulated {
         wait_ms: waits_ms[waits_ms.len() / 2],
-        early: early as f64 / waits_ms.len() as f64,
+        too_early: too_early as f64 / waits_ms.len() as f64,
     }
 }
 
@@ -59,9 +59,9 @@
 #[case::large(500.0)]
 #[case::huge(1_500.0)]
 fn requests_are_sent_when_the_load_is_done(#[case] load_ms: f64) {
-    let played = play(load_ms, 150.0, 400);
-    assert!(played.early < 0.1, "{}", played.early);
-    let late = played.wait_ms / load_ms;
+    let simulated = simulate(load_ms, 150.0, 400);
+    assert!(simulated.too_early < 0.1, "{}", simulated.too_early);
+    let late = simulated.wait_ms / load_ms;
     assert!((1.0..1.1).contains(&late), "{late}");
 }
 
@@ -76,7 +76,7 @@
     // Whatever engines report and however requests end, the expected load time stays between its
     // bounds and grows with the number of concurrent loads.
     #[test]
-    fn a_load_is_always_expected_to_end(
+    fn expected_load_time_stays_within_bounds(
         events in prop::collection::vec((0u8..3, 1u64..20_000, 0.0f64..500.0), 0..300),
     ) {
         let mut times = LoadTimes::default();
--- a/crates/relay/tests/model_plan.rs
+++ b/crates/relay/tests/model_plan.rs
@@ -24,7 +24,7 @@
     failure_domain: FailureDomain,
     models: Vec<String>,
     is_changing: bool,
-    is_cut_off: bool,
+    is_owner_unreachable: bool,
     at_hand: AtHand,
 }
 
@@ -37,7 +37,7 @@
             failure_domain: format!("d-{}", number % 2).into(),
             models: model.split_whitespace().map(str::to_owned).collect(),
             is_changing: false,
-            is_cut_off: false,
+            is_owner_unreachable: false,
             at_hand: AtHand::default(),
         });
         Self {
@@ -59,7 +59,7 @@
             id: &engine.id,
             failure_domain: &engine.failure_domain,
             models: engine.models.iter().map(|name| hosted(name)).collect(),
-            can_change: !engine.is_cut_off,
+            can_change: !engine.is_owner_unreachable,
             is_changing: engine.is_changing,
             uses_store: engine.is_changing,
             busy_share: 0.0,
@@ -126,7 +126,7 @@
 // Callers request a model that no engine holds. Unless an engine loads it, all of them are refused,
 // even with idle engines.
 #[test]
-fn a_model_that_is_asked_for_and_held_nowhere_is_loaded_at_once() {
+fn model_in_demand_without_holder_is_loaded_at_once() {
     let fleet = Fleet::new(3, &["m0", "m0", "m1"]);
     let changes = fleet.plan(work(&[("m0", 0.1), ("m2", 0.02)]));
     assert_eq!(changes.len(), 1);
@@ -138,7 +138,7 @@
 // A model's only engine gets two seconds of work per second. Its callers wait ever longer while
 // other engines are almost idle.
 #[test]
-fn a_model_with_too_much_work_gets_engines_until_it_has_enough() {
+fn overloaded_model_gets_enough_engines() {
     let mut fleet = Fleet::new(2, &["m0", "m0", "m0", "m0", "m0", "m1"]);
     fleet.settle(work(&[("m0", 0.2), ("m1", 1.9)]));
     assert!(fleet.holders("m1") >= 4);
@@ -148,7 +148,7 @@
 // All engines of a model are in one failure domain. If that is cut off, several requests a second
 // in the other domains wait for a load.
 #[test]
-fn what_is_asked_for_all_the_time_is_held_in_two_failure_domains() {
+fn model_in_steady_demand_is_held_in_two_failure_domains() {
     let mut fleet = Fleet::new(2, &["m0", "m1", "m0", "m1"]);
     fleet.settle(work(&[("m0", 0.25), ("m1", 0.0)]));
     let holds_m0 = |engine: &&Engine| engine.models.iter().any(|held| held == "m0");
@@ -165,10 +165,10 @@
 // must not keep replacing each other: each replacement costs a load, and all requests there wait
 // for it.
 #[test]
-fn where_room_is_short_much_more_demand_is_needed_to_take_a_place() {
+fn replacing_a_model_needs_much_more_demand() {
     let fleet = Fleet::new(3, &["m0", "m1"]);
-    let alike = fleet.plan(work(&[("m0", 0.2), ("m1", 0.1), ("m2", 0.2)]));
-    assert_eq!(alike, [], "twice the demand is not enough");
+    let similar = fleet.plan(work(&[("m0", 0.2), ("m1", 0.1), ("m2", 0.2)]));
+    assert_eq!(similar, [], "twice the demand is not enough");
     let more = fleet.plan(work(&[("m0", 0.2), ("m1", 0.05), ("m2", 0.2)]));
     assert_eq!(&*more[0].unload[0], "m1");
 }
@@ -176,13 +176,13 @@
 // All engines share the weight store, and loads beyond its limit break an agreement with the
 // platform. Copies on an engine's disk don't count towards that limit.
 #[test]
-fn a_copy_at_hand_goes_before_the_weight_store_and_beside_its_limit() {
+fn local_copy_is_preferred_and_exempt_from_the_store_limit() {
     let mut fleet = Fleet::new(3, &["m0", "m0", "m0", "m0"]);
     fleet.store_loads = 0;
-    let asked = [("m0", 0.01), ("m1", 0.01), ("m2", 0.01)];
-    assert_eq!(fleet.plan(work(&asked)), []);
+    let requested = [("m0", 0.01), ("m1", 0.01), ("m2", 0.01)];
+    assert_eq!(fleet.plan(work(&requested)), []);
     fleet.engines[2].at_hand.on_disk = vec!["m1".into()];
-    let changes = fleet.plan(work(&asked));
+    let changes = fleet.plan(work(&requested));
     assert_eq!(changes.len(), 1);
     assert_eq!(changes[0].engine.as_str(), "e-2");
     assert_eq!(&*changes[0].load, "m1");
@@ -191,10 +191,10 @@
 // An engine's owner is cut off. A plan that uses this engine would have to wait until the partition
 // ends, while other engines could load the model.
 #[test]
-fn engines_whose_owner_is_silent_are_asked_for_nothing() {
+fn engines_with_an_unreachable_owner_are_not_changed() {
     let mut fleet = Fleet::new(2, &["m0", "m0", "m0"]);
-    fleet.engines[0].is_cut_off = true;
-    fleet.engines[1].is_cut_off = true;
+    fleet.engines[0].is_owner_unreachable = true;
+    fleet.engines[1].is_owner_unreachable = true;
     let changes = fleet.plan(work(&[("m1", 0.1)]));
     assert_eq!(changes[0].engine.as_str(), "e-2");
 }
@@ -202,9 +202,9 @@
 // A restarted engine holds nothing and serves no requests. It loads the model with the most work
 // per holder, not the first one listed.
 #[rstest]
-#[case::the_one_with_most_work(&[("m0", 0.02), ("m1", 0.08), ("m2", 0.04)], "m1")]
-#[case::the_first_where_nothing_is_known(&[], "m0")]
-fn an_empty_engine_takes_what_is_missed_most(#[case] of: &[(&str, f64)], #[case] loaded: &str) {
+#[case::most_work(&[("m0", 0.02), ("m1", 0.08), ("m2", 0.04)], "m1")]
+#[case::first_without_demand(&[], "m0")]
+fn empty_engine_loads_the_model_with_the_most_work(#[case] of: &[(&str, f64)], #[case] loaded: &str) {
     let fleet = Fleet::new(3, &["m0", "m1", "m2", ""]);
     let changes = fleet.plan(work(of));
     assert_eq!(&*changes[0].load, loaded);
@@ -214,7 +214,7 @@
 // If a model fits in addition to the others, nothing is unloaded and no requests have to wait for
 // that.
 #[test]
-fn a_model_that_fits_beside_others_has_nothing_leave() {
+fn model_that_fits_causes_no_unload() {
     let mut fleet = Fleet::new(3, &["m0", "m1"]);
     fleet.spec.weights_mb = 100_000.0;
     let changes = fleet.plan(work(&[("m0", 0.1), ("m1", 0.1), ("m2", 0.05)]));
@@ -225,7 +225,7 @@
 // Two models that should each be held in two failure domains must not keep taking the same engine
 // from each other.
 #[test]
-fn two_models_do_not_take_one_engine_in_turns() {
+fn two_models_do_not_keep_replacing_each_other() {
     let mut fleet = Fleet::new(3, &["m0", "m1", "m2", "m1"]);
     let demand = work(&[("m0", 0.2), ("m1", 0.2), ("m2", 0.05)]);
     fleet.settle(&demand);
@@ -279,7 +279,7 @@
     // Every model in demand is held by an engine if all of them fit, and no engine is ordered to
     // hold more than fits.
     #[test]
-    fn all_that_is_asked_for_is_held_where_room_allows(mut fleet in fleets(), demand in demand()) {
+    fn models_in_demand_are_held_if_they_fit(mut fleet in fleets(), demand in demand()) {
         let work = |model: &str| demand.get(model).copied().unwrap_or(0.0);
         fleet.settle(work);
         for engine in &fleet.engines {
@@ -287,9 +287,9 @@
             let held_mb: f64 = engine.models.iter().map(size).sum();
             prop_assert!(held_mb <= fleet.spec.weights_mb);
         }
-        let asked: Vec<&String> = demand.iter().filter(|(_, work)| **work > 0.0).map(|(name, _)| name).collect();
-        if asked.len() <= fleet.engines.len() {
-            for model in asked {
+        let requested: Vec<&String> = demand.iter().filter(|(_, work)| **work > 0.0).map(|(name, _)| name).collect();
+        if requested.len() <= fleet.engines.len() {
+            for model in requested {
                 prop_assert!(fleet.holders(model) > 0, "no engine holds {}", model);
             }
         }
@@ -298,7 +298,7 @@
     // Every owner plans on its own. Changes that one owner started show as in progress to the
     // others, so that together they do no more than a single one would.
     #[test]
-    fn owners_with_equal_news_make_one_plan(fleet in fleets(), demand in demand()) {
+    fn owners_with_the_same_information_make_the_same_plan(fleet in fleets(), demand in demand()) {
         let work = |model: &str| demand.get(model).copied().unwrap_or(0.0);
         let (one, other) = (fleet.plan(work), fleet.plan(work));
         prop_assert_eq!(&one, &other);
@@ -310,7 +310,7 @@
 
     // Loads from the weight store stay within the limit, including those in progress.
     #[test]
-    fn the_weight_store_is_not_asked_for_more_than_it_allows(
+    fn loads_from_the_weight_store_stay_within_the_limit(
         mut fleet in fleets(), demand in demand(), most in 0_usize..4,
     ) {
         let work = |model: &str| demand.get(model).copied().unwrap_or(0.0);
--- a/crates/relay/tests/prompts.rs
+++ b/crates/relay/tests/prompts.rs
@@ -10,7 +10,7 @@
 use common::{engine, list, report};
 use nutmegsail_base::UpstreamId;
 use nutmegsail_relay::{
-    Dispatcher, HoldingsTold, KeptPrompts, ModelRef, Need, PromptChain, PromptPart, VersionRule,
+    Dispatcher, HoldingsTold, CachedPrompts, ModelRef, Need, PromptChain, PromptPart, VersionRule,
 };
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -62,7 +62,7 @@
 // node selects the engine with the shortest queue, two engines process the 6,300 tokens, and
 // requests behind them wait twice.
 #[test]
-fn nodes_that_tell_each_other_nothing_send_equal_instructions_to_one_engine() {
+fn nodes_send_the_same_instructions_to_one_engine_without_communicating() {
     let now = Instant::now();
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let (one, other) = (dispatcher(now), dispatcher(now));
@@ -76,7 +76,7 @@
 // An engine has cached the instructions, but its queue takes longer than processing them again
 // elsewhere. A request sent there for its cache would be answered later.
 #[test]
-fn a_long_queue_outweighs_what_is_kept() {
+fn long_queue_outweighs_cached_parts() {
     let now = Instant::now();
     let mut random = ChaCha8Rng::seed_from_u64(2);
     let mut dispatcher = dispatcher(now);
@@ -96,28 +96,28 @@
 /// Simulates a minute in which 20 nodes that don't communicate get 24 prompts a second for one
 /// adapter, with 24 different instructions, on four engines that cache prompts. Returns the shared
 /// tokens that were processed more than once, as a fraction of all tokens processed.
-fn read_again(tells_parts: bool) -> f64 {
+fn reprocessed_fraction(identifies_parts: bool) -> f64 {
     const NODES: usize = 20;
     const PROMPTS: u64 = 24 * 60;
     let began = Instant::now();
     let mut random = ChaCha8Rng::seed_from_u64(3);
     let mut nodes: Vec<Dispatcher> = (0..NODES).map(|_| dispatcher(began)).collect();
-    let mut kept: HashMap<UpstreamId, KeptPrompts> = HashMap::new();
+    let mut cached: HashMap<UpstreamId, CachedPrompts> = HashMap::new();
     let (mut read, mut again) = (0, 0);
     let mut was_read = HashSet::new();
     for number in 0..PROMPTS {
         let now = began + Duration::from_millis(number * 1_000 / 24);
         let shared = u64::from(random.random_range(0..24_u32));
         let chain = prompt(shared, 1_000 + number);
-        let told = match tells_parts {
+        let told = match identifies_parts {
             true => chain.clone(),
             false => PromptChain::default(),
         };
         let node = &mut nodes[random.random_range(0..NODES)];
         let (engine, _) = choose(node, &told, now, &mut random);
         node.note_prompt(&engine, &told, now);
-        let at_engine = kept.entry(engine).or_default();
-        let found = at_engine.tokens_of(&chain, now);
+        let at_engine = cached.entry(engine).or_default();
+        let found = at_engine.cached_tokens_of(&chain, now);
         at_engine.note(&chain, now);
         read += 9_190 - found;
         if found == 0 && !was_read.insert(shared) {
@@ -131,8 +131,8 @@
 // engines, a fifth of the tokens they process was processed before (0.187). With one preferred
 // engine per instruction it is next to nothing (0.0015).
 #[test]
-fn shared_instructions_are_read_once_although_many_engines_hold_the_adapter() {
-    let (by_home, spread) = (read_again(true), read_again(false));
+fn shared_instructions_are_processed_once_although_many_engines_hold_the_adapter() {
+    let (by_home, spread) = (reprocessed_fraction(true), reprocessed_fraction(false));
     assert!(by_home < 0.005, "{by_home}");
     assert!(spread > 0.05, "{spread}");
 }
@@ -149,7 +149,7 @@
     // shorter than it is. Only leading parts of the same adapter count, up to the length that was
     // processed.
     #[test]
-    fn no_more_is_taken_for_kept_than_was_read_before(
+    fn only_processed_tokens_count_as_cached(
         read in prop::collection::vec((0u64..4, 1u32..900), 0..5),
         asked in prop::collection::vec((0u64..4, 1u32..900), 0..5),
         is_same_adapter in any::<bool>(),
@@ -159,12 +159,12 @@
             parts.iter().map(|(id, tokens)| PromptPart { id: *id, tokens: *tokens }).collect()
         };
         let adapter = |is_first| ModelRef::parse(if is_first { "base/a1" } else { "base/a2" });
-        let mut kept = KeptPrompts::default();
-        kept.note(&PromptChain::new(&adapter(true), &parts(&read)), now);
+        let mut cached = CachedPrompts::default();
+        cached.note(&PromptChain::new(&adapter(true), &parts(&read)), now);
         let chain = PromptChain::new(&adapter(is_same_adapter), &parts(&asked));
         let leading = read.iter().zip(&asked).take_while(|(read, asked)| read.0 == asked.0);
         let most: u64 = leading.map(|(read, asked)| u64::from(read.1.min(asked.1))).sum();
         let expected = if is_same_adapter { most } else { 0 };
-        prop_assert_eq!(kept.tokens_of(&chain, now), expected);
+        prop_assert_eq!(cached.cached_tokens_of(&chain, now), expected);
     }
 }
