--- a/crates/relay/src/copies.rs
+++ b/crates/relay/src/copies.rs
@@ -108,7 +108,10 @@
         self.upstreams.values().any(|tracked| {
             tracked.upstream.service == *service
                 && tracked.upstream.failure_domain == *domain
-                && matches!(self.eligibility(tracked, now), Eligibility::Failing | Eligibility::Eligible)
+                && matches!(
+                    self.eligibility(tracked, now),
+                    Eligibility::Failing | Eligibility::Eligible
+                )
                 && tracked.version_of(model, now).is_some()
         })
     }
@@ -175,11 +178,23 @@
         let is_own_domain = self.is_own_domain(tracked);
         if is_recent {
             // Loads from host memory skip the queue of loads from the weight store.
-            let domain_cost_ms = if is_own_domain { 0.0 } else { CROSS_DOMAIN_COST_MS };
-            return candidate(queue_ms + self.load_ms * RESTORE_TIME_FRACTION + ORDER_ROUND_TRIP_MS + domain_cost_ms);
+            let domain_cost_ms = if is_own_domain {
+                0.0
+            } else {
+                CROSS_DOMAIN_COST_MS
+            };
+            return candidate(
+                queue_ms
+                    + self.load_ms * RESTORE_TIME_FRACTION
+                    + ORDER_ROUND_TRIP_MS
+                    + domain_cost_ms,
+            );
         }
         let queued_loads_ms = tracked.coming(now).len() as f64 * self.load_ms;
-        let load_ms = self.load_ms + ORDER_ROUND_TRIP_MS + STORE_USE_COST_MS + self.remote_load_cost_ms(is_own_domain);
+        let load_ms = self.load_ms
+            + ORDER_ROUND_TRIP_MS
+            + STORE_USE_COST_MS
+            + self.remote_load_cost_ms(is_own_domain);
         candidate(queue_ms + queued_loads_ms + load_ms)
     }
 
--- a/crates/relay/src/dispatcher.rs
+++ b/crates/relay/src/dispatcher.rs
@@ -262,9 +262,13 @@
         let candidates = self.candidates(need, now)?;
         let preferred = affinity_engine(need, &candidates);
         let scored = candidates.into_iter().map(|candidate| {
-            let has_affinity = preferred.is_some_and(|preferred| *preferred == candidate.tracked.upstream.id);
+            let has_affinity =
+                preferred.is_some_and(|preferred| *preferred == candidate.tracked.upstream.id);
             let noise_ms = random.random::<f64>() * SCORE_NOISE_MS;
-            (self.score(&candidate, need, has_affinity, now) + noise_ms, candidate)
+            (
+                self.score(&candidate, need, has_affinity, now) + noise_ms,
+                candidate,
+            )
         });
         let best = scored.min_by(|(a, _), (b, _)| a.total_cmp(b));
         let (score, best) = best.ok_or(Refusal::AllBusy)?;
@@ -287,7 +291,11 @@
     /// The upstreams that can serve the request. Those that are leaving are returned only if no other
     /// can, and those with an older version only if none holds the version that new requests should
     /// start on.
-    fn candidates<'a>(&'a self, need: &Need<'_>, now: Instant) -> Result<Vec<Candidate<'a>>, Refusal> {
+    fn candidates<'a>(
+        &'a self,
+        need: &Need<'_>,
+        now: Instant,
+    ) -> Result<Vec<Candidate<'a>>, Refusal> {
         let mut refusal = Refusal::NoUpstream;
         let mut candidates = Vec::new();
         for tracked in self.untried_upstreams(need) {
@@ -313,7 +321,10 @@
         if candidates.is_empty() {
             return Err(refusal);
         }
-        if candidates.iter().any(|candidate| candidate.eligibility == Eligibility::Eligible) {
+        if candidates
+            .iter()
+            .any(|candidate| candidate.eligibility == Eligibility::Eligible)
+        {
             candidates.retain(|candidate| candidate.eligibility != Eligibility::Leaving);
         }
         let is_preferred = |candidate: &Candidate<'_>| {
@@ -334,7 +345,13 @@
         })
     }
 
-    fn score(&self, candidate: &Candidate<'_>, need: &Need<'_>, has_affinity: bool, now: Instant) -> f64 {
+    fn score(
+        &self,
+        candidate: &Candidate<'_>,
+        need: &Need<'_>,
+        has_affinity: bool,
+        now: Instant,
+    ) -> f64 {
         let tracked = candidate.tracked;
         let cached_tokens = match has_affinity {
             true => need.prompt.shared_tokens(),
@@ -352,7 +369,9 @@
         score += tracked.limit_wait_ms(now);
         score
             + match candidate.eligibility {
-                Eligibility::Failing if self.is_domain_unreachable(tracked, now) => UNREACHABLE_PENALTY_MS,
+                Eligibility::Failing if self.is_domain_unreachable(tracked, now) => {
+                    UNREACHABLE_PENALTY_MS
+                }
                 Eligibility::Failing => PAUSED_PENALTY_MS,
                 Eligibility::Ineligible | Eligibility::Leaving | Eligibility::Eligible => 0.0,
             }
@@ -398,7 +417,8 @@
             .filter(|tracked| tracked.upstream.service == *service)
             .map(|tracked| tracked.upstream.slots)
             .max();
-        self.prompt_time_ms(prompt_tokens) + self.slot_time_ms / f64::from(slots.unwrap_or(1).max(1))
+        self.prompt_time_ms(prompt_tokens)
+            + self.slot_time_ms / f64::from(slots.unwrap_or(1).max(1))
     }
 
     /// Time for an engine to process a prompt, in milliseconds.
@@ -520,7 +540,9 @@
     if candidates.len() < 2 {
         return None;
     }
-    let ids = candidates.iter().map(|candidate| &candidate.tracked.upstream.id);
+    let ids = candidates
+        .iter()
+        .map(|candidate| &candidate.tracked.upstream.id);
     let hashed = ids.filter_map(|id| Some((need.prompt.affinity_hash(id)?, id)));
     hashed.max().map(|(_, id)| id)
 }
--- a/crates/relay/src/eligibility.rs
+++ b/crates/relay/src/eligibility.rs
@@ -30,7 +30,10 @@
             return Eligibility::Ineligible;
         }
         let is_unresponsive = tracked.unread_tokens > 0 && tracked.is_silent(now);
-        match tracked.health.is_paused(now) || is_unresponsive || self.is_domain_unreachable(tracked, now) {
+        match tracked.health.is_paused(now)
+            || is_unresponsive
+            || self.is_domain_unreachable(tracked, now)
+        {
             true => Eligibility::Failing,
             false => by_state,
         }
@@ -41,7 +44,8 @@
     pub fn rest_ends(&self, need: &Need<'_>, now: Instant) -> Option<Instant> {
         let untried_upstreams = self.untried_upstreams(need);
         let available = untried_upstreams.filter(|tracked| {
-            !tracked.is_gone(now) && self.eligibility_by_state(tracked, now) != Eligibility::Ineligible
+            !tracked.is_gone(now)
+                && self.eligibility_by_state(tracked, now) != Eligibility::Ineligible
         });
         let ends = available.map(|tracked| tracked.rest.ends(now));
         ends.collect::<Option<Vec<Instant>>>()?.into_iter().min()
--- a/crates/relay/src/engine_demand.rs
+++ b/crates/relay/src/engine_demand.rs
@@ -144,8 +144,8 @@
         }
         let is_remote = |domain: &FailureDomain| domain != engine.failure_domain;
         let mut remote = self.requests.iter().filter(|(domain, _)| is_remote(domain));
-        let (domain, _) =
-            remote.find(|(_, requests)| requests.rate_per_s(model, now) > DOMAIN_COPY_REQUESTS_PER_S)?;
+        let (domain, _) = remote
+            .find(|(_, requests)| requests.rate_per_s(model, now) > DOMAIN_COPY_REQUESTS_PER_S)?;
         Some(WantedCopies {
             model: model.clone(),
             place: CopyPlace::Domain(domain.clone()),
--- a/crates/relay/src/load_times.rs
+++ b/crates/relay/src/load_times.rs
@@ -268,7 +268,8 @@
     /// have been observed.
     pub fn set_engines(&mut self, engines: usize) {
         if self.observed.is_none() {
-            self.full_speed_loads = INITIAL_FULL_SPEED_LOADS.max(engines as f64 * INITIAL_FULL_SPEED_LOADS_PER_ENGINE);
+            self.full_speed_loads =
+                INITIAL_FULL_SPEED_LOADS.max(engines as f64 * INITIAL_FULL_SPEED_LOADS_PER_ENGINE);
         }
     }
 
--- a/crates/relay/src/model_plan.rs
+++ b/crates/relay/src/model_plan.rs
@@ -408,8 +408,7 @@
                 change.engine
             );
             for name in &change.unload {
-                let is_replaced =
-                    self.work_of(&change.load) > self.work_of(name) * REPLACE_RATIO;
+                let is_replaced = self.work_of(&change.load) > self.work_of(name) * REPLACE_RATIO;
                 assert!(
                     !self.is_in_demand(name) || self.holders(name).next().is_some() || is_replaced,
                     "{name} is in demand and would be held by no engine"
--- a/crates/relay/src/tracked.rs
+++ b/crates/relay/src/tracked.rs
@@ -7,8 +7,8 @@
 
 use crate::rest::Rest;
 use crate::{
-    Health, HeldAdapter, Holdings, CachedPrompts, ModelDigest, ModelRef, PromptChain, DroppedAdapters,
-    Upstream, VersionRule,
+    CachedPrompts, DroppedAdapters, Health, HeldAdapter, Holdings, ModelDigest, ModelRef,
+    PromptChain, Upstream, VersionRule,
 };
 
 /// The load of an engine as other nodes reported it.
@@ -273,7 +273,8 @@
             model: model.digest(),
             is_held: false,
         };
-        self.recent_changes.retain(|(moved, _)| moved.model != absent.model);
+        self.recent_changes
+            .retain(|(moved, _)| moved.model != absent.model);
         self.recent_changes.push((absent, now));
     }
 
@@ -285,7 +286,8 @@
 
     fn set_holdings(&mut self, holdings: &Holdings) {
         if self.holdings != *holdings {
-            self.dropped_adapters.record_change(&self.holdings, holdings);
+            self.dropped_adapters
+                .record_change(&self.holdings, holdings);
             if holdings.models.is_empty() {
                 self.cached_prompts.clear();
             }
--- a/crates/relay/src/versions.rs
+++ b/crates/relay/src/versions.rs
@@ -95,7 +95,8 @@
         let Some(announced) = self.announced.get(model) else {
             return VersionRule::ANY;
         };
-        let is_overlap_over = |announced: &&Announced| now.duration_since(announced.since) >= overlap;
+        let is_overlap_over =
+            |announced: &&Announced| now.duration_since(announced.since) >= overlap;
         let past_overlap = announced.iter().rev().find(is_overlap_over);
         VersionRule {
             wanted: announced.last().map_or(0, |last| last.version),
--- a/crates/relay/tests/dispatching.rs
+++ b/crates/relay/tests/dispatching.rs
@@ -118,7 +118,10 @@
     assert_eq!(fixture.choose().unwrap(), "e2");
     fixture.now += Duration::from_secs(5);
     let chosen: Vec<_> = (0..50).map(|_| fixture.choose().unwrap()).collect();
-    assert!(chosen.contains(&"e1".to_owned()), "an old report is ignored");
+    assert!(
+        chosen.contains(&"e1".to_owned()),
+        "an old report is ignored"
+    );
 }
 
 // A late heartbeat still lists an adapter that has been unloaded. A request sent there would come
@@ -149,7 +152,9 @@
 fn engine_that_reported_a_missing_adapter_gets_no_requests_for_it() {
     let mut fixture = Fixture::new([engine("e1", &["a1"])]);
     let a1 = fixture.a1.clone();
-    fixture.dispatcher.note_absent(&"e1".into(), &a1, fixture.now);
+    fixture
+        .dispatcher
+        .note_absent(&"e1".into(), &a1, fixture.now);
     assert_eq!(fixture.choose(), Err(Refusal::AdapterAbsent));
 }
 
@@ -272,7 +277,9 @@
     domains.note(&"there".into(), heard);
     fixture.dispatcher.note_domains_heard(&domains);
     fixture.now += Duration::from_secs(1);
-    fixture.dispatcher.note_unreachable(&"near".into(), fixture.now);
+    fixture
+        .dispatcher
+        .note_unreachable(&"near".into(), fixture.now);
     assert_eq!(fixture.choose_plain().unwrap(), "near");
 }
 
@@ -294,7 +301,9 @@
 #[test]
 fn paused_upstream_is_tried_if_there_is_no_other() {
     let mut fixture = Fixture::new([plain("p1")]);
-    fixture.dispatcher.note_unreachable(&"p1".into(), fixture.now);
+    fixture
+        .dispatcher
+        .note_unreachable(&"p1".into(), fixture.now);
     assert_eq!(fixture.choose_plain().unwrap(), "p1");
 }
 
@@ -365,7 +374,10 @@
         dispatcher.is_sooner_elsewhere(&need, expected_ms, fixture.now)
     };
     assert!(elsewhere(&fixture, 2_000.0));
-    assert!(!elsewhere(&fixture, 300.0), "it is answered in time where it is");
+    assert!(
+        !elsewhere(&fixture, 300.0),
+        "it is answered in time where it is"
+    );
     fixture.dispatcher.sent(&"e2".into(), 30_000, fixture.now);
     assert!(!elsewhere(&fixture, 2_000.0), "no engine is idle");
 }
@@ -425,7 +437,11 @@
     fixture.dispatcher.sent(&"e1".into(), 6_000, now);
     assert_eq!(first(&fixture).0, "e1", "300 ms of pending prompts");
     fixture.dispatcher.sent(&"e1".into(), 8_000, now);
-    assert_eq!(first(&fixture), ("e2".to_owned(), false), "700 ms of pending prompts");
+    assert_eq!(
+        first(&fixture),
+        ("e2".to_owned(), false),
+        "700 ms of pending prompts"
+    );
 }
 
 // A newer version was announced since. The engine can only restore the older one, and the newer has
--- a/crates/relay/tests/load_queue.rs
+++ b/crates/relay/tests/load_queue.rs
@@ -135,11 +135,7 @@
     };
     let newer = queue.join(newer).unwrap();
     let turn = queue.turn(newer, &engine, &full, Instant::now());
-    assert_eq!(
-        turn,
-        LoadTurn::Wait,
-        "an older version does not satisfy it"
-    );
+    assert_eq!(turn, LoadTurn::Wait, "an older version does not satisfy it");
 }
 
 // An adapter that the engine dropped a moment ago is restored from host memory in 25 ms. Behind
--- a/crates/relay/tests/load_times.rs
+++ b/crates/relay/tests/load_times.rs
@@ -38,7 +38,11 @@
         times.note(Duration::from_secs_f64(reported_ms / 1_000.0), 1.0);
         if load >= FIRST {
             too_early += usize::from(is_too_early);
-            waits_ms.push(if is_too_early { reported_ms } else { expected_ms });
+            waits_ms.push(if is_too_early {
+                reported_ms
+            } else {
+                expected_ms
+            });
         }
     }
     waits_ms.sort_by(f64::total_cmp);
--- a/crates/relay/tests/model_plan.rs
+++ b/crates/relay/tests/model_plan.rs
@@ -204,7 +204,10 @@
 #[rstest]
 #[case::most_work(&[("m0", 0.02), ("m1", 0.08), ("m2", 0.04)], "m1")]
 #[case::first_without_demand(&[], "m0")]
-fn empty_engine_loads_the_model_with_the_most_work(#[case] of: &[(&str, f64)], #[case] loaded: &str) {
+fn empty_engine_loads_the_model_with_the_most_work(
+    #[case] of: &[(&str, f64)],
+    #[case] loaded: &str,
+) {
     let fleet = Fleet::new(3, &["m0", "m1", "m2", ""]);
     let changes = fleet.plan(work(of));
     assert_eq!(&*changes[0].load, loaded);
--- a/crates/relay/tests/prompts.rs
+++ b/crates/relay/tests/prompts.rs
@@ -10,7 +10,7 @@
 use common::{engine, list, report};
 use nutmegsail_base::UpstreamId;
 use nutmegsail_relay::{
-    Dispatcher, HoldingsTold, CachedPrompts, ModelRef, Need, PromptChain, PromptPart, VersionRule,
+    CachedPrompts, Dispatcher, HoldingsTold, ModelRef, Need, PromptChain, PromptPart, VersionRule,
 };
 use proptest::prelude::*;
 use rand::SeedableRng;
