--- a/crates/relay/src/assignment.rs
+++ b/crates/relay/src/assignment.rs
@@ -8,23 +8,23 @@
 
 use crate::Upstream;
 
-/// A node as the others see it.
+/// A node as other nodes see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// The node.
+    /// The node's id.
     pub node: NodeId,
-    /// Where it stands.
+    /// The failure domain it runs in.
     pub failure_domain: FailureDomain,
     /// Where other nodes reach it.
     pub address: SocketAddr,
 }
 
-/// The engines that `node` claims of those that nobody owns.
+/// Returns the unowned engines that `node` should claim.
 ///
-/// Each engine falls to the node of its failure domain that owns the fewest, in the order of their
-/// ids, so that nodes which see the same claim different engines without asking each other. Where
-/// a failure domain has no node left, any node may. What nodes see differs for some milliseconds;
-/// the store's compare-and-swap settles those cases.
+/// In the order of their ids, each engine goes to the node of its failure domain that owns the
+/// fewest, so that nodes with the same view claim different engines without coordination. Engines
+/// in a failure domain without nodes can go to any node. Views differ for some milliseconds; the
+/// compare-and-swap at the store resolves conflicting claims.
 pub fn unowned_to_claim(
     node: &NodeId,
     nodes: &[NodeRecord],
--- a/crates/relay/src/crash_watch.rs
+++ b/crates/relay/src/crash_watch.rs
@@ -1,4 +1,4 @@
-//! Which upstreams ended while requests ran there.
+//! Detects upstreams that ended while requests were starting there.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,60 +7,61 @@
 
 use crate::RequestDigest;
 
-/// How long after its first event a request counts as beginning.
+/// How long after its first event a request counts as starting.
 ///
-/// A request that crashes its upstream does so when it is read or begins to run. Streams run for seconds, so most
-/// of what an upstream runs when it ends has begun long before.
+/// A request that crashes its upstream does so while it is read or starts to run. Streams run for
+/// seconds, so most requests that an upstream runs when it ends started long before.
 pub const BEGINNING: Duration = Duration::from_secs(1);
 
 /// How long an upstream that was found to have ended counts as ended. Its connections break within
-/// milliseconds, and some are noticed after it was looked for.
+/// milliseconds, but some breaks are noticed only after the probe.
 const ENDED_SPAN: Duration = Duration::from_secs(2);
 
 /// A request whose connection broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BrokenRequest {
-    /// Its content.
+    /// The digest of its content.
     pub digest: RequestDigest,
-    /// How long ago its first event came, if it came.
+    /// Time since its first event, if one arrived.
     pub began_ago: Option<Duration>,
 }
 
 impl BrokenRequest {
-    /// Whether it may be what ended the upstream.
+    /// Whether the request was still starting, so that it may have crashed the upstream.
     pub fn is_beginning(&self) -> bool {
         self.began_ago.is_none_or(|ago| ago < BEGINNING)
     }
 }
 
-/// What becomes of a broken request.
+/// What to do about a broken request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashStep {
-    /// The upstream is to be looked for now.
+    /// Probe the upstream now.
     Check,
-    /// It is being looked for already.
+    /// Wait for the probe that is under way.
     Wait,
-    /// It has ended, which is held against the request.
+    /// The upstream has ended: add a strike to the request.
     Strike,
-    /// The request had run for long enough to be none of the causes.
+    /// Nothing: the request ran too long to be the cause.
     Ignore,
 }
 
-/// What was found where an upstream listens.
+/// Result of probing an upstream's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// It takes connections.
+    /// It accepts connections.
     Connected,
-    /// Nothing listens there any more.
+    /// It refuses connections: nothing listens there any more.
     Refused,
-    /// No answer: it, or the way to it, is gone.
+    /// No answer: the upstream or the network path to it is gone.
     Silent,
 }
 
-/// Tells upstreams that end from connections that break for another reason.
+/// Distinguishes upstreams that ended from connections that broke for other reasons.
 ///
-/// One that garbles an answer, or whose connections are reset on the way, still takes connections; one that is
-/// behind a partition does not answer; one that has ended refuses them.
+/// An upstream that has ended refuses connections. One that sent a garbled answer, or whose
+/// connections were reset on the way, still accepts them; one behind a network partition does not
+/// answer.
 ///
 /// ```
 /// use std::time::Instant;
@@ -79,14 +80,14 @@
 
 #[derive(Clone, Debug)]
 enum Watched {
-    /// It is being looked for; the requests whose connections to it broke.
+    /// A probe is under way. Holds the requests whose connections broke.
     Checking(Vec<RequestDigest>),
-    /// It has ended.
+    /// The upstream was found to have ended at this time.
     Ended(Instant),
 }
 
 impl CrashWatch {
-    /// Takes in that the connection of a request to `upstream` broke before its answer was whole.
+    /// Records that the connection of a request to `upstream` broke before its answer was complete.
     pub fn note_broken(
         &mut self,
         upstream: &UpstreamId,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Takes in what was found at `upstream`, and returns the requests that its end is held against.
+    /// Records the result of a probe, and returns the requests to add a strike to.
     pub fn note_reach(
         &mut self,
         upstream: &UpstreamId,
@@ -130,7 +131,7 @@
         broken
     }
 
-    /// Whether an upstream is being looked for that `digest` may have ended.
+    /// Whether a probe is under way of an upstream that `digest` may have crashed.
     pub fn is_checking(&self, digest: &RequestDigest) -> bool {
         self.upstreams.values().any(|watched| match watched {
             Watched::Checking(broken) => broken.contains(digest),
--- a/crates/relay/src/domains_heard.rs
+++ b/crates/relay/src/domains_heard.rs
@@ -1,4 +1,4 @@
-//! When each failure domain was last heard.
+//! When each failure domain was last heard from.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -6,21 +6,21 @@
 use nutmegsail_base::FailureDomain;
 use serde::{Deserialize, Serialize};
 
-/// How long ago a failure domain was heard, as one node tells another.
+/// How long ago a failure domain was heard from, as sent between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DomainAge {
     /// The failure domain.
     pub domain: FailureDomain,
-    /// How long ago a node of it was heard, in milliseconds.
+    /// Time since a message from one of its nodes, in milliseconds.
     pub age_ms: u32,
 }
 
-/// When a node of each failure domain was last heard, by this node or by one that told it.
+/// When a node of each failure domain was last heard from, by this node or by one that reported it.
 ///
-/// In a large fleet a node hears from owners of the engines it uses, and nothing from a failure domain
-/// whose engines it does not use. Taken for cut off, such a domain's engines get no requests, and so are
-/// never heard again, and each domain loads the popular adapters for itself. So nodes that hear every domain
-/// tell the others.
+/// In a large fleet, a node hears from the owners of the engines it uses, and nothing from failure
+/// domains whose engines it does not use. If it took such a domain for cut off, it would send its
+/// engines no requests and so never hear from it again, and each domain would load the popular
+/// adapters for itself. So nodes that hear from every domain tell the others.
 ///
 /// ```
 /// use std::time::{Duration, Instant};
@@ -33,7 +33,7 @@
 /// node.take(&reader.ages(now + ms(100)), now + ms(120));
 /// assert_eq!(node.heard(&"west".into()), Some(now + ms(20)));
 /// node.take(&reader.ages(now + ms(900)), now + ms(910));
-/// assert_eq!(node.heard(&"west".into()), Some(now + ms(20)), "nothing newer came");
+/// assert_eq!(node.heard(&"west".into()), Some(now + ms(20)), "the later time wins");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct DomainsHeard {
@@ -41,7 +41,7 @@
 }
 
 impl DomainsHeard {
-    /// Takes in that a node of `domain` was heard at `at`.
+    /// Records that a node of `domain` was heard from at `at`.
     pub fn note(&mut self, domain: &FailureDomain, at: Instant) {
         match self.heard.get_mut(domain) {
             Some(known) => *known = at.max(*known),
@@ -51,19 +51,19 @@
         }
     }
 
-    /// When a node of `domain` was last heard.
+    /// When a node of `domain` was last heard from.
     pub fn heard(&self, domain: &FailureDomain) -> Option<Instant> {
         self.heard.get(domain).copied()
     }
 
-    /// Takes in what another account of this node has.
+    /// Adds the times that `other`, another record of this node, has.
     pub fn merge(&mut self, other: &Self) {
         for (domain, at) in &other.heard {
             self.note(domain, *at);
         }
     }
 
-    /// How long ago each was heard, to be told to another node.
+    /// How long ago each domain was heard from, to be sent to another node.
     pub fn ages(&self, now: Instant) -> Vec<DomainAge> {
         let ages = self.heard.iter().map(|(domain, at)| {
             let age = now.saturating_duration_since(*at);
@@ -75,10 +75,10 @@
         ages.collect()
     }
 
-    /// Takes in what another node told, and returns when each was heard by it.
+    /// Applies the ages that another node sent.
     ///
-    /// Counted back from when it came, what was held up on its way makes a domain look heard later than
-    /// it was, by tens of milliseconds; the next message mends it.
+    /// They are counted back from the arrival of the message, so a delayed message makes a domain
+    /// seem heard from later than it was, by tens of milliseconds. The next message corrects that.
     pub fn take(&mut self, told: &[DomainAge], now: Instant) {
         for DomainAge { domain, age_ms } in told {
             let age = Duration::from_millis(u64::from(*age_ms));
--- a/crates/relay/src/era_watch.rs
+++ b/crates/relay/src/era_watch.rs
@@ -1,21 +1,22 @@
-//! What a node makes of the eras of the platform's store.
+//! Tracks the eras of the platform's store, which rise when it is restored from an older copy.
 
 use std::time::Duration;
 
 use nutmegsail_base::StoreEra;
 use serde::{Deserialize, Serialize};
 
-/// How long a node that starts waits for another one's word before it claims what may be another's.
+/// How long a starting node waits for an update from another node before it claims engines that
+/// another node may own.
 const WORD_PATIENCE: Duration = Duration::from_millis(1_000);
 
-/// How long it listens to further nodes after the first one's word.
+/// How long a starting node waits for updates from further nodes after the first.
 const GATHERING: Duration = Duration::from_millis(300);
 
-/// How long it holds back its text while no other node answers. Nodes are listed anew within half of it after the store
-/// came back.
+/// How long a starting node holds back the operators' text while no other node answers. After the
+/// store returns, nodes are listed again within half of this time.
 const ALONE_PATIENCE: Duration = Duration::from_secs(3);
 
-/// How much of the operators' text is known.
+/// How recent the operators' text is that a node knows.
 ///
 /// ```
 /// use nutmegsail_relay::TextKnown;
@@ -27,12 +28,13 @@
 pub struct TextKnown {
     /// The version of the configuration.
     pub configuration: u64,
-    /// The sum of the versions that were named of all models: each of them only rises.
+    /// The sum of the versions named for all models. It shows progress because each version only
+    /// rises.
     pub versions: u128,
 }
 
 impl TextKnown {
-    /// Whether it is no older than `other`.
+    /// Whether it is at least as recent as `other`.
     pub fn covers(self, other: Self) -> bool {
         self.configuration >= other.configuration && self.versions >= other.versions
     }
@@ -45,33 +47,36 @@
     }
 }
 
-/// What one node tells another of the store.
+/// An update on the store's era that nodes send to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EraTold {
     /// The era in force.
     pub era: StoreEra,
-    /// Since how long it is known to be, in milliseconds.
+    /// How long the era is known to be in force, in milliseconds.
     pub age_ms: u32,
-    /// The text that the node goes by.
+    /// How recent the operators' text is that the node applies.
     pub text: TextKnown,
 }
 
-/// The store came back from an older copy.
+/// The store was restored from an older copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EraRise {
-    /// The era that was in force as far as was known.
+    /// The last era known to this node before.
     pub from: StoreEra,
     /// The era in force now.
     pub to: StoreEra,
 }
 
-/// Follows the eras of the platform's store.
+/// Tracks the eras of the platform's store.
 ///
-/// Claims that were made in an earlier era may be gone from the store while a node that was cut off still acts on them; once
-/// an era has been in force for the settling time, none of them holds. Operators' text that the store shows may be older than
-/// what was in force, until operators have written it again; a node that was running knows the newer one, and a node that
-/// starts holds back what it reads until it has caught up with others. The store keeps a mark of the last era for which both
-/// are over, so nodes that start later need nobody's word.
+/// Two things are uncertain after the era has risen. Claims made in an earlier era may be lost,
+/// while a node that was cut off still acts on them; once an era has been in force for the settling
+/// time, none of them is valid. The operators' text in the store may be older than what was in
+/// force, until operators have written it again. A node that was running knows the newer text; a
+/// node that starts holds back what it reads until it has caught up with other nodes.
+///
+/// The store holds a mark that names the last era for which both are resolved, so nodes that start
+/// later need no update from others.
 ///
 /// ```
 /// use std::time::Duration;
@@ -88,24 +93,26 @@
 #[derive(Clone, Debug)]
 pub struct EraWatch {
     settling: Duration,
-    /// Whether the system starts for the first time, so that nothing was before.
+    /// Whether the whole system starts for the first time, so that there is no earlier era.
     is_first_start: bool,
     era: Option<StoreEra>,
     /// Since when the era is known to be in force.
     since: Duration,
+    /// Whether the era rose since this process started.
     has_risen: bool,
     /// The era that the store's mark names.
     mark: Option<StoreEra>,
-    /// When another node first told of this era.
+    /// When the first update on this era came from another node.
     word_at: Option<Duration>,
-    /// The newest text that other nodes go by.
+    /// The most recent text that other nodes apply.
     text_told: TextKnown,
-    /// Whether this node goes by the text that it knows.
+    /// Whether this node applies the text that it knows.
     has_text: bool,
 }
 
 impl EraWatch {
-    /// Nothing is known yet. After `settling` no claim of an earlier era holds.
+    /// Creates a watch with no known era. After `settling`, claims of an earlier era are no longer
+    /// valid.
     pub fn new(settling: Duration, is_first_start: bool) -> Self {
         Self {
             settling,
@@ -120,12 +127,12 @@
         }
     }
 
-    /// The era in force; nothing if the store tells none.
+    /// The era in force, or `None` if the store reports none.
     pub fn era(&self) -> Option<StoreEra> {
         self.era
     }
 
-    /// Takes in the era that the store told.
+    /// Processes the era that the store reports. Returns the change if the era has risen.
     pub fn see(&mut self, era: Option<StoreEra>, now: Duration) -> Option<EraRise> {
         let (from, to) = (self.era, era?);
         if from.is_some_and(|from| from >= to) {
@@ -139,12 +146,13 @@
         Some(EraRise { from, to })
     }
 
-    /// Takes in the era that the store's mark names.
+    /// Records the era that the store's mark names.
     pub fn take_mark(&mut self, mark: StoreEra) {
         self.mark = Some(mark);
     }
 
-    /// Takes in another node's word. Returns whether the store has to be asked, as the other one knows of a later era.
+    /// Applies an update from another node. Returns whether the store must be read, because the
+    /// other node knows of a later era.
     pub fn take_told(&mut self, told: EraTold, now: Duration) -> bool {
         let Some(era) = self.era else {
             return false;
@@ -158,7 +166,7 @@
         told.era > era
     }
 
-    /// Whether no claim of an earlier era holds any more.
+    /// Whether all claims of earlier eras are invalid by now.
     pub fn is_settled(&self, now: Duration) -> bool {
         self.era.is_none()
             || self.is_marked()
@@ -166,19 +174,20 @@
             || now.saturating_sub(self.since) >= self.settling
     }
 
-    /// Whether another node's word may still come, of how long this era has been in force.
+    /// Whether to wait for an update from another node, which says how long this era has been in
+    /// force.
     pub fn awaits_word(&self, now: Duration) -> bool {
         let is_late = now.saturating_sub(self.since) >= WORD_PATIENCE;
         !self.has_risen && self.word_at.is_none() && !is_late && !self.is_settled(now)
     }
 
-    /// Whether other nodes are to be asked for their word.
+    /// Whether to ask other nodes for an update.
     pub fn asks(&self, now: Duration) -> bool {
         self.awaits_word(now) || (self.era.is_some() && !self.has_text)
     }
 
-    /// Whether this node goes by the text that it knows, which is `known`. Once it does it always does, as what it knows
-    /// never gets older.
+    /// Decides whether this node may apply the operators' text that it knows, `known`. Once it may,
+    /// that is final, because the text that it knows never gets older.
     pub fn goes_by(&mut self, known: TextKnown, now: Duration) -> bool {
         let needs_nobody = self.era.is_none() || self.is_marked() || self.has_begun_with_system();
         let has_caught_up = match self.word_at {
@@ -189,17 +198,18 @@
         self.has_text
     }
 
-    /// Whether this node goes by the text that it knows.
+    /// Whether this node applies the text that it knows.
     pub fn has_text(&self) -> bool {
         self.has_text
     }
 
-    /// Whether other nodes go by newer text than `known`.
+    /// Whether other nodes apply more recent text than `known`.
     pub fn is_behind(&self, known: TextKnown) -> bool {
         !known.covers(self.text_told)
     }
 
-    /// What to tell other nodes, by the text that this node knows; nothing while it does not go by it.
+    /// The update to send to other nodes, with `known` as the text that this node applies; `None`
+    /// while it does not apply its text.
     pub fn told(&self, known: TextKnown, now: Duration) -> Option<EraTold> {
         let age = now.saturating_sub(self.since);
         Some(EraTold {
@@ -209,17 +219,18 @@
         })
     }
 
-    /// Whether the era rose lately enough that nodes which are cut off may not know.
+    /// Whether the era rose so recently that nodes that are cut off may not know.
     pub fn is_news(&self, now: Duration) -> bool {
         self.has_risen && now.saturating_sub(self.since) < self.settling * 2
     }
 
-    /// Whether the era rose since this process began.
+    /// Whether the era rose since this process started.
     pub fn has_risen(&self) -> bool {
         self.has_risen
     }
 
-    /// The era that the store is to be marked with, if what the store shows of the operators' text is not `is_behind`.
+    /// The era to write into the store's mark, if any. `is_behind` says whether the operators' text
+    /// in the store is older than what this node knows.
     pub fn mark_due(&self, is_behind: bool, now: Duration) -> Option<StoreEra> {
         let is_over = self.has_text && !is_behind && self.is_settled(now);
         self.era.filter(|_| is_over && !self.is_marked())
--- a/crates/relay/src/far_news.rs
+++ b/crates/relay/src/far_news.rs
@@ -1,20 +1,21 @@
-//! Which engines' loads other failure domains are told of.
+//! Chooses engine loads to send to other failure domains.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// How often all loads are told, in exchanges. Engines of other failure domains are a second choice, and bytes
-/// between domains are charged for.
+/// All loads are sent in every fourth update. Engines of other failure domains are a second choice,
+/// and traffic between domains is billed by the byte.
 const ALL_EVERY: u32 = 4;
 
-/// The change of the requests at an engine from which it is told at once: what they add to the wait there is a
-/// good part of a latency objective.
+/// A load is sent at once if the number of requests changed by this much: that many add a large
+/// part of a latency objective to the wait at the engine.
 const AT_ONCE_REQUESTS: u32 = 3;
 
-/// Tells other failure domains of loads: now and then of all, at once of those that change.
+/// Chooses which engine loads to send to other failure domains: all of them now and then, and large
+/// changes at once.
 ///
-/// Answers an adapter that many nodes turn to at a time: those of other failure domains go on to an engine while
-/// their news of it are from before, and each of them takes it for free.
+/// Otherwise, when many nodes turn to one adapter at the same time, nodes in other failure domains
+/// would keep sending requests to an engine that their outdated loads show as free.
 ///
 /// ```
 /// use nutmegsail_relay::FarNews;
@@ -25,7 +26,7 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct FarNews<K> {
-    /// The requests at each engine that were told last.
+    /// The number of requests at each engine when its load was last sent.
     told: HashMap<K, u32>,
     turns: u32,
 }
@@ -40,7 +41,8 @@
 }
 
 impl<K: Copy + Eq + Hash> FarNews<K> {
-    /// The engines to tell of now, of all that are known, each with the requests there.
+    /// Returns the engines to include in the next update. `engines` lists all known engines and the
+    /// number of requests at each.
     pub fn turn(&mut self, engines: impl IntoIterator<Item = (K, u32)>) -> Vec<K> {
         let tells_all = self.turns.is_multiple_of(ALL_EVERY);
         self.turns = self.turns.wrapping_add(1);
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -1,4 +1,4 @@
-//! Rates that upstreams in need have named.
+//! Request rate limits that overloaded upstreams announce in their answers.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -6,42 +6,44 @@
 use nutmegsail_base::UpstreamId;
 use serde::{Deserialize, Serialize};
 
-/// How long an upstream's answers must have named no limit, or a higher one, for that to count. Answers overtake each
-/// other, and an upstream may name it in some only.
+/// How long answers must have announced no limit, or a higher one, before the limit is lifted or
+/// raised. Answers can arrive out of order, and an upstream may announce its limit only in some of
+/// them.
 const EASE_SPAN: Duration = Duration::from_secs(2);
 
-/// How long the end of a limit is remembered, against what other nodes still tell of it.
+/// How long the end of a limit is remembered, so that outdated updates from other nodes do not
+/// restore it.
 const ENDED_LIFE: Duration = Duration::from_secs(30);
 
-/// What an answer says of its upstream's limit.
+/// The limit that an answer announces.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LimitSaid {
-    /// Nothing: it takes what it is sent.
+    /// No limit is announced.
     #[default]
     None,
-    /// So many requests a second, from all nodes together.
+    /// Requests per second, from all nodes together.
     PerSecond(f64),
-    /// What cannot be read.
+    /// The value cannot be parsed.
     Malformed,
 }
 
-/// A change of what is known of an upstream's limit.
+/// A change of the known limit of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitChange {
-    /// It holds from now on, in requests a second.
+    /// A new limit is in force, in requests per second.
     Named(f64),
-    /// It has ended.
+    /// The limit was lifted.
     Ended,
 }
 
-/// What a node tells others of one upstream's limit.
+/// An update on one upstream's limit that nodes send to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitTold {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// Requests a second; nothing if it has ended.
+    /// Requests per second, or `None` if the limit was lifted.
     pub per_s: Option<f64>,
-    /// How long ago the upstream said so, in milliseconds.
+    /// How long ago the upstream announced this, in milliseconds.
     pub age_ms: u32,
 }
 
@@ -60,22 +62,27 @@
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
     known: HashMap<UpstreamId, Known>,
+    /// Number of changes, from answers or from other nodes.
     changes: u64,
+    /// Number of changes from answers to this node.
     own_changes: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Known {
-    /// Requests a second; nothing if it has ended.
+    /// Requests per second, or `None` if the limit was lifted.
     per_s: Option<f64>,
-    /// When the upstream last said so.
+    /// When the upstream last announced this.
     said: Instant,
-    /// Since when its answers have named no limit, or a higher one: the highest of them.
+    /// Since when answers have announced no limit or a higher one, and the lowest that they
+    /// announced (`None` if they announced none).
     easing: Option<(Instant, Option<f64>)>,
 }
 
 impl Limits {
-    /// Takes in what an answer of `upstream` says.
+    /// Processes the limit that an answer of `upstream` announces. Returns the change, if any.
+    ///
+    /// A lower limit applies at once; a higher one, or none, applies after `EASE_SPAN`.
     pub fn note_answer(
         &mut self,
         upstream: &UpstreamId,
@@ -85,7 +92,7 @@
         let per_s = match said {
             LimitSaid::PerSecond(per_s) => Some(per_s),
             LimitSaid::None => None,
-            // What cannot be read says that there is a limit, and not which.
+            // A malformed value shows that there is a limit, but not which.
             LimitSaid::Malformed => return None,
         };
         let change = match self.known.get_mut(upstream) {
@@ -102,33 +109,33 @@
         change
     }
 
-    /// How often what is known has changed.
+    /// Number of changes to the known limits, from answers or from other nodes.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// How often an answer to this node has changed it.
+    /// Number of changes that answers to this node caused.
     pub fn own_changes(&self) -> u64 {
         self.own_changes
     }
 
-    /// The upstreams with a limit, and their limits.
+    /// Upstreams with a limit in force, and those limits in requests per second.
     pub fn in_force(&self) -> impl Iterator<Item = (&UpstreamId, f64)> {
         let known = self.known.iter();
         known.filter_map(|(upstream, known)| Some((upstream, known.per_s?)))
     }
 
-    /// The limit of `upstream` in requests a second, if one is in force.
+    /// The limit of `upstream` in requests per second, if one is in force.
     pub fn per_s(&self, upstream: &UpstreamId) -> Option<f64> {
         self.known.get(upstream)?.per_s
     }
 
-    /// How many upstreams have a limit.
+    /// Number of upstreams with a limit in force.
     pub fn count(&self) -> usize {
         self.in_force().count()
     }
 
-    /// Forgets upstreams that are not listed any more.
+    /// Drops upstreams that are no longer listed, and limits that were lifted long enough ago.
     pub fn forget(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Instant) {
         let before = self.known.len();
         self.known.retain(|upstream, known| {
@@ -138,13 +145,13 @@
         self.changes += u64::from(self.known.len() != before);
     }
 
-    /// What is known of one upstream.
+    /// The update to send to other nodes about `upstream`, if it is known.
     pub fn told_of(&self, upstream: &UpstreamId, now: Instant) -> Option<LimitTold> {
         let known = self.known.get(upstream)?;
         Some(known.told(upstream, now))
     }
 
-    /// All that is known.
+    /// Updates to send to other nodes about all known upstreams.
     pub fn told(&self, now: Instant) -> Vec<LimitTold> {
         let known = self.known.iter();
         known
@@ -152,7 +159,7 @@
             .collect()
     }
 
-    /// Takes in what another node told.
+    /// Applies an update from another node. Returns the change, if any.
     pub fn take(&mut self, told: &LimitTold, now: Instant) -> Option<LimitChange> {
         let change = self.note_told(told, now);
         self.changes += u64::from(change.is_some());
@@ -231,13 +238,13 @@
     }
 }
 
-/// Whether a number can be a rate.
+/// Whether a number is a valid rate.
 fn is_rate(per_s: f64) -> bool {
     per_s.is_finite() && per_s >= 0.0
 }
 
 impl LimitSaid {
-    /// What a text says.
+    /// Parses an announced limit.
     ///
     /// ```
     /// use nutmegsail_relay::LimitSaid;
--- a/crates/relay/src/listing.rs
+++ b/crates/relay/src/listing.rs
@@ -1,4 +1,4 @@
-//! Which entries of the list of upstreams count.
+//! Filters outdated entries out of the list of upstreams.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,37 +8,37 @@
 
 use crate::{Upstream, UpstreamState};
 
-/// How long a name is remembered that is not listed any more. A delayed write comes within seconds.
+/// How long a name is remembered after it was last seen. Delayed writes arrive within seconds.
 const NAME_LIFE: Duration = Duration::from_secs(60);
 
-/// An entry as it was read.
+/// An entry of the list of upstreams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamEntry {
-    /// What it says.
+    /// The upstream that it describes.
     pub upstream: Upstream,
-    /// The count of heartbeats since the upstream's start.
+    /// Number of heartbeats since the upstream started.
     pub heartbeat: u64,
 }
 
-/// Why an entry does not count.
+/// Why an entry is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum EntryFault {
-    /// A later start of the same name is known.
-    #[error("a later start of this name is known")]
+    /// A process that started later under the same name is known.
+    #[error("a process that started later under this name is known")]
     OlderStart,
-    /// A later heartbeat of the same start is known.
-    #[error("a later heartbeat of this start is known")]
+    /// A later heartbeat of the same process is known.
+    #[error("a later heartbeat of this process is known")]
     OlderHeartbeat,
-    /// It does not say when its process started, though others do.
-    #[error("it does not say when its process started")]
+    /// It has no start time, although other entries have one.
+    #[error("the entry has no start time")]
     NoStart,
 }
 
-/// The newest that was said under each name.
+/// The newest entry seen under each name.
 ///
-/// Writes to the store may be delayed by seconds and come after newer ones. Taken at its word, such
-/// an entry would bring back a process that has ended, with all it held, or have one that leaves
-/// take work again.
+/// Writes to the store can be delayed by seconds and arrive after newer ones. Accepting such an
+/// entry would bring back a process that has ended, with everything it held, or send new work to
+/// one that is leaving.
 ///
 /// ```
 /// use std::time::Instant;
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
     newest: HashMap<Arc<str>, Newest>,
-    /// Whether entries say when their processes started.
+    /// Whether entries have start times.
     tells_starts: bool,
 }
 
@@ -79,11 +79,11 @@
 }
 
 impl Listing {
-    /// Takes in an entry, and returns the upstream if it is the newest of its name.
+    /// Accepts an entry and returns the upstream, if the entry is the newest of its name.
     ///
     /// # Errors
     ///
-    /// [`EntryFault`] if it does not count.
+    /// [`EntryFault`] if the entry is outdated or has no start time.
     pub fn admit(&mut self, entry: UpstreamEntry, now: Instant) -> Result<Upstream, EntryFault> {
         let UpstreamEntry {
             mut upstream,
@@ -97,7 +97,7 @@
         let mut is_leaving = !upstream.takes_work();
         if let Some(known) = known {
             known.check(&upstream, heartbeat)?;
-            // Whoever leaves ends; it never takes work again.
+            // A leaving process never takes work again.
             is_leaving |= known.is_leaving && known.started_ms == upstream.started_ms;
         }
         if is_leaving && upstream.takes_work() {
@@ -113,7 +113,7 @@
         Ok(upstream)
     }
 
-    /// Forgets names that are not listed and were not seen for a minute.
+    /// Drops names that are not listed and have not been seen for a minute.
     pub fn forget_old(&mut self, is_listed: impl Fn(&str) -> bool, now: Instant) {
         self.newest
             .retain(|name, newest| is_listed(name) || now.duration_since(newest.seen) < NAME_LIFE);
@@ -121,9 +121,10 @@
 }
 
 impl Newest {
-    /// Whether an entry of the same name is newer, or as new.
+    /// Rejects an entry of the same name that is older.
     ///
-    /// Where starts are not told, each start has a name of its own, and heartbeats need no check.
+    /// Where entries have no start times, each process has a name of its own, and heartbeats are
+    /// not compared.
     fn check(&self, upstream: &Upstream, heartbeat: u64) -> Result<(), EntryFault> {
         if upstream.started_ms < self.started_ms {
             return Err(EntryFault::OlderStart);
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -1,4 +1,4 @@
-//! What upstreams have said of themselves in their answers.
+//! Leaving and backoff notices that upstreams send in their answers.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -6,30 +6,32 @@
 use nutmegsail_base::UpstreamId;
 use rand::{Rng, RngExt as _};
 
-/// How long what an upstream said is remembered after it was last listed: entries lapse with the store, and come back with
-/// an older copy of it.
+/// How long a notice is kept after its upstream was last listed. List entries expire while the
+/// store is unavailable, and reappear when it is restored from an older copy.
 const UNLISTED_LIFE: Duration = Duration::from_secs(600);
 
-/// The longest rest that is kept to. What asks for more is asked again after a day.
+/// Upper bound on a backoff. An upstream that asks for more gets a trial request after a day.
 const LONGEST_REST: Duration = Duration::from_secs(86_400);
 
-/// The time over which nodes come back after a rest, as a part of it, and at most.
+/// Random jitter added to a backoff: at most this share of it, and at most the limit below.
 const REST_SPREAD_SHARE: f64 = 0.1;
 const LONGEST_SPREAD: Duration = Duration::from_millis(500);
 
-/// How long an answer says that its upstream wants no further requests of this node.
+/// The backoff that an answer requests: how long its upstream wants no further requests from this
+/// node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum RestSaid {
-    /// It says nothing of that.
+    /// No backoff is requested.
     #[default]
     None,
-    /// For so long.
+    /// A backoff of this length.
     For(Duration),
-    /// What cannot be read.
+    /// The value cannot be parsed.
     Malformed,
 }
 
-/// What upstreams have said of themselves, each for as long as its process lives.
+/// Leaving and backoff notices by upstream. An upstream id stands for one process, so a notice ends
+/// with the process that sent it.
 ///
 /// ```
 /// use std::time::{Duration, Instant};
@@ -37,7 +39,7 @@
 /// let (mut notices, now) = (Notices::default(), Instant::now());
 /// let engine = "engine-1@7".into();
 /// assert!(notices.note_leaving(&engine, now));
-/// assert!(!notices.note_leaving(&engine, now), "it is known");
+/// assert!(!notices.note_leaving(&engine, now), "already known");
 /// assert!(notices.is_leaving(&engine));
 /// let rest = Duration::from_secs(3);
 /// notices.note_rest(&engine, rest, now, &mut rand::rng());
@@ -46,9 +48,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Notices {
     known: HashMap<UpstreamId, Notice>,
-    /// How many upstreams were found to leave.
+    /// Number of upstreams that announced that they are leaving.
     leavings: u64,
-    /// How often an upstream asked for rest.
+    /// Number of backoff requests received.
     rests: u64,
 }
 
@@ -60,9 +62,9 @@
 }
 
 impl Notices {
-    /// Takes in that `upstream` leaves. Returns whether that is new.
+    /// Records that `upstream` is leaving. Returns `true` if this was not known yet.
     ///
-    /// It holds until the process ends: whoever leaves never takes work again.
+    /// The notice holds until the process ends: a leaving process never takes new work again.
     pub fn note_leaving(&mut self, upstream: &UpstreamId, now: Instant) -> bool {
         let notice = self.notice(upstream, now);
         let is_new = !std::mem::replace(&mut notice.is_leaving, true);
@@ -70,12 +72,12 @@
         is_new
     }
 
-    /// How often an upstream was found to leave.
+    /// Number of upstreams that announced that they are leaving, since this process started.
     pub fn leavings(&self) -> u64 {
         self.leavings
     }
 
-    /// The upstreams that leave.
+    /// Upstreams that are leaving.
     pub fn leaving(&self) -> impl Iterator<Item = &UpstreamId> {
         let known = self.known.iter();
         known
@@ -83,16 +85,16 @@
             .map(|(upstream, _)| upstream)
     }
 
-    /// Whether `upstream` has said that it leaves.
+    /// Whether `upstream` announced that it is leaving.
     pub fn is_leaving(&self, upstream: &UpstreamId) -> bool {
         let notice = self.known.get(upstream);
         notice.is_some_and(|notice| notice.is_leaving)
     }
 
-    /// Takes in that `upstream` wants nothing from this node for `rest`, and returns until when that is.
+    /// Records a backoff of length `rest` requested by `upstream`, and returns when it ends.
     ///
-    /// A shorter time that is asked for later ends nothing: answers overtake each other. Part of the rest is added at
-    /// random, so that nodes which were turned away together don't come back together.
+    /// A later request never shortens a backoff, because answers can arrive out of order. Random
+    /// jitter keeps nodes that were refused at the same time from returning at the same time.
     pub fn note_rest(
         &mut self,
         upstream: &UpstreamId,
@@ -110,17 +112,17 @@
         until
     }
 
-    /// How often an upstream asked for rest.
+    /// Number of backoff requests received since this process started.
     pub fn rests(&self) -> u64 {
         self.rests
     }
 
-    /// Whether `upstream` wants nothing from this node at `now`.
+    /// Whether `upstream` is in a backoff at `now` and must get no requests from this node.
     pub fn is_resting(&self, upstream: &UpstreamId, now: Instant) -> bool {
         self.rest_until(upstream).is_some_and(|until| now < until)
     }
 
-    /// How many upstreams leave, and how many rest.
+    /// Numbers of upstreams that are leaving and that are in a backoff.
     pub fn counts(&self, now: Instant) -> (usize, usize) {
         let leaving = self.leaving().count();
         let known = self.known.keys();
@@ -128,12 +130,12 @@
         (leaving, resting.count())
     }
 
-    /// Until when `upstream` wants nothing from this node, if it has asked for rest.
+    /// When the last known backoff of `upstream` ends, even if that is in the past.
     pub fn rest_until(&self, upstream: &UpstreamId) -> Option<Instant> {
         self.known.get(upstream)?.rest_until
     }
 
-    /// Forgets upstreams that have not been listed for a while.
+    /// Drops the notices of upstreams that were last listed more than ten minutes ago.
     pub fn forget(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Instant) {
         self.known.retain(|upstream, notice| {
             if is_listed(upstream) {
@@ -153,7 +155,7 @@
 }
 
 impl RestSaid {
-    /// What a text says, in seconds; a fraction counts, a date is none.
+    /// Parses the seconds form of `Retry-After`. Fractions are accepted; HTTP dates are malformed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -171,7 +173,8 @@
         }
     }
 
-    /// What two values of one answer say together.
+    /// Combines two values of one answer: the longer backoff, or `Malformed` if either is
+    /// malformed.
     pub fn and(self, other: Self) -> Self {
         match (self, other) {
             (Self::For(one), Self::For(other)) => Self::For(one.max(other)),
--- a/crates/relay/src/ownership.rs
+++ b/crates/relay/src/ownership.rs
@@ -4,79 +4,81 @@
 
 use nutmegsail_base::StoreNumber;
 
-/// The times that ownership keeps to. All are differences of a clock that counts suspension.
+/// Time limits of ownership, measured on a clock that also advances while the machine is suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnershipRules {
-    /// Orders of two owners must be at least this far apart.
+    /// Minimum interval between the orders of two successive owners.
     pub hand_over: Duration,
-    /// How long a confirmed ownership is relied on.
+    /// How long a confirmation of ownership is valid.
     pub confirmation: Duration,
 }
 
 impl OwnershipRules {
-    /// How long a new owner waits, if another one may have orders on their way: the one before relies on its last
-    /// confirmation for a while, and its orders must be over for the time of a hand-over.
+    /// How long a new owner waits before its first order if the previous one may still have orders
+    /// in flight: the previous owner relies on its last confirmation until that expires, and
+    /// `hand_over` must then pass.
     pub fn wait(self) -> Duration {
         self.confirmation + self.hand_over + ORDER_TRAVEL
     }
 }
 
-/// What added to the times below covers an order's way to the engine, which is some milliseconds
-/// when links are sound.
+/// Allowance for an order's way to the engine, which takes a few milliseconds on a healthy network.
 const ORDER_TRAVEL: Duration = Duration::from_millis(400);
 
 /// Whether an order may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderPermit {
-    /// It may, under this claim.
+    /// It may be sent under this claim.
     Granted {
-        /// The revision that wrote the claim.
+        /// The store revision at which the claim was written.
         claim: StoreNumber,
     },
-    /// The ownership is to be confirmed at the store first.
+    /// The ownership must first be confirmed at the store.
     Unconfirmed,
-    /// The owner before may still have orders on their way.
+    /// The previous owner may still have orders in flight.
     Settling {
-        /// When orders may begin.
+        /// When orders may be sent.
         until: Duration,
     },
 }
 
-/// Whose orders may be on their way to an engine when it is claimed.
+/// Whose orders may be in flight to an engine when it is claimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Predecessor {
     /// Nobody's.
     None,
-    /// None but those that an earlier process of this node waited for, until then.
+    /// Only those that an earlier process of this node was waiting out when it owned the engine.
     Own {
-        /// When that process would have begun.
+        /// When that wait ends.
         waits_until: Duration,
     },
-    /// Another owner's.
+    /// Those of another owner.
     Another,
 }
 
-/// One engine that this node owns.
+/// Ownership of one engine by this node.
 ///
-/// The store can take a key away without its holder seeing it, and an owner may be paused between
-/// any two steps. Two rules keep the orders of two owners `hand_over` apart: an owner relies on a
-/// read that showed its key for `confirmation` only, counted from before the read; and a new owner
-/// waits `confirmation + hand_over` from the time it took the key, unless its own earlier process
-/// held it before and had waited.
+/// The store can delete a key without its holder noticing, and an owner can be paused between any
+/// two steps. Two rules keep the orders of two owners `hand_over` apart. An owner relies on a read
+/// that showed its key for `confirmation` only, counted from before the read. A new owner waits
+/// `confirmation + hand_over` from the time it took the key, unless an earlier process of the same
+/// node held it before and had waited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ownership {
     claim: StoreNumber,
     rules: OwnershipRules,
     confirmed_at: Duration,
     may_order_from: Duration,
-    /// Until when an earlier claim of this process, which went with the store's history, lets it order.
+    /// Until when this process may send orders under its previous claim, which was lost when the
+    /// store was restored from an older copy.
     carried_until: Duration,
-    /// When its claim went with the store's history.
+    /// When the claim was lost because the store was restored from an older copy.
     lapsed_at: Option<Duration>,
 }
 
 impl Ownership {
-    /// An engine whose key was written at revision `claim` by a call sent at `asked_at`.
+    /// Ownership of an engine whose key was written at revision `claim` by a call sent at
+    /// `asked_at`.
     pub fn taken(
         claim: StoreNumber,
         predecessor: Predecessor,
@@ -99,27 +101,31 @@
         }
     }
 
-    /// From when on orders may be sent.
+    /// When the wait for the previous owner's orders ends.
     pub fn may_order_from(&self) -> Duration {
         self.may_order_from
     }
 
-    /// Takes in that its claim is gone with the store's history. No order may be sent until it is [`retaken`](Self::retaken).
+    /// Records that the claim was lost because the store was restored from an older copy. No order
+    /// may be sent until the engine is [`retaken`](Self::retaken).
     pub fn lapse(&mut self, now: Duration) {
         self.lapsed_at.get_or_insert(now);
     }
 
-    /// Whether its claim is gone with the store's history.
+    /// Whether the claim was lost because the store was restored from an older copy.
     pub fn is_lapsed(&self) -> bool {
         self.lapsed_at.is_some()
     }
 
-    /// The same engine, claimed anew at revision `claim` by a call sent at `asked_at`, after the claim before had lapsed.
+    /// Ownership of the same engine under a new claim, written at revision `claim` by a call sent
+    /// at `asked_at`, after the previous claim had lapsed.
     ///
-    /// Another node may have claimed it in the history that is gone, and may not know that it is. It claimed after this
-    /// process's last confirmation, so its orders begin `confirmation + hand_over` later at the earliest, and end
-    /// `confirmation` after the new claim. If that leaves it no time, this process goes on at once; else it goes on as long
-    /// as its old confirmation holds, and begins anew after the other's end.
+    /// In the store history that was lost, another node may have claimed the engine, and may not
+    /// know that this claim is lost too. It can only have claimed after this process's last
+    /// confirmation, so its orders begin `confirmation + hand_over` after that at the earliest, and
+    /// end `confirmation` after the new claim. If that leaves no time for its orders, this process
+    /// continues at once. Otherwise it continues until its old confirmation expires, and starts
+    /// again once the other node's orders must have ended.
     ///
     /// ```
     /// use std::time::Duration;
@@ -158,23 +164,24 @@
         }
     }
 
-    /// The revision that wrote the claim.
+    /// The store revision at which the claim was written.
     pub fn claim(&self) -> StoreNumber {
         self.claim
     }
 
-    /// When orders end and begin anew, if it goes on by an earlier claim at `now`.
+    /// When orders may start again, if this process still sends orders under its previous claim at
+    /// `now` and has to interrupt them when that expires.
     pub fn begins_anew_at(&self, now: Duration) -> Option<Duration> {
         let goes_on = now < self.carried_until && now < self.may_order_from;
         goes_on.then_some(self.may_order_from)
     }
 
-    /// Takes in that a read sent at `asked_at` showed the key with this node's revision.
+    /// Records that a read sent at `asked_at` showed the key with this node's revision.
     pub fn confirm(&mut self, asked_at: Duration) {
         self.confirmed_at = self.confirmed_at.max(asked_at);
     }
 
-    /// How long ago the ownership was confirmed.
+    /// Time since the ownership was last confirmed.
     pub fn confirmation_age(&self, now: Duration) -> Duration {
         now.saturating_sub(self.confirmed_at)
     }
--- a/crates/relay/src/ownership_watch.rs
+++ b/crates/relay/src/ownership_watch.rs
@@ -1,4 +1,4 @@
-//! Whether engines are owned as they should be.
+//! Detects engines whose owners are missing or unevenly distributed.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -9,49 +9,50 @@
 
 use crate::{NodeRecord, Upstream};
 
-/// How long something must be wrong before it is told: owners change within a second when nodes or engines come and go.
+/// How long a problem must last before it is reported: ownership moves within a second when nodes
+/// or engines come and go.
 const PATIENCE: Duration = Duration::from_secs(2);
 
-/// How many times its part a node may own.
+/// How many times its fair share a node may own.
 const MOST_PARTS: usize = 2;
 
-/// What is wrong with the owners of engines, as one node sees it.
+/// A problem with the ownership of engines, as one node sees it.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash)]
 pub enum OwnershipConcern {
-    /// The node is not listed, so it can own nothing and the others ask nothing of it.
+    /// The node is not listed, so it can own no engine and other nodes send it no requests.
     #[display("not_listed")]
     NotListed,
-    /// Its failure domain has an engine or more for each of its nodes, and it owns none.
+    /// The node owns no engine, although its failure domain has at least as many engines as nodes.
     #[display("owns_none")]
     OwnsNone,
-    /// A node owns more than twice its part. All loads of these engines wait for it.
+    /// A node owns more than twice its fair share. All loads on these engines wait for it.
     #[display("owns_too_many")]
     OwnsTooMany(NodeId),
 }
 
-/// What is known of nodes, engines and owners at one time.
+/// A snapshot of nodes, engines and owners.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnersNow<'a> {
-    /// The node that looks.
+    /// The observing node.
     pub node: &'a NodeId,
-    /// Nodes that are listed.
+    /// Listed nodes.
     pub nodes: &'a [NodeRecord],
     /// Engines that take work.
     pub engines: &'a [&'a Upstream],
-    /// Who owns which.
+    /// The owner of each owned engine.
     pub owners: &'a HashMap<UpstreamId, NodeId>,
 }
 
-/// A concern that began or ended.
+/// A problem that began or ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConcernChange {
-    /// It has lasted for a while.
+    /// It has lasted long enough to be reported.
     Began(OwnershipConcern),
-    /// It is over.
+    /// It was reported and is over.
     Ended(OwnershipConcern),
 }
 
-/// Looks time and again whether engines are owned as they should be.
+/// Checks periodically whether the ownership of engines is as it should be.
 ///
 /// ```
 /// use std::collections::HashMap;
@@ -66,7 +67,7 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct OwnershipWatch {
-    /// Since when each concern has lasted, and whether it was told.
+    /// Current problems: since when each has lasted, and whether it was reported.
     concerns: HashMap<OwnershipConcern, Lasting>,
 }
 
@@ -77,7 +78,7 @@
 }
 
 impl OwnershipWatch {
-    /// Looks at `seen`, and returns what is to be told.
+    /// Checks a snapshot and returns the changes to report.
     pub fn look(&mut self, seen: OwnersNow<'_>, now: Instant) -> Vec<ConcernChange> {
         let concerns = seen.concerns();
         let mut changes = Vec::new();
@@ -120,7 +121,7 @@
     }
 }
 
-/// Engines and nodes by failure domain, and engines by owner.
+/// Numbers of engines and nodes by failure domain, and of engines by owner.
 struct Counts<'a> {
     engines_in: HashMap<&'a FailureDomain, usize>,
     nodes_in: HashMap<&'a FailureDomain, usize>,
@@ -155,8 +156,8 @@
         self.owned(record) > self.part(record) * MOST_PARTS
     }
 
-    /// How many engines fall to a node, rounded up: its part of those of its failure domain, and of those that stand
-    /// where no node is.
+    /// The fair share of a node, rounded up: of the engines in its failure domain, and of those in
+    /// failure domains without nodes.
     fn part(&self, record: &NodeRecord) -> usize {
         let domain = &record.failure_domain;
         let engines = self.engines_in.get(domain).copied().unwrap_or(0);
--- a/crates/relay/src/rate_bucket.rs
+++ b/crates/relay/src/rate_bucket.rs
@@ -1,11 +1,11 @@
-//! Requests that a rate allows.
+//! A token bucket for request rates.
 
 use std::time::{Duration, Instant};
 
-/// For how long a rate that nobody uses adds up.
+/// For how long unused requests of a rate add up.
 const BURST: Duration = Duration::from_secs(1);
 
-/// Requests that may be sent now, filled in at a rate.
+/// A token bucket that holds the requests that may be sent now and refills at a rate.
 ///
 /// ```
 /// use std::time::{Duration, Instant};
@@ -18,13 +18,16 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct RateBucket {
+    /// Refill rate in requests per second.
     per_s: f64,
+    /// Requests that may be sent now.
     requests: f64,
     filled: Instant,
 }
 
 impl RateBucket {
-    /// An empty bucket. What was sent before the rate was known counts in its first second.
+    /// Creates an empty bucket, so that requests sent before the rate was known count against its
+    /// first second.
     pub fn new(per_s: f64, now: Instant) -> Self {
         Self {
             per_s,
@@ -33,20 +36,20 @@
         }
     }
 
-    /// Takes in another rate.
+    /// Changes the rate.
     pub fn set_rate(&mut self, per_s: f64, now: Instant) {
         self.fill(now);
         self.per_s = per_s;
         self.requests = self.requests.min(self.capacity());
     }
 
-    /// Whether a request may be sent.
+    /// Whether a request may be sent now.
     pub fn has_one(&mut self, now: Instant) -> bool {
         self.fill(now);
         self.requests >= 1.0
     }
 
-    /// Takes one request out, if there is one.
+    /// Takes one request out of the bucket. Returns whether there was one.
     pub fn take(&mut self, now: Instant) -> bool {
         let has_one = self.has_one(now);
         if has_one {
@@ -55,7 +58,7 @@
         has_one
     }
 
-    /// When a request may be sent that lets `ahead` others go first.
+    /// How long a request has to wait if `ahead` others go first.
     pub fn wait(&self, ahead: usize, now: Instant) -> Duration {
         let passed_s = now.saturating_duration_since(self.filled).as_secs_f64();
         let missing = (ahead + 1) as f64 - self.requests - passed_s * self.per_s;
--- a/crates/relay/src/readers.rs
+++ b/crates/relay/src/readers.rs
@@ -1,4 +1,4 @@
-//! Which node a node hears the store's changes from.
+//! Which node forwards changes of the store to a node.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,25 +7,27 @@
 
 use crate::NodeRecord;
 
-/// The pause after a failed call to the store.
+/// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Nodes of a failure domain that may come back to the store in one such pause.
+/// How many nodes of a failure domain may retry within one such pause.
 const RETRYING_NODES: usize = 4;
 
-/// The longest pause after a failed call: what is known is then renewed within half of the 4 s for
-/// which it is relied on.
+/// Upper bound on the pause after a failed call. With it, data is refreshed within half of the 4 s
+/// for which it is valid.
 const LONGEST_RETRY_PAUSE: Duration = Duration::from_millis(750);
 
-/// Nodes of a failure domain that may read the store for the others. The second takes over when the
-/// first falls silent, before the store shows that it is gone.
+/// How many nodes of a failure domain may read the store for the others. The second takes over when
+/// the first falls silent, before the store lists the first as gone.
 const READERS: usize = 2;
 
-/// The node of `domain` that reads the store for `node`; nothing if it is to read it itself.
+/// Returns the node of `domain` that reads the store for `node`, or `None` if `node` must read it
+/// itself.
 ///
-/// Nodes that all watch the store cost it calls in proportion to the fleet. So one in each failure domain watches, in the order of their ids, and passes on what
-/// changed. A reader that `is_silent` is passed over; if all are, each node reads for itself. `node` is in that order whether
-/// it is listed or not.
+/// If every node watched the store, its load would grow with the fleet. So one node in each failure
+/// domain, the first in the order of ids, watches it and forwards the changes. Readers for which
+/// `is_silent` holds are skipped; if all are, each node reads for itself. `node` counts in that
+/// order whether it is listed or not.
 ///
 /// ```
 /// use nutmegsail_relay::{NodeRecord, reader_for};
@@ -48,14 +50,15 @@
     let near = nodes
         .into_iter()
         .filter(|other| other.failure_domain == *domain);
-    // The node itself may not be listed yet, or any more.
+    // The node itself may not be listed yet, or no longer.
     let mut before: Vec<&NodeRecord> = near.filter(|other| other.node < *node).collect();
     before.sort_by(|a, b| a.node.cmp(&b.node));
     let mut readers = before.into_iter().take(READERS);
     readers.find(|reader| !is_silent(&reader.node))
 }
 
-/// The nodes of each failure domain that may read the store for the others, the first in front.
+/// Returns the nodes of each failure domain that may read the store for the others, in order of
+/// preference.
 pub fn readers_by_domain<'a>(
     nodes: impl IntoIterator<Item = &'a NodeRecord>,
 ) -> BTreeMap<&'a FailureDomain, Vec<&'a NodeRecord>> {
@@ -69,11 +72,11 @@
     by_domain
 }
 
-/// How long a node pauses after a call to the store that failed, with `near` nodes in its failure domain.
-/// As much again at random keeps them from coming back at one moment.
+/// Returns the pause after a failed call to the store, for a failure domain of `near` nodes.
+/// Callers add up to as much again at random, so that nodes do not retry at the same time.
 ///
-/// While the store is away every node asks it, as its reader has nothing to tell; so the pause grows with
-/// the nodes.
+/// While the store is unavailable every node calls it, because its reader has nothing to forward.
+/// So the pause grows with the number of nodes.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/relay/src/request_digest.rs
+++ b/crates/relay/src/request_digest.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same one.
+//! Identifies requests with the same content.
 
 use std::fmt;
 
@@ -6,26 +6,27 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// Bytes of the hash that are kept.
+/// Number of hash bytes that are kept.
 const DIGEST_BYTES: usize = 16;
 
-/// The parts of a request by which a repeat of it is known. Headers are none of them: each repeat has an
-/// id and a deadline of its own.
+/// The parts of a request that identify a repeat of it. Headers are left out, because each repeat
+/// has its own request id and deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
     /// The method.
     pub method: &'a str,
-    /// The host that it names, without a port.
+    /// The host, without the port.
     pub host: &'a str,
-    /// The path, with the query.
+    /// The path, including the query.
     pub path: &'a str,
-    /// The team of its caller, if it is known.
+    /// The caller's team, if known.
     pub team: Option<&'a TeamName>,
     /// The body.
     pub body: &'a [u8],
 }
 
-/// Stands for a request's content between nodes and in logs. Nothing of the content can be read from it.
+/// A hash of a request's content, used between nodes and in logs. The content cannot be recovered
+/// from it.
 ///
 /// ```
 /// use nutmegsail_relay::{RequestContent, RequestDigest};
@@ -39,12 +40,12 @@
 pub struct RequestDigest([u8; DIGEST_BYTES]);
 
 impl RequestDigest {
-    /// The digest of `content`.
+    /// Computes the digest of `content`.
     pub fn of(content: &RequestContent<'_>) -> Self {
         let team = content.team.map_or("", |team| team.as_str());
         let mut hash = Sha256::new();
         for part in [content.method, content.host, content.path, team] {
-            // With its length, so that no part can run into the next.
+            // Each part is preceded by its length, so that parts cannot run into each other.
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part);
         }
@@ -55,7 +56,7 @@
         Self(digest)
     }
 
-    /// Its bytes.
+    /// The digest as bytes.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
--- a/crates/relay/src/rest.rs
+++ b/crates/relay/src/rest.rs
@@ -1,33 +1,36 @@
-//! The rest that an upstream asks one node for.
+//! Backoff of one upstream, followed by a trial request.
 
 use std::time::{Duration, Instant};
 
-/// How long the first request after a rest may take until another one is sent.
+/// How long a trial request may stay unanswered before another one is sent.
 const TRIAL_LIMIT: Duration = Duration::from_millis(1_000);
 
-/// About when the first request after a rest is answered.
+/// Typical time until a trial request is answered. Callers that are refused meanwhile are told to
+/// return then.
 const TRIAL_ANSWERED: Duration = Duration::from_millis(100);
 
-/// The rest that an upstream asked for. After it one request shows whether the upstream takes work again, before the others go.
+/// The backoff that an upstream requested. After it, a single trial request must be answered before
+/// other requests are sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Rest {
     until: Option<Instant>,
     trial: Trial,
 }
 
+/// State of the trial request after a backoff.
 #[derive(Clone, Copy, Debug, Default)]
 enum Trial {
-    /// None is needed.
+    /// No trial is needed.
     #[default]
     None,
-    /// The next request is it.
+    /// The next request is the trial.
     Due,
-    /// It was sent.
+    /// The trial was sent at this time and is not answered yet.
     Sent(Instant),
 }
 
 impl Rest {
-    /// Takes in that the upstream wants nothing before `until`.
+    /// Starts a backoff that ends at `until`. Ignored if a longer one is in effect.
     pub(crate) fn begin(&mut self, until: Instant) {
         if self.until < Some(until) {
             self.until = Some(until);
@@ -35,7 +38,7 @@
         }
     }
 
-    /// When the upstream takes a request again, if it does not now.
+    /// When the next request may be sent, or `None` if one may be sent now.
     pub(crate) fn ends(&self, now: Instant) -> Option<Instant> {
         let rest = self.until.filter(|until| now < *until);
         let trial = match self.trial {
@@ -47,21 +50,21 @@
         rest.or(trial)
     }
 
-    /// Takes in that a request was sent.
+    /// Records that a request was sent; it is the trial if one is due.
     pub(crate) fn note_sent(&mut self, now: Instant) {
         if !matches!(self.trial, Trial::None) && self.ends(now).is_none() {
             self.trial = Trial::Sent(now);
         }
     }
 
-    /// Takes in that an answer began.
+    /// Records that an answer began: a trial that is under way has succeeded.
     pub(crate) fn note_answered(&mut self) {
         if let Trial::Sent(_) = self.trial {
             self.trial = Trial::None;
         }
     }
 
-    /// Takes in that the upstream turned a request away, or failed it.
+    /// Records that a request was refused or failed: a trial that is under way must be repeated.
     pub(crate) fn note_not_answered(&mut self) {
         if let Trial::Sent(_) = self.trial {
             self.trial = Trial::Due;
--- a/crates/relay/src/rest_filter.rs
+++ b/crates/relay/src/rest_filter.rs
@@ -1,16 +1,17 @@
-//! Which engines there is something to tell of.
+//! Leaves idle engines out of load updates.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// How often it is told that an engine is at rest, so that a lost datagram does not matter.
+/// How many updates in a row include an engine that became idle, so that a lost datagram does not
+/// matter.
 const REST_TOLD: u8 = 3;
 
-/// Leaves out engines at rest of what is told of all of them.
+/// Chooses which engines to include in a load update, leaving out those that have been idle for a
+/// while.
 ///
-/// Nothing is assumed of an engine of which nothing is heard, which comes to the same as being at rest.
-/// Told like the others ten times a second, idle ones would make up most of what a gatherer sends in a large
-/// fleet.
+/// Receivers treat an engine without updates as idle. Updates go out ten times a second, and idle
+/// engines would make up most of what a gathering node sends in a large fleet.
 ///
 /// ```
 /// use nutmegsail_relay::RestFilter;
@@ -18,14 +19,14 @@
 /// assert_eq!(filter.turn([("e1", false), ("e2", false)]), ["e1", "e2"]);
 /// let resting = || [("e1", false), ("e2", true)];
 /// for _ in 0..3 {
-///     assert_eq!(filter.turn(resting()), ["e1", "e2"], "that it came to rest is news");
+///     assert_eq!(filter.turn(resting()), ["e1", "e2"], "a change to idle is repeated");
 /// }
 /// assert_eq!(filter.turn(resting()), ["e1"]);
 /// assert_eq!(filter.turn([("e2", false)]), ["e2"]);
 /// ```
 #[derive(Clone, Debug)]
 pub struct RestFilter<K> {
-    /// How often each engine at rest was told of.
+    /// How many updates in a row have included each idle engine.
     told: HashMap<K, u8>,
 }
 
@@ -38,7 +39,8 @@
 }
 
 impl<K: Clone + Eq + Hash> RestFilter<K> {
-    /// The engines to tell of now, of all that are known, each with whether it is at rest.
+    /// Returns the engines to include in the next update. `engines` lists all known engines and
+    /// whether each is idle.
     pub fn turn(&mut self, engines: impl IntoIterator<Item = (K, bool)>) -> Vec<K> {
         let mut resting = HashMap::new();
         let mut news = Vec::new();
--- a/crates/relay/src/retry_budget.rs
+++ b/crates/relay/src/retry_budget.rs
@@ -1,30 +1,30 @@
-//! How often this node may send a request once more.
+//! Limits how often this node retries requests.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// The bounds of [`RetryBudget`].
+/// The limits of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetRules {
-    /// Further sends that each first send allows, over all nodes.
+    /// Retries allowed per first attempt, over all nodes.
     pub ratio: f64,
-    /// Further sends that are allowed besides, in one window, over all nodes.
+    /// Retries allowed in addition in each window, over all nodes.
     pub slack: f64,
     /// The window.
     pub window: Duration,
 }
 
-/// The part of the fleet's budget that nodes leave unused, so that two windows that slide apart
-/// and sends still on their way do not add up to more than the whole.
+/// Share of the fleet's budget that nodes use. The rest is a margin, so that windows that are not
+/// aligned, and attempts in flight, do not add up to more than the whole.
 const USED_SHARE: f64 = 0.6;
 
-/// Steps that the window is counted in.
+/// Number of steps that the window is counted in.
 const STEPS: u32 = 10;
 
-/// Counts sends of one service at one node.
+/// Retry budget of one service at one node.
 ///
-/// Each node takes a static share of the slack, so no call is needed to agree on it, and a node
-/// that is cut off keeps within it. The ratio needs no sharing: it goes with the node's own sends.
+/// Each node gets a fixed share of the slack, so nodes need not coordinate, and one that is cut off
+/// stays within its share. The ratio needs no sharing: it applies to the node's own first attempts.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     rules: RetryBudgetRules,
@@ -34,12 +34,14 @@
 #[derive(Clone, Copy, Debug)]
 struct Step {
     began: Instant,
+    /// First attempts.
     first: u32,
+    /// Retries.
     further: u32,
 }
 
 impl RetryBudget {
-    /// A budget in which nothing was spent.
+    /// Creates an unused budget.
     pub fn new(rules: RetryBudgetRules) -> Self {
         Self {
             rules,
@@ -47,12 +49,12 @@
         }
     }
 
-    /// Counts a request's first send.
+    /// Counts a request's first attempt.
     pub fn count_first(&mut self, now: Instant) {
         self.step(now).first += 1;
     }
 
-    /// Whether a further send fits the budget, for one of `nodes` nodes.
+    /// Whether the budget allows a retry, at one of `nodes` nodes.
     pub fn has_further(&mut self, nodes: usize, now: Instant) -> bool {
         self.step(now);
         let first: u32 = self.steps.iter().map(|step| step.first).sum();
@@ -62,7 +64,7 @@
         f64::from(further) + 1.0 <= allowed
     }
 
-    /// Counts a further send of a request if the budget has room for it.
+    /// Counts a retry if the budget allows it. Returns whether it does.
     pub fn take_further(&mut self, nodes: usize, now: Instant) -> bool {
         let has_room = self.has_further(nodes, now);
         if has_room {
--- a/crates/relay/src/return_time.rs
+++ b/crates/relay/src/return_time.rs
@@ -1,21 +1,23 @@
-//! When callers are asked to return.
+//! When refused callers are told to return.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt as _};
 
-/// The time over which callers return, as a part of the time that they wait.
+/// The interval over which returning callers are spread, as a share of the wait.
 const SPREAD_SHARE: f64 = 0.5;
 
-/// The least time over which they return.
+/// Lower bound on that interval.
 const LEAST_SPREAD: Duration = Duration::from_millis(250);
 
-/// Ranks that are told apart.
+/// Number of ranks that are distinguished. Higher ranks are treated like the last of them.
 const RANKS: u8 = 5;
 
-/// When the caller of a request of `rank` is asked to return, if it can be served after `wait` at the earliest.
+/// Returns when a caller with a request of `rank` should return, if it can be served after `wait`
+/// at the earliest.
 ///
-/// Spread, so that those who were refused together don't return together; the most urgent, of rank 0, come first.
+/// Callers are spread at random, so that those refused together do not return together. The most
+/// urgent, rank 0, return first.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/relay/src/route.rs
+++ b/crates/relay/src/route.rs
@@ -1,4 +1,4 @@
-//! One route of the configuration.
+//! A route of the configuration.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,44 +7,46 @@
 
 use crate::CallKind;
 
-/// A service that gets a share of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Its share, relative to the others of the route.
+    /// Its weight relative to the other services of the route.
     pub weight: f64,
 }
 
-/// Requests of one host whose path begins with one prefix.
+/// How to handle requests to one host with one path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The route's name.
     pub name: Arc<str>,
-    /// The host it answers for.
+    /// The host to match.
     pub host: Arc<str>,
-    /// The start of the paths it answers for; begins and ends with a slash.
+    /// The path prefix to match; starts and ends with a slash.
     pub path_prefix: Arc<str>,
-    /// What may be repeated.
+    /// Which retries are allowed.
     pub kind: CallKind,
-    /// How long a request may be kept waiting for the whole of its answer.
+    /// How long a request may take until its answer is complete.
     pub timeout: Duration,
-    /// The latency objective; for streams, of the first event.
+    /// The latency objective; for streams, that of the first event.
     pub objective: Duration,
-    /// How long callers wait for the next event of a stream, the first included, before they leave.
+    /// How long callers wait for the next event of a stream, including the first, before they
+    /// disconnect.
     pub event_patience: Duration,
-    /// The rank; 0 is the most urgent.
+    /// The rank of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// The services that answer, with their shares. Never empty.
+    /// The services to send requests to, with their weights. Never empty.
     pub services: Vec<WeightedService>,
-    /// How many upstreams may run one request.
+    /// How many upstreams may run one request, including the first.
     pub max_attempts: u32,
     /// Whether callers without a key are served.
     pub allows_anonymous: bool,
 }
 
 impl Route {
-    /// The service for a request, for `draw` from 0 up to but not including 1.
+    /// Chooses the service for a request by `draw`, a random number from 0 up to but not including
+    /// 1.
     ///
     /// ```
     /// # use std::time::Duration;
--- a/crates/relay/src/route_table.rs
+++ b/crates/relay/src/route_table.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, as routing needs it.
+//! The configuration in force, arranged for routing.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,12 +8,12 @@
 
 use crate::{Route, Service, Teams};
 
-/// What a caller may send and how long it may take.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The largest head of a request, in bytes.
+    /// Largest size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// The largest body of a request, in bytes.
+    /// Largest size of a request's body, in bytes.
     pub body_bytes: usize,
     /// How long a request's head or body may take to arrive.
     pub read_timeout: Duration,
@@ -26,16 +26,16 @@
 pub struct RouteTable {
     /// The configuration's version.
     pub version: u64,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
     services: HashMap<ServiceName, Arc<Service>>,
-    /// Routes by host, those with the longest prefix first.
+    /// Routes by host, with the longest path prefix first.
     routes: HashMap<Arc<str>, Vec<Arc<Route>>>,
     teams: Option<Teams>,
 }
 
 impl RouteTable {
-    /// Arranges routes and services for look-up.
+    /// Indexes routes and services for look-up.
     pub fn new(
         version: u64,
         limits: CallerLimits,
@@ -60,19 +60,19 @@
         }
     }
 
-    /// The same with teams, so that callers need a key.
+    /// Adds teams, after which callers need a key.
     #[must_use]
     pub fn with_teams(mut self, teams: Teams) -> Self {
         self.teams = Some(teams);
         self
     }
 
-    /// The teams; nothing if callers need no key.
+    /// The teams, or `None` if callers need no key.
     pub fn teams(&self) -> Option<&Teams> {
         self.teams.as_ref()
     }
 
-    /// The route of `host` with the longest prefix that begins `path`.
+    /// The route of `host` with the longest prefix that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(host)?;
         routes
@@ -85,7 +85,7 @@
         self.services.values()
     }
 
-    /// The service of this name.
+    /// The service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
--- a/crates/relay/src/service.rs
+++ b/crates/relay/src/service.rs
@@ -1,4 +1,4 @@
-//! A service of the configuration and the engines that may serve it.
+//! A service of the configuration, and the engines that can serve it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,20 +7,20 @@
 
 use crate::{CopySource, Holdings};
 
-/// A base model that a service's engines may hold.
+/// A base model that a service's engines can hold.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ModelSpec {
     /// The model's name.
     pub name: Arc<str>,
-    /// The size of its weights, in MB.
+    /// Size of its weights, in MB.
     pub weights_mb: f64,
-    /// The size of one of its adapters, in MB.
+    /// Size of one of its adapters, in MB.
     pub adapter_mb: f64,
-    /// How long it takes to come from the weight store, with few other loads.
+    /// Load time from the weight store when few other loads are running.
     pub load: Duration,
-    /// The same from the memory of the engine's host, if that is stated.
+    /// Load time from the memory of the engine's host, if stated.
     pub load_from_memory: Option<Duration>,
-    /// The same from the engine's disk, if that is stated.
+    /// Load time from the engine's disk, if stated.
     pub load_from_disk: Option<Duration>,
 }
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// How long a load from `source` takes.
+    /// Load time from `source`, or from the weight store if none is stated for it.
     pub fn load_from(&self, source: CopySource) -> Duration {
         let near = match source {
             CopySource::Memory => self.load_from_memory,
@@ -48,24 +48,24 @@
 /// What all engines of a service have in common.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineSpec {
-    /// Adapters that fit beside the base models.
+    /// Number of adapters that fit beside the base models.
     pub adapter_slots: u32,
     /// Memory for weights and adapters, in MB.
     pub weights_mb: f64,
-    /// Base models that the weight store hands out in a second, over all engines; nothing if it is not
-    /// stated.
+    /// Base models per second that the weight store delivers to all engines together, if stated.
     pub loads_per_s: Option<f64>,
-    /// The models.
+    /// The base models.
     pub models: Vec<ModelSpec>,
 }
 
 impl EngineSpec {
-    /// The model of this name.
+    /// The model with this name.
     pub fn model(&self, name: &str) -> Option<&ModelSpec> {
         self.models.iter().find(|model| &*model.name == name)
     }
 
-    /// Adapters that fit beside the base models of `holdings`, by slots and by memory.
+    /// Number of adapters that fit beside the base models of `holdings`, limited by slots and by
+    /// memory.
     ///
     /// ```
     /// use nutmegsail_relay::{EngineSpec, HeldModel, Holdings, ModelSpec};
@@ -92,7 +92,7 @@
     }
 }
 
-/// A service that routes lead to.
+/// A service that routes refer to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// The service's name.
--- a/crates/relay/src/slot_gate.rs
+++ b/crates/relay/src/slot_gate.rs
@@ -1,7 +1,7 @@
-//! Which request goes next to an upstream that takes few.
+//! Admission of requests to an upstream with few slots or a rate limit.
 //!
-//! Answers bursts beyond what a plain upstream's slots serve, or any upstream that names a limit: requests that can
-//! still be in time go first, so that a queue of late ones does not make each that follows late as well.
+//! When a burst exceeds what the upstream can serve, requests that can still be answered in time go
+//! first. Otherwise a queue of late requests would make every later one late as well.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -11,65 +11,67 @@
 
 use crate::RateBucket;
 
-/// Requests beyond the slots that may be at the upstream, as a part of the slots. One of them begins while
-/// the word that a slot is free is on its way.
+/// Requests granted beyond the upstream's slots, as a share of the slots. They keep a slot busy
+/// while the message that it is free is on its way.
 const AHEAD_SHARE: f64 = 0.25;
 
-/// How long a request is taken to run until some have ended.
+/// Assumed run time of a request until some have ended.
 const FIRST_WORK: Duration = Duration::from_millis(50);
 
-/// The work time that is kept free at the end of the time in which an answer is in time, as a multiple of the
-/// usual one: requests that begin at the last moment would be late whenever they take longer than usual.
+/// Time reserved for running a request before its answer is due, as a multiple of the average run
+/// time. Requests that start later than that are late whenever they take longer than usual.
 const KEPT_WORK: f64 = 1.8;
 
-/// How much one request moves the usual times.
+/// Weight of one request in the moving averages.
 const WORK_STEP: f64 = 0.1;
 
-/// The most that one request moves it by, as a multiple of the usual time. One that hung says little
-/// about the rest.
+/// Longest time that one request can contribute to a moving average, as a multiple of that average.
+/// A request that hung says little about the others.
 const WORK_SEEN_MOST: f64 = 4.0;
 
-/// The most by which slots that are held while nothing runs in them raise the limit.
+/// Upper bound on the factor by which granted slots that are idle at the upstream raise the limit.
 const MOST_IDLE_RATIO: f64 = 3.0;
 
-/// How long a slot counts as taken without a word from its node, which may be gone.
+/// How long a slot counts as taken if its node does not release it: the node may be gone.
 const SLOT_LIFE: Duration = Duration::from_millis(2_500);
 
-/// The least rate that an upstream gets, in requests a second: its answers are what tells that its limit has risen.
+/// Lower bound on an upstream's rate, in requests per second: only answers can show that its limit
+/// has risen.
 const LEAST_RATE: f64 = 0.25;
 
-/// How long requests that are late already may queue. Beyond it their callers are better off elsewhere
-/// or later.
+/// Longest queue wait for requests that are already late. Beyond it, callers do better to go
+/// elsewhere or return later.
 const LATE_QUEUE: Duration = Duration::from_millis(500);
 
 /// A request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotAsk {
-    /// How long the answer is in time yet, in milliseconds; 0 for a request that is late already.
+    /// How much longer an answer is in time, in milliseconds; 0 for a request that is already late.
     pub in_time_ms: u32,
-    /// How long its caller waits, in milliseconds.
+    /// How long the caller waits, in milliseconds.
     pub patience_ms: u32,
-    /// Whether it queues if no slot is free.
+    /// Whether to queue the request if no slot is free.
     pub may_queue: bool,
-    /// Its rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub rank: u8,
 }
 
-/// What becomes of a request for a slot.
+/// The decision on a request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotAnswer {
-    /// It may be sent.
+    /// The request may be sent.
     Granted,
-    /// It waits in the queue; another answer follows.
+    /// The request was queued; another answer follows.
     Queued,
-    /// No slot is free. One that queued would be served after about this time.
+    /// No slot is free, and the request was not to be queued. In the queue it would wait about this
+    /// long.
     Busy {
-        /// The time, in milliseconds.
+        /// Expected wait in milliseconds.
         wait_ms: u32,
     },
-    /// It cannot be served; whoever returns after this time finds room.
+    /// The request cannot be served. A caller that returns after this time can expect a free slot.
     Refused {
-        /// The time, in milliseconds.
+        /// Time until then in milliseconds.
         wait_ms: u32,
     },
 }
@@ -77,14 +79,15 @@
 #[derive(Clone, Copy, Debug)]
 struct Waiting<K> {
     key: K,
-    /// When it must begin to be in time; past for those that are late.
+    /// Latest start for an answer that is in time. Already past for late requests.
     latest_start: Instant,
     is_late: bool,
     rank: u8,
     gives_up: Instant,
 }
 
-/// The slots of one upstream, or the rate that it limits all nodes to, with the requests that wait. `K` names a request.
+/// The slots of one upstream, or its rate limit shared by all nodes, and the queue of waiting
+/// requests. `K` identifies a request.
 ///
 /// ```
 /// use std::time::Instant;
@@ -100,17 +103,17 @@
 pub struct SlotGate<K> {
     slots: u32,
     taken: HashMap<K, Instant>,
-    /// The requests that its limit allows, if it names one.
+    /// The upstream's rate limit, if it announces one.
     rate: Option<RateBucket>,
     queue: Vec<Waiting<K>>,
-    /// How long a slot is held, from its grant to the word that it is free.
+    /// Average time from the grant of a slot to its release.
     held: Duration,
-    /// How long of that the request is at the upstream.
+    /// Average time that a request spends at the upstream.
     work: Duration,
 }
 
 impl<K: Clone + Copy + Eq + Hash> SlotGate<K> {
-    /// An upstream that runs `slots` requests at once.
+    /// Creates the gate of an upstream that runs `slots` requests at once.
     pub fn new(slots: u32) -> Self {
         Self {
             slots: slots.max(1),
@@ -122,12 +125,12 @@
         }
     }
 
-    /// Takes in how many requests the upstream runs at once.
+    /// Sets how many requests the upstream runs at once.
     pub fn set_slots(&mut self, slots: u32) {
         self.slots = slots.max(1);
     }
 
-    /// Takes in how many requests a second the upstream takes, if it limits them.
+    /// Sets the upstream's rate limit in requests per second, or removes it.
     pub fn set_rate(&mut self, per_s: Option<f64>, now: Instant) {
         let per_s = per_s.map(|per_s| per_s.max(LEAST_RATE));
         match (&mut self.rate, per_s) {
@@ -136,20 +139,20 @@
         }
     }
 
-    /// Whether its upstream names a limit.
+    /// Whether the upstream has a rate limit.
     pub fn is_limited(&self) -> bool {
         self.rate.is_some()
     }
 
-    /// Whether nothing is known of any request.
+    /// Whether no request holds a slot or waits.
     pub fn is_idle(&self) -> bool {
         self.taken.is_empty() && self.queue.is_empty()
     }
 
-    /// Decides on a request.
+    /// Grants a slot, queues the request or turns it away.
     pub fn ask(&mut self, key: K, ask: SlotAsk, now: Instant) -> SlotAnswer {
         self.forget_lost(now);
-        // A datagram may come twice.
+        // Datagrams can be delivered twice.
         if self.taken.contains_key(&key) {
             return SlotAnswer::Granted;
         }
@@ -186,8 +189,8 @@
         SlotAnswer::Queued
     }
 
-    /// Takes in that a request has ended, after `took` at the upstream, or waits no more. Returns what becomes
-    /// of others.
+    /// Records that a request ended after `took` at the upstream, or that it no longer waits.
+    /// Returns the decisions on queued requests.
     pub fn release(
         &mut self,
         key: &K,
@@ -202,7 +205,7 @@
         self.turn(now)
     }
 
-    /// Lets those go that there is room for now, and returns what becomes of them.
+    /// Grants slots to queued requests while there is room, and returns the decisions made.
     pub fn turn(&mut self, now: Instant) -> Vec<(K, SlotAnswer)> {
         self.forget_lost(now);
         let mut answers = Vec::new();
@@ -217,11 +220,12 @@
         answers
     }
 
-    /// The next one in the queue; those that nobody waits for any more are refused.
+    /// Removes the next request from the queue and refuses those whose callers have stopped
+    /// waiting.
     fn take_next(&mut self, now: Instant, answers: &mut Vec<(K, SlotAnswer)>) -> Option<K> {
         let gone = self.queue.extract_if(.., |waiting| waiting.gives_up <= now);
         answers.extend(gone.map(|gone| (gone.key, SlotAnswer::Refused { wait_ms: 0 })));
-        // A request that has become late while it queued gives way to those that can be in time.
+        // A request that became late while queued is served after those that can still be in time.
         for waiting in &mut self.queue {
             waiting.is_late |= waiting.latest_start < now;
         }
@@ -240,25 +244,25 @@
         has_slot && rate.is_none_or(|rate| rate.has_one(now))
     }
 
-    /// Takes what the rate allows for one request, if there is room.
+    /// Consumes the rate allowance for one request, if a slot is free and the rate allows it.
     fn take_room(&mut self, now: Instant) -> bool {
         let has_room = self.has_room(now);
         let rate = self.rate.as_mut();
         has_room && rate.is_none_or(|rate| rate.take(now))
     }
 
-    /// How many requests may have a slot at once.
+    /// How many requests may hold a slot at once.
     ///
-    /// A slot stands empty at the upstream while the grant and the answer are on their way, and while the
-    /// node that has it waits for its share of a processor. Where the upstream's own queue grows, requests
-    /// are there for longer, and the limit falls.
+    /// More than the upstream has slots: a granted slot is idle there while the grant and the
+    /// answer are on their way, and while the node holding it waits for CPU time. If requests queue
+    /// inside the upstream, they stay there longer and this limit falls.
     fn limit(&self) -> usize {
         let held_ratio = self.held.as_secs_f64() / self.work.as_secs_f64().max(1e-3);
         let at_once = f64::from(self.slots) * held_ratio.clamp(1.0, MOST_IDLE_RATIO);
         (at_once + f64::from(self.slots) * AHEAD_SHARE).ceil() as usize
     }
 
-    /// Requests in the queue that begin before one of this rank with this latest start.
+    /// Number of queued requests served before one with this rank and latest start.
     fn ahead_of(&self, rank: u8, latest_start: Instant) -> usize {
         let place = (self.rank_that_counts(rank), latest_start);
         let in_time = self.queue.iter().filter(|waiting| !waiting.is_late);
@@ -267,8 +271,8 @@
             .count()
     }
 
-    /// The rank by which requests go first. Slots are free again within the work of a request; a limit leaves some out
-    /// altogether.
+    /// The rank used for ordering. It counts only under a rate limit, which can keep requests out
+    /// altogether; without one, slots become free within the run time of a request.
     fn rank_that_counts(&self, rank: u8) -> u8 {
         match self.rate {
             Some(_) => rank,
@@ -276,7 +280,7 @@
         }
     }
 
-    /// How long a request waits with so many before it.
+    /// Expected wait of a request with `ahead` others before it.
     fn wait_behind(&self, ahead: usize, now: Instant) -> Duration {
         let for_slot = self.held.mul_f64((ahead + 1) as f64 / self.limit() as f64);
         let rate = self.rate.as_ref();
--- a/crates/relay/src/stall.rs
+++ b/crates/relay/src/stall.rs
@@ -1,12 +1,13 @@
-//! Notices that the process did not run for a while.
+//! Detects that the process was not running for a while.
 
 use std::time::Duration;
 
-/// The least stall that is told. Ticks of a loaded or slowed machine come late by some 100 ms.
+/// Shortest stall that is reported. On a busy or slowed machine, ticks are late by some 100 ms.
 const LEAST_TOLD: Duration = Duration::from_millis(1_000);
 
-/// Looks at a clock that counts suspension, once in an interval; a look that comes much later shows
-/// that the machine was suspended, or the process stopped or starved.
+/// Detects stalls from a timer that should fire once per interval, on a clock that also advances
+/// while the machine is suspended. A check that comes much later shows that the machine was
+/// suspended, or that the process was stopped or got no CPU time.
 ///
 /// ```
 /// use std::time::Duration;
@@ -23,7 +24,7 @@
 }
 
 impl StallWatch {
-    /// Begins at `now`.
+    /// Starts at `now`, with checks expected once per `interval`.
     pub fn new(interval: Duration, now: Duration) -> Self {
         Self {
             interval,
@@ -31,7 +32,7 @@
         }
     }
 
-    /// How long the process did not run since the last look, if that is worth telling.
+    /// How long the process did not run since the last check, if that is long enough to report.
     pub fn check(&mut self, now: Duration) -> Option<Duration> {
         let passed = now.saturating_sub(self.last);
         self.last = now;
--- a/crates/relay/src/stated_patience.rs
+++ b/crates/relay/src/stated_patience.rs
@@ -1,15 +1,15 @@
-//! Which callers have waited before, told by the time that they say they wait.
+//! Infers how long a returning caller has waited from the patience that it states.
 
 use std::time::Duration;
 
-/// Requests of the same patience after which it is known well.
+/// Upper bound on the votes for the usual patience, reached after as many requests that state it.
 const WELL_KNOWN: u32 = 16;
 
-/// The patience that the callers of a route state as a rule.
+/// The patience that callers of a route usually state.
 ///
-/// A caller that was refused and returns states what is left of its patience, so the difference is how long
-/// it has waited. The most frequent value counts, not the largest: one caller with endless patience must
-/// not make all others look late.
+/// A caller that was refused and returns states the patience it has left, so the difference to the
+/// usual value is how long it has waited. The usual value is the most frequent one, not the
+/// largest: one caller with unlimited patience must not make all others look late.
 ///
 /// ```
 /// use std::time::Duration;
@@ -28,9 +28,9 @@
 }
 
 impl StatedPatience {
-    /// How long a caller has waited before that states `patience`.
+    /// Returns how long a caller that states `patience` has waited so far.
     pub fn waited(&mut self, patience: Duration) -> Duration {
-        // The majority vote of Boyer and Moore.
+        // Boyer-Moore majority vote.
         if patience == self.usual {
             self.votes = (self.votes + 1).min(WELL_KNOWN);
         } else if self.votes == 0 {
--- a/crates/relay/src/suspect_homes.rs
+++ b/crates/relay/src/suspect_homes.rs
@@ -1,4 +1,4 @@
-//! Where what several nodes saw of one request comes together.
+//! Which nodes collect the strikes against a request.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,8 @@
 
 use crate::{NodeRecord, RequestDigest};
 
-/// The node of each failure domain with the highest hash for `digest`. Nodes that know the same name the same ones, and
-/// each failure domain has its own while it is cut off.
+/// Returns the node of each failure domain with the highest hash for `digest`. Nodes with the same
+/// view choose the same ones, and a failure domain that is cut off still has one of its own.
 ///
 /// ```
 /// use nutmegsail_relay::{NodeRecord, RequestContent, RequestDigest, homes_of};
--- a/crates/relay/src/suspects.rs
+++ b/crates/relay/src/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that upstreams ended under.
+//! Requests suspected of crashing upstreams.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -9,61 +9,67 @@
 
 use crate::RequestDigest;
 
-/// How many upstreams may end under a request before it is sent to no other one. Fewer would refuse callers whose
-/// upstreams happened to crash twice; each one more costs all that runs on another upstream.
+/// How many upstreams may end while running a request before it is sent to no further one. A lower
+/// limit would refuse callers whose upstreams happened to crash twice; with a higher one, each
+/// further crash also takes down everything else that runs on that upstream.
 pub const STRIKES_LIMIT: usize = 3;
 
-/// How long an end is held against a request. Whoever repeats it later than that starts anew.
+/// How long a strike counts against a request.
 const STRIKE_LIFE: Duration = Duration::from_secs(600);
 
-/// How long a request that was answered whole counts as such, against ends of before that other nodes still tell of.
+/// How long a request that was answered in full stays cleared, so that strikes from before, which
+/// other nodes still send, are ignored.
 const CLEARED_LIFE: Duration = Duration::from_secs(60);
 
-/// How long a node's word is relied on that it has a request at an upstream.
+/// How long another node's count of the copies it has at upstreams is valid.
 const TRIAL_LIFE: Duration = Duration::from_secs(3);
 
-/// How many ends make a request a suspect at every node. Most that were under one end crash nothing.
+/// Number of strikes from which all nodes are told of a request. Most requests with one strike
+/// crash nothing.
 const WIDE_STRIKES: usize = 2;
 
-/// How often a change is told, as single messages are lost.
+/// How often a change is sent, because single messages can be lost.
 const TELL_ROUNDS: u8 = 2;
 
-/// How often, and for how long, a node tells again of the one end that it saw: the others may be out of touch.
+/// How often, and for how long, a node repeats a single strike that it saw itself: the nodes that
+/// collect strikes may be unreachable.
 const RETELL_INTERVAL: Duration = Duration::from_secs(2);
 const RETELL_SPAN: Duration = Duration::from_secs(30);
 
-/// The most requests that are remembered. Beyond it those with the fewest ends are forgotten first, an eighth at a time.
+/// Most requests that are remembered. Beyond it, an eighth is dropped at a time, those with the
+/// fewest strikes first.
 const RECORDS_LIMIT: usize = 512;
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Suspicion {
-    /// It may.
+    /// It may be sent.
     None,
-    /// Not yet: so many of it are at upstreams that it could end more than the limit.
+    /// Not yet: so many copies are at upstreams that their crashes could exceed the limit.
     OnTrial,
-    /// No: that many upstreams ended under it.
+    /// No: the limit is reached.
     Crashes,
 }
 
-/// Who is told of a request.
+/// Which nodes receive an update about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Audience {
-    /// One node of each failure domain, chosen by the request, where what several nodes saw comes together.
+    /// One node of each failure domain, chosen by hash of the request, which collects what other
+    /// nodes saw.
     Homes,
     /// All nodes.
     All,
 }
 
-/// What a node tells others of one request. Ages are in milliseconds.
+/// An update about one request that nodes send to each other. Ages are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectTold {
     digest: RequestDigest,
-    /// Upstreams that ended, by a hash of their ids, and how long ago.
+    /// Upstreams that ended, by hash of their ids, and how long ago.
     strikes: Vec<(u64, u32)>,
-    /// How long ago it was answered whole.
+    /// How long ago the request was answered in full.
     cleared: Option<u32>,
-    /// How many of it the sender has at upstreams.
+    /// How many copies the sender has at upstreams.
     trials: u32,
 }
 
@@ -74,11 +80,12 @@
     }
 }
 
-/// The ends of upstreams that are held against requests, as one node knows them.
+/// Strikes against requests, as one node knows them.
 ///
-/// A request stands for all that have its content, whoever sends them, through whichever node. All that were
-/// beginning when their upstream ended are struck; what crashed it is among them, and comes again with the next one.
-/// A whole answer clears.
+/// A request stands for all copies with the same content, whichever caller sends them through
+/// whichever node. When an upstream ends, every request that was starting there gets a strike. The
+/// one that crashed it is among them, and gets another with the next upstream that it crashes. A
+/// full answer clears a request.
 ///
 /// ```
 /// use std::time::Instant;
@@ -101,18 +108,20 @@
 
 #[derive(Clone, Debug, Default)]
 struct Record {
-    /// One for each upstream; no more than the limit.
+    /// One for each upstream, at most [`STRIKES_LIMIT`].
     strikes: Vec<Strike>,
     cleared: Option<Instant>,
-    /// How many this node has at upstreams.
+    /// How many copies this node has at upstreams.
     own_trials: u32,
+    /// How many copies other nodes have at upstreams, and when each said so.
     trials_elsewhere: HashMap<NodeId, (u32, Instant)>,
-    /// Whether all nodes are told of it.
+    /// Whether all nodes are told of the request.
     is_wide: bool,
-    /// Whether this node saw an end itself.
+    /// Whether this node saw one of the upstreams end.
     is_own: bool,
-    /// How often it is to be told yet, and when it was told last.
+    /// How many more times the record is to be sent.
     rounds: u8,
+    /// When the record was last sent.
     told: Option<Instant>,
 }
 
@@ -129,7 +138,7 @@
 }
 
 impl Suspects {
-    /// Holds the end of `upstream` against a request.
+    /// Adds a strike to a request because `upstream` ended.
     pub fn strike(&mut self, digest: RequestDigest, upstream: &UpstreamId, now: Instant) {
         let strike = Strike {
             upstream: xxh3_64(upstream.as_bytes()),
@@ -143,7 +152,7 @@
         self.keep_to_limit(now);
     }
 
-    /// Takes in that a request was answered whole.
+    /// Clears a request that was answered in full.
     pub fn clear(&mut self, digest: &RequestDigest, now: Instant) {
         let Some(record) = self.records.get_mut(digest) else {
             return;
@@ -167,7 +176,7 @@
         }
     }
 
-    /// Counts a request as sent if upstreams ended under it, and says whether it did.
+    /// Counts a copy as sent if the request has strikes. Returns whether it does.
     pub fn begin_trial(&mut self, digest: &RequestDigest, now: Instant) -> bool {
         let record = self.records.get_mut(digest);
         let Some(record) = record.filter(|record| record.strikes(now).next().is_some()) else {
@@ -178,7 +187,8 @@
         true
     }
 
-    /// Takes in that a request that was counted by [`Suspects::begin_trial`] has ended, or runs on without harm.
+    /// Uncounts a copy counted by [`Suspects::begin_trial`], which has ended or run long enough to
+    /// be harmless.
     pub fn end_trial(&mut self, digest: &RequestDigest) {
         if let Some(record) = self.records.get_mut(digest) {
             record.own_trials = record.own_trials.saturating_sub(1);
@@ -186,7 +196,7 @@
         }
     }
 
-    /// How long ago each end was that is held against a request.
+    /// The age of each strike against a request.
     pub fn ages(&self, digest: &RequestDigest, now: Instant) -> Vec<Duration> {
         let record = self.records.get(digest);
         let strikes = record.into_iter().flat_map(|record| record.strikes(now));
@@ -195,7 +205,7 @@
             .collect()
     }
 
-    /// How many requests are refused, and how many upstreams ended under at least once.
+    /// Numbers of requests that are refused and of requests with at least one strike.
     pub fn counts(&self, now: Instant) -> (usize, usize) {
         let strikes = self.records.values();
         let strikes = strikes.map(|record| record.strikes(now).count());
@@ -205,7 +215,7 @@
         })
     }
 
-    /// What is to be told now.
+    /// Returns the updates to send now, with the nodes to send each to.
     pub fn news(&mut self, now: Instant) -> Vec<(Audience, SuspectTold)> {
         self.forget_old(now);
         let due = self.records.iter_mut();
@@ -222,8 +232,9 @@
         .collect()
     }
 
-    /// Up to `most` suspects that nodes are told of again and again, as some start or come into touch late. Those
-    /// under which the most upstreams ended come first, and then the newest.
+    /// Returns updates on up to `most` requests that all nodes are told of. They are sent
+    /// repeatedly, because nodes start or become reachable late. Requests with the most strikes
+    /// come first, then the most recent.
     pub fn standing(&self, most: usize, now: Instant) -> Vec<SuspectTold> {
         let mut struck: Vec<_> = self
             .records
@@ -240,7 +251,7 @@
             .collect()
     }
 
-    /// Takes in what another node told.
+    /// Applies an update from another node.
     pub fn take(&mut self, from: &NodeId, told: &SuspectTold, now: Instant) {
         let record = self.records.entry(told.digest).or_default();
         if let Some(cleared) = told.cleared.and_then(|age_ms| before(now, age_ms)) {
@@ -252,7 +263,7 @@
             record.add(Strike { upstream, at }, now);
         }
         if record.is_wide && record.strikes(now).count() > told.strikes.len() {
-            // Nobody may know all of it but this node.
+            // This node may be the only one that knows all the strikes.
             record.rounds = TELL_ROUNDS;
         }
         let trials = (told.trials, now);
@@ -288,7 +299,7 @@
 }
 
 impl Record {
-    /// Adds an end that is not known yet, and says whether it did.
+    /// Adds a strike unless it is known or no longer counts. Returns whether it was added.
     fn add(&mut self, strike: Strike, now: Instant) -> bool {
         self.strikes.retain(|strike| strike.is_held(now));
         let is_past = self.cleared.is_some_and(|cleared| strike.at <= cleared);
@@ -326,7 +337,7 @@
         strikes.filter(move |strike| strike.is_held(now))
     }
 
-    /// How many are at upstreams, as far as is known.
+    /// How many copies are known to be at upstreams.
     fn trials(&self, now: Instant) -> usize {
         let elsewhere = self.trials_elsewhere.values();
         let elsewhere = elsewhere
--- a/crates/relay/src/team.rs
+++ b/crates/relay/src/team.rs
@@ -1,4 +1,4 @@
-//! Teams, and the keys by which their callers are known.
+//! Teams, and the keys that identify their callers.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -9,10 +9,10 @@
 use sha2::{Digest as _, Sha256};
 use thiserror::Error;
 
-/// The largest rate or burst that is taken for meant, in tokens.
+/// Largest rate or burst that is accepted, in tokens. Anything above is taken for a mistake.
 const LARGEST_QUOTA_TOKENS: f64 = 1e12;
 
-/// The digest of a caller's key. The key itself is kept nowhere.
+/// The hash of a caller's key. The key itself is not stored.
 ///
 /// ```
 /// use nutmegsail_relay::KeyDigest;
@@ -24,7 +24,7 @@
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of `key`.
+    /// Computes the digest of `key`.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
@@ -36,15 +36,15 @@
     }
 }
 
-/// The key that a request bears.
+/// The key that a request carries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CallerKey {
-    /// None.
+    /// No key.
     #[default]
     Absent,
-    /// One.
+    /// One key.
     Given(KeyDigest),
-    /// Several, or what cannot be a key.
+    /// Several keys, or a value that cannot be a key.
     Malformed,
 }
 
@@ -53,9 +53,9 @@
 pub enum QuotaUnit {
     /// Requests, each as one token.
     Requests,
-    /// The tokens of prompt and answer that a request states.
+    /// The prompt and answer tokens that a request states.
     Tokens {
-        /// What a request counts that states none.
+        /// What a request counts as if it states none.
         unstated_tokens: u32,
     },
 }
@@ -70,7 +70,7 @@
 }
 
 impl TeamQuota {
-    /// What a request costs that states `tokens`.
+    /// The cost of a request that states `tokens`.
     pub fn cost_tokens(&self, tokens: Option<u32>) -> u32 {
         match self.unit {
             QuotaUnit::Requests => 1,
@@ -79,36 +79,36 @@
     }
 }
 
-/// Callers that share keys, a rank and a quota.
+/// A group of callers with common keys, priority and quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
-    /// Its name.
+    /// The team's name.
     pub name: TeamName,
-    /// The rank of its requests, in place of the route's; 0 is the most urgent.
+    /// The rank of its requests, which overrides the route's; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// What it may ask for; nothing for no limit.
+    /// Its quota, or `None` if it is unlimited.
     pub quota: Option<TeamQuota>,
 }
 
-/// A team with the digests of its keys, as it is configured.
+/// A team with the digests of its keys, as configured.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamEntry {
     /// The team.
     pub team: Team,
-    /// Its keys.
+    /// The digests of its keys.
     pub keys: Vec<KeyDigest>,
 }
 
-/// Why teams cannot be put in force.
+/// Why a configuration of teams is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TeamFault {
-    /// Two teams have one name.
+    /// Two teams have the same name.
     #[error("the team {_0} is configured twice")]
     TeamTwice(TeamName),
-    /// Two entries have one key.
+    /// Two entries have the same key.
     #[error("a key of the team {_0} is configured twice")]
     KeyTwice(TeamName),
-    /// A rate or burst is negative, not a number, or larger than can be meant.
+    /// A rate or burst is negative, not a number, or too large.
     #[error("the quota of the team {_0} must be from 0 to 1e12 tokens")]
     QuotaOutOfRange(TeamName),
 }
@@ -121,11 +121,12 @@
 }
 
 impl Teams {
-    /// Arranges teams for look-up by key.
+    /// Indexes teams by key.
     ///
     /// # Errors
     ///
-    /// [`TeamFault`] for the first fault: a key that two teams share would name its caller by chance.
+    /// [`TeamFault`] for the first problem found. A key shared by two teams is one, because it
+    /// would identify either of them by chance.
     pub fn new(entries: Vec<TeamEntry>) -> Result<Self, TeamFault> {
         let mut teams = Self::default();
         let mut names = HashSet::new();
@@ -147,7 +148,7 @@
         Ok(teams)
     }
 
-    /// The team that holds `key`.
+    /// The team that has `key`.
     pub fn by_key(&self, key: &KeyDigest) -> Option<&Arc<Team>> {
         self.by_key.get(key)
     }
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream as the list of upstreams shows it.
+//! An upstream as listed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,38 +11,38 @@
 /// Whether an upstream takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamState {
-    /// It takes work.
+    /// It takes new work.
     Ready,
-    /// It finishes what it has and gets nothing new.
+    /// It finishes the requests it has and takes no new ones.
     Draining {
-        /// When it ends whatever it still runs, if that is known.
+        /// Time until it aborts the requests it still runs, if known.
         remaining: Option<Duration>,
     },
-    /// It said in an answer that it leaves, and the list does not show that yet.
+    /// It announced in an answer that it is leaving, and the list does not show that yet.
     Leaving,
 }
 
-/// An upstream.
+/// A process that serves requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstream {
-    /// Names one start of its process, so that nothing of the one before is taken for it: what it
-    /// held, what was sent there, orders and failures.
+    /// Identifies one process. Its holdings, requests, orders and failures are not carried over to
+    /// a later process under the same name.
     pub id: UpstreamId,
-    /// The name it is addressed by. A later start may bear the same.
+    /// The name that it is addressed by. A later process can have the same name.
     pub name: Arc<str>,
-    /// When its process started, in milliseconds of Unix time by its own clock, if it says so.
+    /// Start time in milliseconds of Unix time by its own clock, if it states one.
     pub started_ms: Option<u64>,
     /// The service it belongs to.
     pub service: ServiceName,
-    /// Where it answers.
+    /// Where it accepts requests.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The failure domain it runs in.
     pub failure_domain: FailureDomain,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
     /// Whether it takes new work.
     pub state: UpstreamState,
-    /// What it holds, if it is an engine.
+    /// The models and adapters it holds, if it is an engine.
     pub holdings: Holdings,
     /// Base models that it can load without the weight store.
     pub at_hand: AtHand,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The same upstream, once it has said that it leaves.
+    /// The same upstream after it announced that it is leaving.
     pub fn leaving(self) -> Self {
         let state = match self.state {
             UpstreamState::Ready => UpstreamState::Leaving,
@@ -72,7 +72,7 @@
         Self { state, ..self }
     }
 
-    /// Whether new work may go there.
+    /// Whether it takes new work.
     pub fn takes_work(&self) -> bool {
         self.state == UpstreamState::Ready
     }
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams for tests.
+//! Helpers that build upstreams, reports and lists for tests.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -6,7 +6,7 @@
 
 use nutmegsail_relay::{AtHand, HeldAdapter, HeldModel, Holdings, Report, Upstream, UpstreamState};
 
-/// What an engine holds: the base model `base` with adapters in version 1.
+/// Holdings of an engine: version 1 of the base model `base` with version 1 of each adapter.
 pub fn holdings(adapters: &[&str]) -> Holdings {
     let held = adapters.iter().map(|name| HeldAdapter {
         name: (*name).into(),
@@ -37,7 +37,7 @@
     }
 }
 
-/// An engine in another failure domain.
+/// The same in another failure domain.
 pub fn far_engine(id: &str, adapters: &[&str]) -> Upstream {
     Upstream {
         failure_domain: "there".into(),
@@ -55,7 +55,7 @@
     }
 }
 
-/// A report of a queue that other nodes made.
+/// A report whose `unread_tokens` are all from other nodes.
 pub fn report(unread_tokens: u64, taken: std::time::Instant) -> Report {
     Report {
         in_flight_of_others: 0,
@@ -68,7 +68,7 @@
     }
 }
 
-/// The list of upstreams.
+/// Upstreams as the dispatcher takes them.
 pub fn list(upstreams: impl IntoIterator<Item = Upstream>) -> Vec<Arc<Upstream>> {
     upstreams.into_iter().map(Arc::new).collect()
 }
--- a/crates/relay/tests/common/request.rs
+++ b/crates/relay/tests/common/request.rs
@@ -1,4 +1,4 @@
-//! Requests that tests tell apart by their bodies.
+//! Request digests for tests; requests differ only by their bodies.
 
 use nutmegsail_relay::{RequestContent, RequestDigest};
 
--- a/crates/relay/tests/crash_watch.rs
+++ b/crates/relay/tests/crash_watch.rs
@@ -1,4 +1,4 @@
-//! Which requests the end of an upstream is held against.
+//! Which requests get a strike when an upstream ends.
 
 #[path = "common/request.rs"]
 mod request;
@@ -49,7 +49,7 @@
     assert_eq!(
         watch.note_broken(&engine(), broken("c"), after),
         CrashStep::Strike,
-        "noticed after the upstream was looked for"
+        "noticed after the probe"
     );
 }
 
@@ -64,7 +64,7 @@
     assert_eq!(
         watch.note_broken(&engine(), broken("b"), now),
         CrashStep::Check,
-        "each break is looked into"
+        "each broken connection is probed"
     );
 }
 
--- a/crates/relay/tests/era_watch.rs
+++ b/crates/relay/tests/era_watch.rs
@@ -1,4 +1,4 @@
-//! What a node that starts makes of the store's era.
+//! How a starting node handles the store's era.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 const SETTLING: Duration = Duration::from_secs(7);
 
-/// When the node hears of the store first.
+/// When the node first reads the store.
 const START: Duration = Duration::from_secs(100);
 
 const ERA: StoreEra = StoreEra(2);
@@ -38,7 +38,8 @@
     }
 }
 
-// Guards against a starting node that goes by an older configuration, or an older version, than the others do.
+// Guards against a starting node that applies an older configuration, or an older model version,
+// than other nodes do.
 #[rstest]
 #[case::configuration(text(4, 9))]
 #[case::version(text(5, 8))]
@@ -50,10 +51,10 @@
     assert!(watch.is_behind(older));
     assert_eq!(watch.told(older, ms(60_000)), None);
     assert!(watch.goes_by(text(5, 9), ms(60_100)));
-    assert!(watch.goes_by(older, ms(60_200)), "it was released");
+    assert!(watch.goes_by(older, ms(60_200)), "applied text stays applied");
 }
 
-// Guards against one node's word that is older than the next one's.
+// Guards against relying on the first update when a later one names more recent text.
 #[test]
 fn further_nodes_are_heard_for_a_moment() {
     let mut watch = starting();
@@ -88,7 +89,7 @@
     assert!(watch.goes_by(text(1, 0), START));
 }
 
-// Guards against a mark of an earlier era, which the copy holds.
+// Guards against trusting a mark of an earlier era that came with the older copy.
 #[test]
 fn an_earlier_mark_says_nothing() {
     let mut watch = starting();
@@ -116,11 +117,12 @@
     assert_eq!(
         watch.era(),
         Some(ERA),
-        "the store itself has not told of it"
+        "the store itself has not reported it"
     );
 }
 
-// Guards against a mark that lets nodes start on operators' text that is still to be written again.
+// Guards against a mark that lets starting nodes apply operators' text that still has to be written
+// again.
 #[test]
 fn the_mark_waits_for_claims_of_before_and_for_the_text() {
     let mut watch = starting();
--- a/crates/relay/tests/far_news.rs
+++ b/crates/relay/tests/far_news.rs
@@ -1,8 +1,9 @@
-//! What other failure domains hear of engines.
+//! Which engine loads are sent to other failure domains.
 
 use nutmegsail_relay::FarNews;
 
-// Guards against an engine that twenty nodes of other failure domains take for free while it fills up.
+// Guards against twenty nodes of other failure domains that keep taking an engine for free while it
+// fills up.
 #[test]
 fn an_engine_that_fills_up_is_told_at_once_and_quiet_ones_seldom() {
     let mut news = FarNews::default();
@@ -16,7 +17,7 @@
     assert_eq!(
         told,
         [10, 5 + 20],
-        "each change, and each fourth turn otherwise"
+        "every large change, and otherwise every fourth update"
     );
 }
 
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Upstreams that say that they leave, whatever lists and other nodes say.
+//! Upstreams that announce that they are leaving, with outdated lists and updates from other nodes.
 
 #![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
 
@@ -20,20 +20,21 @@
 
 const GRACE: Duration = Duration::from_millis(1_000);
 
-/// How long what another node told, or a later list, takes to be gone by.
+/// How long it takes until an update from another node or a later list applies.
 const TICK: Duration = Duration::from_millis(100);
 
 const UPSTREAMS: usize = 4;
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// An answer of the present process says so.
+    /// The current process announces in an answer that it is leaving.
     Word(usize),
-    /// Another node says so.
+    /// Another node reports that it is leaving.
     Told(usize),
     /// The process ends and another one starts under its name.
     Restart(usize),
-    /// A list is read, of any age: the state of each upstream, if it is in it, and whether it shows the process before.
+    /// A list of any age is read. For each upstream in it: whether it is ready, and whether the
+    /// entry is of the previous process.
     List(Vec<Option<(bool, bool)>>),
     Ask,
 }
@@ -49,13 +50,13 @@
     ]
 }
 
-/// One node with what it knows.
+/// A node's dispatcher and notices, with a set of upstreams.
 struct World {
     dispatcher: Dispatcher,
     notices: Notices,
     starts: [u64; UPSTREAMS],
     listed: Vec<Upstream>,
-    /// When each process that leaves is to get nothing more.
+    /// When each leaving process must stop getting requests.
     spared_from: HashMap<UpstreamId, Instant>,
     now: Instant,
     is_engine: bool,
@@ -107,7 +108,7 @@
         self.publish();
     }
 
-    /// Has the traffic thread go by the list and by what is known besides.
+    /// Applies the list and the notices to the dispatcher, as a traffic thread does.
     fn publish(&mut self) {
         let known = self.listed.iter().cloned().map(|upstream| {
             Arc::new(match self.notices.is_leaving(&upstream.id) {
@@ -160,16 +161,16 @@
             Ok(choice) => {
                 let id = &choice.upstream.id;
                 let spared = self.spared_from.get(id);
-                prop_assert!(spared.is_none_or(|from| self.now < *from), "{} leaves", id);
+                prop_assert!(spared.is_none_or(|from| self.now < *from), "{} is leaving", id);
                 prop_assert!(
                     !has_other || !choice.is_leaving,
-                    "{} leaves, others don't",
+                    "{} is leaving, others are not",
                     id
                 );
                 let is_listed = |listed: &Upstream| listed.id == *id && listed.takes_work();
                 prop_assert!(
                     self.listed.iter().any(is_listed),
-                    "{} is not to be used",
+                    "{} is not listed as ready",
                     id
                 );
             }
@@ -187,7 +188,8 @@
         ..ProptestConfig::default()
     })]
 
-    // Guards against a process that is sent to past its bound after it said that it leaves, whatever is read or told since.
+    // Guards against sending requests to a leaving process after its grace period, whatever is read
+    // or received later.
     #[test]
     fn a_process_that_leaves_gets_nothing_past_its_bound(
         events in prop::collection::vec((event(), 0u64..700), 1..60),
@@ -201,7 +203,8 @@
     }
 }
 
-// Guards against a choice that was made before the word came and is sent after the bound.
+// Guards against sending a request after the grace period to an upstream that was chosen before it
+// announced that it is leaving.
 #[rstest]
 #[case::within_the_grace(Duration::from_millis(900), true)]
 #[case::past_it(Duration::from_millis(1_000), false)]
--- a/crates/relay/tests/limited_gate.rs
+++ b/crates/relay/tests/limited_gate.rs
@@ -1,4 +1,4 @@
-//! Turns at an upstream that names a limit.
+//! The slot gate of an upstream with a rate limit.
 
 use std::time::{Duration, Instant};
 
@@ -32,7 +32,7 @@
     assert_eq!(gate.ask(3, ASK, now + 500 * MS), busy);
 }
 
-// Guards against urgent requests that wait behind routine ones.
+// Guards against serving routine requests before urgent ones.
 #[test]
 fn the_most_urgent_goes_first() {
     let now = Instant::now();
@@ -49,7 +49,7 @@
     assert_eq!(gate.turn(now + 1_000 * MS), [(1, SlotAnswer::Granted)]);
 }
 
-// Guards against requests that wait for a turn which comes too late for them.
+// Guards against queueing requests that would be served too late.
 #[test]
 fn who_cannot_be_in_time_is_refused_at_once_and_told_when_to_return() {
     let now = Instant::now();
@@ -62,7 +62,8 @@
     assert_eq!(gate.ask(1, ask, now), refused);
 }
 
-// Guards against an ask whose datagram comes twice and takes two turns, or waits in the queue twice.
+// Guards against counting a request twice, or queueing it twice, if its datagram is delivered
+// twice.
 #[test]
 fn an_ask_that_comes_twice_counts_once() {
     let now = Instant::now();
@@ -128,7 +129,8 @@
         ..ProptestConfig::default()
     })]
 
-    // Guards against more than one and a half times a limit and five requests in any four seconds.
+    // Guards against exceeding one and a half times the limit plus five requests within any four
+    // seconds.
     #[test]
     fn a_gate_keeps_the_limit_in_every_window(
         per_s in 0.0..40.0_f64,
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The limits that upstreams name, as they are learned.
+//! How a node learns the rate limits that upstreams announce.
 
 use std::time::{Duration, Instant};
 
@@ -44,10 +44,10 @@
         None
     );
     let raised = limits.note_answer(&engine(), named(4.0), now + 2_200 * MS);
-    assert_eq!(raised, Some(LimitChange::Named(3.0)), "the lowest since");
+    assert_eq!(raised, Some(LimitChange::Named(3.0)), "the lowest in that time");
 }
 
-// Guards against a limit that is forgotten for one answer without it.
+// Guards against lifting a limit because some answers do not announce it.
 #[test]
 fn a_limit_that_only_some_answers_name_stays() {
     let (mut limits, now) = (Limits::default(), Instant::now());
@@ -89,7 +89,7 @@
     assert_eq!(
         there.take(&old[0], now + 100 * MS),
         None,
-        "told again, late"
+        "a delayed repeat"
     );
     let new = there.told(now + 200 * MS);
     assert_eq!(
@@ -98,7 +98,7 @@
     );
 }
 
-// Guards against an ended limit that comes back from a node which has not heard of its end.
+// Guards against restoring a lifted limit from a node that has not heard that it was lifted.
 #[test]
 fn an_end_is_remembered() {
     let (mut limits, now) = (Limits::default(), Instant::now());
--- a/crates/relay/tests/listing.rs
+++ b/crates/relay/tests/listing.rs
@@ -1,4 +1,4 @@
-//! Which entries of the list of upstreams count, whatever order they come in.
+//! Outdated entries of the list of upstreams, whatever order they arrive in.
 
 #![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
 
@@ -33,8 +33,8 @@
     }
 }
 
-// An engine crashes and starts again under its old name. A write of the process before is delayed and
-// comes last: taken at its word, requests would go to an engine that holds nothing.
+// Guards against sending requests to an engine that holds nothing. It crashed and restarted under
+// its old name, and a delayed write of the old process arrives last.
 #[test]
 fn a_late_word_of_an_earlier_start_does_not_count() {
     let (mut listing, now) = (Listing::default(), Instant::now());
@@ -44,8 +44,8 @@
     assert_eq!(late, Err(EntryFault::OlderStart));
 }
 
-// An upstream says that it leaves. A heartbeat from before is delayed and comes after: taken at its
-// word, the upstream would get new work until its process ends, and cut it off.
+// Guards against sending new work to a leaving upstream, which would abort it when it ends. A
+// delayed heartbeat from before it was leaving arrives last.
 #[test]
 fn an_upstream_that_leaves_never_takes_work_again() {
     let (mut listing, now) = (Listing::default(), Instant::now());
@@ -58,7 +58,7 @@
     assert!(next.takes_work());
 }
 
-// Where entries do not say when their processes started, each start has a name of its own.
+// Where entries have no start times, each process has a name of its own.
 #[test]
 fn without_starts_a_name_that_leaves_stays_so() {
     let (mut listing, now) = (Listing::default(), Instant::now());
@@ -88,8 +88,8 @@
     assert!(listing.admit(entry(Some(4), 9, false), later).is_ok());
 }
 
-// An engine starts again under its old name, empty. What it held, the requests that this node counted
-// there and the failures of its earlier process say nothing of it.
+// Guards against applying the holdings, request counts and failures of an earlier process to an
+// engine that restarted empty under its old name.
 #[test]
 fn nothing_of_an_earlier_start_is_believed_of_the_next() {
     let now = Instant::now();
@@ -130,7 +130,7 @@
         ..ProptestConfig::default()
     })]
 
-    // Writes come in any order, of several starts of one name. What counts never goes back.
+    // Writes of several processes under one name arrive in any order.
     #[test]
     fn what_counts_never_goes_back(
         writes in prop::collection::vec((1u64..5, 0u64..6, any::<bool>()), 1..40),
@@ -152,9 +152,9 @@
     }
 }
 
-// A fleet grows and most of its engines are idle, yet one node tells all others of each of them ten times a
-// second, and its link fills. What works is told each time, what came to rest a few times, and an engine
-// that works again is told at once.
+// Guards against updates that fill a node's link. In a large fleet most engines are idle, yet one
+// node sends the others every engine's load ten times a second. Busy engines must be in each
+// update, engines that became idle in a few, and an engine that becomes busy again in the next one.
 #[test]
 fn what_is_told_of_engines_grows_with_those_that_work() {
     let mut filter = RestFilter::default();
@@ -165,12 +165,12 @@
         assert_eq!(
             told(&mut filter, 0..10).len(),
             1_000,
-            "nothing was told before"
+            "none was sent before"
         );
     }
     assert_eq!(told(&mut filter, 0..10), (0..10).collect::<Vec<_>>());
     let moved = told(&mut filter, 5..15);
-    assert_eq!(moved, (0..15).collect::<Vec<_>>(), "0 to 4 came to rest");
+    assert_eq!(moved, (0..15).collect::<Vec<_>>(), "0 to 4 became idle");
     for _ in 0..2 {
         told(&mut filter, 5..15);
     }
--- a/crates/relay/tests/ownership_watch.rs
+++ b/crates/relay/tests/ownership_watch.rs
@@ -1,4 +1,4 @@
-//! What a node tells of engines that are owned otherwise than they should be.
+//! Reports of engines whose owners are missing or unevenly distributed.
 
 #![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
 
@@ -28,7 +28,8 @@
     near.chain(far).collect()
 }
 
-/// What node n1 tells of `engines`, whose owners are named in their order, after `lasting`.
+/// Changes that node n1 reports after a time of `lasting`. `owners` names the owners of `engines`
+/// in their order.
 fn told(
     listed: &[&str],
     engines: &[Upstream],
@@ -48,15 +49,15 @@
         owners: &owners,
     };
     let (mut watch, now) = (OwnershipWatch::default(), Instant::now());
-    assert_eq!(watch.look(seen, now), [], "nothing has lasted yet");
+    assert_eq!(watch.look(seen, now), [], "nothing has lasted long enough");
     let changes = watch.look(seen, now + lasting);
-    assert_eq!(watch.look(seen, now + lasting), [], "it is told once");
+    assert_eq!(watch.look(seen, now + lasting), [], "reported only once");
     changes
 }
 
 const LONG: Duration = Duration::from_millis(2_100);
 
-// Guards against a node that owns all engines, of which nobody says a word.
+// Guards against leaving it unreported that one node owns all engines.
 #[test]
 fn a_node_that_owns_all_engines_and_those_that_own_none_are_told() {
     let owners = ["n2"; 6];
@@ -113,5 +114,5 @@
     assert_eq!(look(&[], 3).len(), 1);
     let ended = ConcernChange::Ended(OwnershipConcern::NotListed);
     assert_eq!(look(&nodes, 4), [ended]);
-    assert_eq!(look(&[], 5), [], "it begins anew");
+    assert_eq!(look(&[], 5), [], "it must last again");
 }
--- a/crates/relay/tests/promises.rs
+++ b/crates/relay/tests/promises.rs
@@ -1,4 +1,4 @@
-//! Properties of the smaller cores.
+//! Properties of the crate's smaller components.
 
 #![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
 
@@ -41,9 +41,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    // The store takes an owner's key away unseen while the owner is paused, and another node claims
-    // the engine. When the first one wakes it may still order by what it confirmed before. However
-    // long the pauses, its last order and the next owner's first are the hand-over apart.
+    // Guards against orders of two owners less than the hand-over time apart. The store deletes the
+    // key of a paused owner unnoticed, and another node claims the engine; when the first owner
+    // resumes, its last confirmation may still allow orders.
     #[test]
     fn orders_of_two_owners_are_apart(
         confirmed_ms in 0u64..20_000,
@@ -54,13 +54,13 @@
         let ms = Duration::from_millis;
         let mut first = Ownership::taken(claim(5), Predecessor::None, RULES, ms(0), ms(0));
         first.confirm(ms(confirmed_ms));
-        // Its key was seen by a read sent at `confirmed_ms`, so it was taken away later.
+        // A read sent at `confirmed_ms` showed its key, so the key was deleted later.
         let taken_ms = confirmed_ms + taken_away_after_ms;
         let order_ms = confirmed_ms + ordered_after_ms;
         let next_order_ms = taken_ms + next_ordered_after_ms;
         let second = Ownership::taken(claim(9), Predecessor::Another, RULES, ms(taken_ms), ms(taken_ms));
         let first_orders = matches!(first.permit(ms(order_ms)), OrderPermit::Granted { .. });
-        // The next owner confirms as often as it likes.
+        // The next owner can confirm at any time.
         let mut second = second;
         second.confirm(ms(next_order_ms));
         let second_orders = matches!(second.permit(ms(next_order_ms)), OrderPermit::Granted { .. });
@@ -69,7 +69,8 @@
         }
     }
 
-    // However requests and failures fall, all nodes together stay within the budget in every window.
+    // Guards against exceeding the retry budget over all nodes in any window, however requests and
+    // failures are distributed.
     #[test]
     fn nodes_keep_the_budget_together(
         sends in prop::collection::vec((0usize..5, 0u64..200, any::<bool>()), 1..400),
@@ -100,8 +101,8 @@
         }
     }
 
-    // An engine that is ordered to hold more than fits crashes; one whose adapter in use is dropped
-    // turns requests away.
+    // Guards against crashing an engine by loading more than fits, and against refused requests
+    // because an adapter in use was unloaded.
     #[test]
     fn no_plan_overfills_an_engine_or_drops_what_is_in_use(
         held in prop::collection::hash_set(0usize..12, 0..8),
@@ -143,7 +144,7 @@
         }
     }
 
-    // Nodes that see the same claim every engine, and no engine twice.
+    // Nodes with the same view claim every engine, and none twice.
     #[test]
     fn every_engine_is_claimed_by_one_node(near in 0usize..12, far in 0usize..12, here in 0usize..5, there in 0usize..5) {
         prop_assume!(here + there > 0);
@@ -170,7 +171,7 @@
     }
 }
 
-// A version is named, and an older naming comes late. Requests must not go back to it.
+// Guards against requests that fall back to an older version because it is named again late.
 #[test]
 fn versions_only_rise_and_the_older_one_ends_with_its_overlap() {
     let (now, overlap) = (Instant::now(), Duration::from_secs(3));
@@ -225,8 +226,8 @@
     );
 }
 
-// A version is named, and 12 s later the next one. While the next is being loaded, requests may
-// begin on the one before it. They began on the one before that, which an engine still held.
+// Guards against running requests on a version that is two behind, which an engine still holds.
+// Versions are named 12 s apart; while the newest is loading, only the one before it may serve.
 #[test]
 fn while_a_version_replaces_another_the_one_before_both_is_over() {
     let (now, overlap) = (Instant::now(), Duration::from_secs(3));
@@ -240,8 +241,8 @@
     assert!(rule.allows(3) && rule.prefers(3));
 }
 
-// A machine is suspended for 8 s, and its callers' answers stop. Nothing in the logs said so but the
-// absence of lines.
+// Guards against a suspended machine that leaves no trace in the logs. One was suspended for 8 s,
+// and its callers' answers stopped.
 #[test]
 fn a_stall_shows_in_a_look_that_comes_late() {
     let ms = Duration::from_millis;
@@ -252,8 +253,8 @@
     assert_eq!(watch.check(ms(59_300)), None);
 }
 
-// Callers turn to other adapters. Holders of the popular ones are busy, and each node would have copies of
-// those loaded: they take the weight store from the adapters that nobody holds, whose callers wait.
+// Guards against copies of popular adapters that use up the weight store while callers wait for
+// adapters that no engine holds.
 #[test]
 fn copies_leave_the_weight_store_to_misses_when_many_load() {
     let mut times = LoadTimes::default();
@@ -268,9 +269,9 @@
     assert!(busy.is_some_and(|busy| full.is_some_and(|full| busy < full / 2.0)));
 }
 
-// One engine answers late, and its load looks like one that waited for many others. Taken for the limit of
-// the weight store, the two loads under way become all that owners allow at once: with 78 engines, loads
-// then wait seconds for their turn while the weight store gives 32 at full speed.
+// Guards against mistaking one slow load for the limit of the weight store. With 78 engines, owners
+// would then allow only the two loads under way, and loads would wait seconds although the weight
+// store serves 32 at full speed.
 #[test]
 fn a_slow_load_beside_few_others_does_not_tell_the_limit_of_the_weight_store() {
     let ms = Duration::from_millis;
@@ -284,16 +285,16 @@
     assert!(times.has_room_for_copy(8.0));
 }
 
-// Reports of one deployment lag by 100 ms, of another by 230 ms. Taken at the first one's lag, every
-// miss of the other waited 110 ms for nothing. Where many loads crowd the weight store, requests sent
-// too early come back unserved.
+// Guards against estimating load times with the report lag of another deployment. Reports of one
+// lag by 100 ms, of another by 230 ms, and every miss of the second waited 110 ms for nothing.
+// Where many loads share the weight store, requests sent too early come back unserved.
 #[test]
 fn the_lag_of_reports_is_told_from_the_time_of_loads() {
     let ms = Duration::from_millis;
     for lag in [100, 230] {
         let mut times = LoadTimes::default();
         for load in 0..60 {
-            // One in ten was held before and comes back at once.
+            // One in ten was already held and returns at once.
             let load_ms = if load % 10 == 9 { 25 } else { 250 };
             times.note(ms(load_ms + lag), 4.0);
         }
--- a/crates/relay/tests/readers.rs
+++ b/crates/relay/tests/readers.rs
@@ -12,7 +12,8 @@
     }
 }
 
-// Guards against two nodes that each wait for the other to read the store, as one of them is not listed.
+// Guards against two nodes that each wait for the other to read the store because one of them is
+// not listed.
 #[rstest]
 #[case::the_first("n1", None)]
 #[case::the_second("n2", Some("n1"))]
--- a/crates/relay/tests/request_digest.rs
+++ b/crates/relay/tests/request_digest.rs
@@ -1,4 +1,4 @@
-//! Which requests are the same one.
+//! Which requests count as the same.
 
 use nutmegsail_base::TeamName;
 use nutmegsail_relay::{RequestContent, RequestDigest};
--- a/crates/relay/tests/rest.rs
+++ b/crates/relay/tests/rest.rs
@@ -1,4 +1,4 @@
-//! Upstreams that ask for rest, and what is sent to them meanwhile and after.
+//! Upstreams that request a backoff, and the requests sent to them during and after it.
 
 #![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
 
@@ -21,15 +21,16 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// A request comes, and is sent if it can be.
+    /// A request arrives, and is sent if possible.
     Ask,
-    /// The upstream turns the oldest request away that it has, and asks for rest; also one that others sent.
+    /// The upstream refuses its oldest request, or one from another node, and requests a backoff of
+    /// so many milliseconds.
     Refuse(usize, u64),
-    /// It begins to answer its oldest request.
+    /// It starts to answer its oldest request.
     Answer(usize),
     /// Its oldest request fails.
     Fail(usize),
-    /// The list is read without it, and then with it.
+    /// A list without it is read, then one with it.
     Relist(usize),
 }
 
@@ -44,13 +45,14 @@
     ]
 }
 
+/// A node's dispatcher and notices, with a set of upstreams.
 struct World {
     dispatcher: Dispatcher,
     notices: Notices,
     upstreams: Vec<Upstream>,
-    /// Until when each upstream at least wants nothing.
+    /// Earliest end of the backoff of each upstream.
     rests: [Option<Instant>; UPSTREAMS],
-    /// When requests were sent to each since its last rest ended, until one was answered.
+    /// Requests sent to each upstream since its last backoff ended, until one is answered.
     trials: [Option<Vec<Instant>>; UPSTREAMS],
     in_flight: [usize; UPSTREAMS],
     now: Instant,
@@ -167,21 +169,21 @@
                 let place = (0..UPSTREAMS)
                     .find(|place| self.id(*place) == choice.upstream.id)
                     .unwrap();
-                prop_assert!(!rests(place), "{} is at rest", choice.upstream.id);
+                prop_assert!(!rests(place), "{} is in a backoff", choice.upstream.id);
                 self.dispatcher.sent(&choice.upstream.id, 0, now);
                 self.in_flight[place] += 1;
                 if let Some(sent) = &mut self.trials[place] {
                     sent.retain(|at| now.duration_since(*at) < Duration::from_secs(1));
                     sent.push(now);
-                    prop_assert!(sent.len() <= 1, "{} at once after a rest", sent.len());
+                    prop_assert!(sent.len() <= 1, "{} at once after a backoff", sent.len());
                 }
             }
             Err(_) => {
                 let ends = self.dispatcher.rest_ends(&need, now);
                 let all = (0..UPSTREAMS).all(rests);
-                prop_assert!(!all || ends.is_some(), "nobody is told when to return");
+                prop_assert!(!all || ends.is_some(), "no return time is given");
                 let first = (0..UPSTREAMS).filter_map(|place| self.rests[place]).min();
-                prop_assert!(!all || ends >= first, "told to return too early");
+                prop_assert!(!all || ends >= first, "the return time is too early");
             }
         }
         Ok(())
@@ -196,7 +198,8 @@
         ..ProptestConfig::default()
     })]
 
-    // Guards against requests to an upstream in the rest that it asked for, and against all that come when it ends.
+    // Guards against requests to an upstream during a backoff, and against sending it more than one
+    // when the backoff ends.
     #[test]
     fn an_upstream_at_rest_gets_nothing_and_is_tried_after_it(
         events in prop::collection::vec((event(), 0u64..500), 1..80),
@@ -209,7 +212,8 @@
         }
     }
 
-    // Guards against callers that are told to return before they can be served, routine ones before urgent ones.
+    // Guards against telling callers to return before they can be served, or routine ones before
+    // urgent ones.
     #[test]
     fn callers_return_after_the_wait_and_the_urgent_first(
         wait_ms in 0u64..100_000,
@@ -223,7 +227,8 @@
     }
 }
 
-// Guards against a shorter rest that is asked for later, or an answer to an earlier request, which end a rest.
+// Guards against ending a backoff because of a later, shorter one or an answer to an earlier
+// request.
 #[rstest]
 #[case::a_shorter_one(|world: &mut World| world.refuse(0, Duration::from_millis(100)))]
 #[case::an_answer(|world: &mut World| world.play(&Event::Answer(0)).unwrap())]
--- a/crates/relay/tests/restored_store.rs
+++ b/crates/relay/tests/restored_store.rs
@@ -1,4 +1,4 @@
-//! Owners of an engine while the store comes back from older copies, several times in a row.
+//! Ownership of an engine while the store is restored from older copies several times in a row.
 
 use std::time::Duration;
 
@@ -18,16 +18,16 @@
     versions: 0,
 };
 
-/// The engine's key.
+/// Value of the engine's ownership key.
 #[derive(Clone, Copy)]
 struct Owner {
     node: usize,
     revision: u64,
-    /// Until when it waits for the owner before.
+    /// When its wait for the previous owner ends.
     waits_until: Duration,
 }
 
-/// The engine's key and the mark, as the store holds them.
+/// Contents of the store: the ownership key and the era mark.
 #[derive(Clone, Default)]
 struct Kept {
     revision: u64,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Asks the store, and confirms or claims the engine.
+    /// Reads the store, and confirms or claims the ownership.
     fn touch(&mut self, me: usize, store: &mut Store, now: Duration) {
         if self.is_cut {
             return;
@@ -176,7 +176,7 @@
     }
 }
 
-/// The last order that each node gave: when, and its fence.
+/// Each node's last order: its time and its fence.
 type Orders = [Option<(Duration, u64)>; NODES];
 
 fn check(orders: &Orders, node: usize, fence: u64, now: Duration) -> Result<(), TestCaseError> {
@@ -208,7 +208,8 @@
         ..ProptestConfig::default()
     })]
 
-    // Guards against two owners that give orders at a time, whatever the store forgets and whoever is cut off.
+    // Guards against concurrent orders of two owners, whatever the store loses and whichever nodes
+    // are cut off.
     #[test]
     fn orders_of_two_owners_are_apart_whatever_the_store_forgets(
         events in prop::collection::vec((event(), 0u64..1_500), 1..120),
--- a/crates/relay/tests/slot_gate.rs
+++ b/crates/relay/tests/slot_gate.rs
@@ -1,4 +1,4 @@
-//! Slots of plain upstreams under load.
+//! The slot gate of a plain upstream under load.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -28,7 +28,7 @@
     }
 }
 
-/// What callers of one upstream got.
+/// Outcomes of callers' requests.
 #[derive(Default)]
 struct Got {
     asked: u32,
@@ -37,21 +37,23 @@
     refused: u32,
 }
 
-/// An upstream of `slots`, asked at a multiple of what it serves; whoever is refused returns once, and is late then.
+/// Simulates an upstream of `slots` that gets a multiple of the requests it can serve. A refused
+/// caller returns once, and is late then.
 struct Play {
     slots: u32,
     work_ms: f64,
-    /// How long a grant is on its way to the upstream, and the word of its end on its way back.
+    /// Delay from a grant to the request's arrival at the upstream, and from its end to the
+    /// release.
     way_ms: u32,
     random: ChaCha8Rng,
     gate: SlotGate<u32>,
     start: Instant,
     asked_at: HashMap<u32, u32>,
     sent_at: HashMap<u32, u32>,
-    /// Requests on their way to the upstream, with when they arrive.
+    /// Requests on their way to the upstream, and when they arrive.
     on_their_way: VecDeque<(u32, u32)>,
     running: Vec<(u32, u32)>,
-    /// Ends that the gate has not heard of, with when it does.
+    /// Ended requests that are not yet released, and when they will be.
     ended: Vec<(u32, u32)>,
     got: Vec<Got>,
 }
@@ -100,12 +102,12 @@
         self.got
     }
 
-    /// What callers that asked together with `id` got.
+    /// Outcomes of the callers that asked in the same second as `id`.
     fn second(&mut self, id: u32) -> &mut Got {
         &mut self.got[(self.asked_at[&id] / 1_000) as usize]
     }
 
-    /// Asks for a slot; returns when to come back if none is had.
+    /// Asks for a slot. Returns the time to wait before coming back if the request is turned away.
     fn ask(&mut self, id: u32, ask: SlotAsk, step: u32) -> Option<u32> {
         let answer = self.gate.ask(id, ask, self.start + MS * step);
         self.take(id, answer, step)
@@ -164,14 +166,14 @@
     }
 }
 
-/// In-time answers of the seconds from `from` to `to`, as a part of what the upstream serves in them.
+/// Answers in time from second `from` to second `to`, as a share of the upstream's capacity.
 fn goodput(got: &[Got], from: usize, to: usize, slots: u32, work_ms: f64) -> f64 {
     let in_time: u32 = got[from..to].iter().map(|second| second.in_time).sum();
     f64::from(in_time) / ((to - from) as f64 * 1_000.0 * f64::from(slots) / work_ms)
 }
 
-// Guards against a full queue that makes every answer late: beyond its capacity an upstream still
-// answers nearly as many in time as it can run.
+// Guards against a full queue that makes every answer late: above its capacity, an upstream must
+// still answer nearly as many requests in time as it can run.
 #[rstest]
 fn goodput_stays_near_capacity_at_every_load(
     #[values(1.1, 1.5, 2.0)] load: f64,
@@ -195,7 +197,7 @@
     );
 }
 
-// Guards against a short burst whose late requests hold up fresh ones for seconds after it.
+// Guards against a short burst whose late requests delay new ones for seconds afterwards.
 #[test]
 fn callers_are_served_in_time_two_seconds_after_a_burst() {
     let burst = |step: u32| {
@@ -228,7 +230,7 @@
     assert_eq!(gate.release(&1, None, now), [(2, SlotAnswer::Granted)]);
 }
 
-// Guards against slots that stay taken for good by a node that is gone.
+// Guards against slots that stay taken because the node that held them is gone.
 #[test]
 fn a_slot_that_was_never_given_back_is_free_again() {
     let (mut gate, now) = (SlotGate::new(1), Instant::now());
@@ -239,7 +241,7 @@
     assert_eq!(gate.ask(2, fresh(), later), SlotAnswer::Granted);
 }
 
-// Guards against granting a slot to a caller that has gone away.
+// Guards against granting a slot to a request that no longer waits.
 #[test]
 fn whoever_has_gone_is_passed_by() {
     let (mut gate, now) = (SlotGate::new(1), Instant::now());
--- a/crates/relay/tests/suspects.rs
+++ b/crates/relay/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused as upstreams ended under them, over several nodes.
+//! Strikes against requests that crash upstreams, counted over several nodes.
 
 #[path = "common/request.rs"]
 mod request;
@@ -20,7 +20,7 @@
     format!("node-{number}").as_str().into()
 }
 
-/// A node that knows of `strikes` ends under the request `a`.
+/// A node that knows of `strikes` strikes against request `a`.
 fn struck(strikes: usize, now: Instant) -> Suspects {
     let mut suspects = Suspects::default();
     for number in 0..strikes {
@@ -29,7 +29,7 @@
     suspects
 }
 
-/// What a node tells now, to whomever.
+/// All updates that a node sends now, to any recipient.
 fn news(suspects: &mut Suspects, now: Instant) -> Vec<SuspectTold> {
     let news = suspects.news(now).into_iter();
     news.map(|(_, told)| told).collect()
@@ -41,7 +41,7 @@
     }
 }
 
-// Guards against counting at one node what happens over the fleet.
+// Guards against counting strikes per node rather than over the fleet.
 #[test]
 fn ends_that_three_nodes_saw_add_up_at_each() {
     let now = Instant::now();
@@ -68,7 +68,7 @@
     }
     assert!(
         nodes[4].news(now).is_empty(),
-        "nobody repeats what all were told"
+        "nobody repeats what was sent to all"
     );
 }
 
@@ -82,7 +82,7 @@
     assert_eq!(here.suspicion(&digest("a"), now), Suspicion::None);
 }
 
-// Guards against false refusals: callers whose upstreams crashed for another reason.
+// Guards against refusing requests whose upstreams crashed for another reason.
 #[test]
 fn a_whole_answer_clears_at_every_node() {
     let now = Instant::now();
@@ -98,11 +98,11 @@
     assert_eq!(
         there.suspicion(&digest("a"), at),
         Suspicion::None,
-        "what a third node still tells is of before"
+        "updates that a third node still sends are from before"
     );
 }
 
-// Guards against copies that crash a fourth upstream while nobody knows of the third.
+// Guards against copies of a request that crash a fourth upstream before the third crash is known.
 #[test]
 fn what_is_on_its_way_counts() {
     let now = Instant::now();
@@ -116,7 +116,7 @@
     assert_eq!(
         there.suspicion(&digest("a"), silent),
         Suspicion::None,
-        "a node that fell silent holds up nobody"
+        "a node that fell silent blocks nobody"
     );
     here.end_trial(&digest("a"));
     let told = news(&mut here, now);
@@ -145,25 +145,25 @@
     assert!(struck <= 512);
 }
 
-/// What happens to a fleet in a random run.
+/// An event in a random run of several nodes.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The request comes to a node.
+    /// The request arrives at a node.
     Ask(usize),
-    /// Nodes tell what is new; a message is lost where its turn says so.
+    /// All nodes send their updates. A message is lost where its flag is set.
     Tell(Vec<bool>),
-    /// A node tells one other all that it knows.
+    /// One node sends another all that it knows.
     TellAll(usize, usize),
-    /// A node starts anew.
+    /// A node restarts.
     Restart(usize),
 }
 
 const NODES: usize = 5;
 
-/// Nodes of which each hears what one of them alone has seen.
+/// Nodes that receive strikes seen by a single node.
 const HOMES: usize = 2;
 
-/// Every node tells what it has to tell; a message is lost where `lost` says so.
+/// Delivers the updates of every node. A message is lost where `lost` is set.
 fn tell(nodes: &mut [Suspects], lost: &[bool], now: Instant) {
     let told: Vec<_> = nodes.iter_mut().map(|node| node.news(now)).collect();
     for (place, is_lost) in lost.iter().enumerate() {
@@ -196,7 +196,8 @@
         ..ProptestConfig::default()
     })]
 
-    // Guards against a fourth end where nodes hear each other, whatever was lost before.
+    // Guards against a fourth crash once nodes have heard from each other, whatever messages were
+    // lost before.
     #[test]
     fn once_nodes_have_heard_each_other_no_more_than_the_limit_end(
         steps in prop::collection::vec(step(), 1..80),
@@ -223,7 +224,7 @@
                 Step::Restart(restarted) => nodes[restarted] = Suspects::default(),
             }
         }
-        // Ends that one node saw are told again every two seconds, suspects twice a second.
+        // A strike seen by one node is repeated every two seconds, suspects twice a second.
         for _ in 0..40 {
             now += Duration::from_millis(100);
             tell(&mut nodes, &[false; NODES * NODES], now);
