--- a/crates/relay/src/domains_heard.rs
+++ b/crates/relay/src/domains_heard.rs
@@ -1,4 +1,4 @@
-//! When each failure domain was last heard from.
+//! The last contact with each failure domain.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -6,21 +6,21 @@
 use nutmegsail_base::FailureDomain;
 use serde::{Deserialize, Serialize};
 
-/// How long ago a failure domain was heard from, as sent between nodes.
+/// The age of the last contact with a failure domain, as sent between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DomainAge {
     /// The failure domain.
     pub domain: FailureDomain,
-    /// Time since a message from one of its nodes, in milliseconds.
+    /// Time since the last contact with one of its nodes, in milliseconds.
     pub age_ms: u32,
 }
 
-/// When a node of each failure domain was last heard from, by this node or by one that reported it.
+/// The last contact with each failure domain, of this node or of one that sent it its own.
 ///
-/// In a large fleet, a node hears from the owners of the engines it uses, and nothing from failure
-/// domains whose engines it does not use. If it took such a domain for cut off, it would send its
-/// engines no requests and so never hear from it again, and each domain would load the popular
-/// adapters for itself. So nodes that hear from every domain tell the others.
+/// In a large fleet, a node is in contact with the owners of the engines it uses, and with no node
+/// of failure domains whose engines it does not use. If it took such a domain for cut off, it would
+/// send its engines no requests and so never be in contact again, and each domain would load the
+/// popular adapters for itself. So nodes that are in contact with every domain tell the others.
 ///
 /// ```
 /// use std::time::{Duration, Instant};
@@ -41,7 +41,7 @@
 }
 
 impl DomainsHeard {
-    /// Records that a node of `domain` was heard from at `at`.
+    /// Records a contact with a node of `domain` at `at`.
     pub fn note(&mut self, domain: &FailureDomain, at: Instant) {
         match self.heard.get_mut(domain) {
             Some(known) => *known = at.max(*known),
@@ -51,19 +51,19 @@
         }
     }
 
-    /// When a node of `domain` was last heard from.
+    /// The last contact with a node of `domain`.
     pub fn heard(&self, domain: &FailureDomain) -> Option<Instant> {
         self.heard.get(domain).copied()
     }
 
-    /// Adds the times that `other`, another record of this node, has.
+    /// Merges the contacts of `other`, another record of this node.
     pub fn merge(&mut self, other: &Self) {
         for (domain, at) in &other.heard {
             self.note(domain, *at);
         }
     }
 
-    /// How long ago each domain was heard from, to be sent to another node.
+    /// The age of the last contact with each domain, to be sent to another node.
     pub fn ages(&self, now: Instant) -> Vec<DomainAge> {
         let ages = self.heard.iter().map(|(domain, at)| {
             let age = now.saturating_duration_since(*at);
@@ -75,10 +75,10 @@
         ages.collect()
     }
 
-    /// Applies the ages that another node sent.
+    /// Merges the contacts that another node sent.
     ///
-    /// They are counted back from the arrival of the message, so a delayed message makes a domain
-    /// seem heard from later than it was, by tens of milliseconds. The next message corrects that.
+    /// Their ages are counted back from the arrival of the message, so a delayed message makes a
+    /// contact seem later than it was, by tens of milliseconds. The next message corrects that.
     pub fn take(&mut self, told: &[DomainAge], now: Instant) {
         for DomainAge { domain, age_ms } in told {
             let age = Duration::from_millis(u64::from(*age_ms));
--- a/crates/relay/src/ownership.rs
+++ b/crates/relay/src/ownership.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// When the wait for the previous owner's orders ends.
+    /// From when orders may be sent.
     pub fn may_order_from(&self) -> Duration {
         self.may_order_from
     }
@@ -118,7 +118,7 @@
     }
 
     /// Ownership of the same engine under a new claim, written at revision `claim` by a call sent
-    /// at `asked_at`, after the previous claim had lapsed.
+    /// at `asked_at`, after the previous claim was lost.
     ///
     /// In the store history that was lost, another node may have claimed the engine, and may not
     /// know that this claim is lost too. It can only have claimed after this process's last
--- a/crates/relay/src/return_time.rs
+++ b/crates/relay/src/return_time.rs
@@ -10,14 +10,14 @@
 /// Lower bound on that interval.
 const LEAST_SPREAD: Duration = Duration::from_millis(250);
 
-/// Number of ranks that are distinguished. Higher ranks are treated like the last of them.
+/// Number of priorities that are distinguished. Higher numbers are treated like the last of them.
 const RANKS: u8 = 5;
 
-/// Returns when a caller with a request of `rank` should return, if it can be served after `wait`
-/// at the earliest.
+/// Returns when a caller with a request of priority `rank` should return, if it can be served after
+/// `wait` at the earliest.
 ///
 /// Callers are spread at random, so that those refused together do not return together. The most
-/// urgent, rank 0, return first.
+/// urgent, of priority 0, return first.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/relay/src/route.rs
+++ b/crates/relay/src/route.rs
@@ -34,7 +34,7 @@
     /// How long callers wait for the next event of a stream, including the first, before they
     /// disconnect.
     pub event_patience: Duration,
-    /// The rank of its requests; 0 is the most urgent.
+    /// The priority of its requests; 0 is the most urgent.
     pub priority: u8,
     /// The services to send requests to, with their weights. Never empty.
     pub services: Vec<WeightedService>,
--- a/crates/relay/src/slot_gate.rs
+++ b/crates/relay/src/slot_gate.rs
@@ -262,7 +262,7 @@
         (at_once + f64::from(self.slots) * AHEAD_SHARE).ceil() as usize
     }
 
-    /// Number of queued requests served before one with this rank and latest start.
+    /// Number of queued requests served before one with this priority and latest start.
     fn ahead_of(&self, rank: u8, latest_start: Instant) -> usize {
         let place = (self.rank_that_counts(rank), latest_start);
         let in_time = self.queue.iter().filter(|waiting| !waiting.is_late);
@@ -271,8 +271,8 @@
             .count()
     }
 
-    /// The rank used for ordering. It counts only under a rate limit, which can keep requests out
-    /// altogether; without one, slots become free within the run time of a request.
+    /// The priority used for ordering. It counts only under a rate limit, which can keep requests
+    /// out altogether; without one, slots become free within the run time of a request.
     fn rank_that_counts(&self, rank: u8) -> u8 {
         match self.rate {
             Some(_) => rank,
--- a/crates/relay/src/stated_patience.rs
+++ b/crates/relay/src/stated_patience.rs
@@ -1,15 +1,15 @@
-//! Infers how long a returning caller has waited from the patience that it states.
+//! Infers how long a returning caller has waited from the timeout that it states.
 
 use std::time::Duration;
 
-/// Upper bound on the votes for the usual patience, reached after as many requests that state it.
+/// Upper bound on the votes for the usual timeout, reached after as many requests that state it.
 const WELL_KNOWN: u32 = 16;
 
-/// The patience that callers of a route usually state.
+/// The timeout that callers of a route usually state.
 ///
-/// A caller that was refused and returns states the patience it has left, so the difference to the
-/// usual value is how long it has waited. The usual value is the most frequent one, not the
-/// largest: one caller with unlimited patience must not make all others look late.
+/// A caller that was refused and returns states the time it has left, so the difference to the
+/// usual timeout is how long it has waited. The usual timeout is the most frequent one, not the
+/// largest: one caller with an unlimited timeout must not make all others look late.
 ///
 /// ```
 /// use std::time::Duration;
@@ -28,7 +28,7 @@
 }
 
 impl StatedPatience {
-    /// Returns how long a caller that states `patience` has waited so far.
+    /// Returns how long a caller that states the timeout `patience` has waited so far.
     pub fn waited(&mut self, patience: Duration) -> Duration {
         // Boyer-Moore majority vote.
         if patience == self.usual {
--- a/crates/relay/src/suspects.rs
+++ b/crates/relay/src/suspects.rs
@@ -14,7 +14,8 @@
 /// further crash also takes down everything else that runs on that upstream.
 pub const STRIKES_LIMIT: usize = 3;
 
-/// How long a strike counts against a request.
+/// How long a strike counts against a request. A request repeated later than that starts without
+/// strikes.
 const STRIKE_LIFE: Duration = Duration::from_secs(600);
 
 /// How long a request that was answered in full stays cleared, so that strikes from before, which
@@ -24,7 +25,7 @@
 /// How long another node's count of the copies it has at upstreams is valid.
 const TRIAL_LIFE: Duration = Duration::from_secs(3);
 
-/// Number of strikes from which all nodes are told of a request. Most requests with one strike
+/// Number of strikes from which updates on a request go to all nodes. Most requests with one strike
 /// crash nothing.
 const WIDE_STRIKES: usize = 2;
 
@@ -32,7 +33,7 @@
 const TELL_ROUNDS: u8 = 2;
 
 /// How often, and for how long, a node repeats a single strike that it saw itself: the nodes that
-/// collect strikes may be unreachable.
+/// collect strikes may be unreachable at first.
 const RETELL_INTERVAL: Duration = Duration::from_secs(2);
 const RETELL_SPAN: Duration = Duration::from_secs(30);
 
@@ -115,13 +116,13 @@
     own_trials: u32,
     /// How many copies other nodes have at upstreams, and when each said so.
     trials_elsewhere: HashMap<NodeId, (u32, Instant)>,
-    /// Whether all nodes are told of the request.
+    /// Whether updates on the request go to all nodes.
     is_wide: bool,
     /// Whether this node saw one of the upstreams end.
     is_own: bool,
-    /// How many more times the record is to be sent.
+    /// How many more times an update is to be sent.
     rounds: u8,
-    /// When the record was last sent.
+    /// When an update on the request was last sent.
     told: Option<Instant>,
 }
 
@@ -232,9 +233,9 @@
         .collect()
     }
 
-    /// Returns updates on up to `most` requests that all nodes are told of. They are sent
-    /// repeatedly, because nodes start or become reachable late. Requests with the most strikes
-    /// come first, then the most recent.
+    /// Returns updates on up to `most` requests known to all nodes. They are sent repeatedly,
+    /// because nodes start or become reachable late. Requests with the most strikes come first,
+    /// then the most recent.
     pub fn standing(&self, most: usize, now: Instant) -> Vec<SuspectTold> {
         let mut struck: Vec<_> = self
             .records
--- a/crates/relay/src/team.rs
+++ b/crates/relay/src/team.rs
@@ -84,7 +84,7 @@
 pub struct Team {
     /// The team's name.
     pub name: TeamName,
-    /// The rank of its requests, which overrides the route's; 0 is the most urgent.
+    /// The priority of its requests, which overrides the route's; 0 is the most urgent.
     pub priority: Option<u8>,
     /// Its quota, or `None` if it is unlimited.
     pub quota: Option<TeamQuota>,
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// A report whose `unread_tokens` are all from other nodes.
+/// A load report whose pending prompt tokens are all from other nodes.
 pub fn report(unread_tokens: u64, taken: std::time::Instant) -> Report {
     Report {
         in_flight_of_others: 0,
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -29,7 +29,7 @@
 enum Event {
     /// The current process announces in an answer that it is leaving.
     Word(usize),
-    /// Another node reports that it is leaving.
+    /// An update from another node says that it is leaving.
     Told(usize),
     /// The process ends and another one starts under its name.
     Restart(usize),
