--- a/crates/relay/src/crash_watch.rs
+++ b/crates/relay/src/crash_watch.rs
@@ -15,7 +15,7 @@
 
 /// How long an upstream that was found to have ended counts as ended. Its connections break within
 /// milliseconds, but some breaks are noticed only after the probe.
-const ENDED_SPAN: Duration = Duration::from_secs(2);
+const ENDED_TTL: Duration = Duration::from_secs(2);
 
 /// A request whose connection broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -75,13 +75,13 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct CrashWatch {
-    upstreams: HashMap<UpstreamId, Watched>,
+    upstreams: HashMap<UpstreamId, ProbeState>,
 }
 
 #[derive(Clone, Debug)]
-enum Watched {
+enum ProbeState {
     /// A probe is under way. Holds the requests whose connections broke.
-    Checking(Vec<RequestDigest>),
+    Probing(Vec<RequestDigest>),
     /// The upstream was found to have ended at this time.
     Ended(Instant),
 }
@@ -99,14 +99,14 @@
         }
         self.forget_ended(now);
         match self.upstreams.get_mut(upstream) {
-            Some(Watched::Ended(_)) => CrashStep::Strike,
-            Some(Watched::Checking(broken_there)) => {
-                broken_there.push(broken.digest);
+            Some(ProbeState::Ended(_)) => CrashStep::Strike,
+            Some(ProbeState::Probing(broken_requests)) => {
+                broken_requests.push(broken.digest);
                 CrashStep::Wait
             }
             None => {
-                let checking = Watched::Checking(vec![broken.digest]);
-                self.upstreams.insert(upstream.clone(), checking);
+                let probing = ProbeState::Probing(vec![broken.digest]);
+                self.upstreams.insert(upstream.clone(), probing);
                 CrashStep::Check
             }
         }
@@ -119,13 +119,13 @@
         reach: Reach,
         now: Instant,
     ) -> Vec<RequestDigest> {
-        let Some(Watched::Checking(mut broken)) = self.upstreams.remove(upstream) else {
+        let Some(ProbeState::Probing(mut broken)) = self.upstreams.remove(upstream) else {
             return Vec::new();
         };
         if reach != Reach::Refused {
             return Vec::new();
         }
-        self.upstreams.insert(upstream.clone(), Watched::Ended(now));
+        self.upstreams.insert(upstream.clone(), ProbeState::Ended(now));
         broken.sort_unstable();
         broken.dedup();
         broken
@@ -133,16 +133,16 @@
 
     /// Whether a probe is under way of an upstream that `digest` may have crashed.
     pub fn is_checking(&self, digest: &RequestDigest) -> bool {
-        self.upstreams.values().any(|watched| match watched {
-            Watched::Checking(broken) => broken.contains(digest),
-            Watched::Ended(_) => false,
+        self.upstreams.values().any(|state| match state {
+            ProbeState::Probing(broken) => broken.contains(digest),
+            ProbeState::Ended(_) => false,
         })
     }
 
     fn forget_ended(&mut self, now: Instant) {
-        self.upstreams.retain(|_, watched| match watched {
-            Watched::Checking(_) => true,
-            Watched::Ended(at) => now.saturating_duration_since(*at) < ENDED_SPAN,
+        self.upstreams.retain(|_, state| match state {
+            ProbeState::Probing(_) => true,
+            ProbeState::Ended(at) => now.saturating_duration_since(*at) < ENDED_TTL,
         });
     }
 }
--- a/crates/relay/src/domains_heard.rs
+++ b/crates/relay/src/domains_heard.rs
@@ -79,8 +79,8 @@
     ///
     /// Their ages are counted back from the arrival of the message, so a delayed message makes a
     /// contact seem later than it was, by tens of milliseconds. The next message corrects that.
-    pub fn take(&mut self, told: &[DomainAge], now: Instant) {
-        for DomainAge { domain, age_ms } in told {
+    pub fn take(&mut self, received: &[DomainAge], now: Instant) {
+        for DomainAge { domain, age_ms } in received {
             let age = Duration::from_millis(u64::from(*age_ms));
             if let Some(at) = now.checked_sub(age) {
                 self.note(domain, at);
--- a/crates/relay/src/era_watch.rs
+++ b/crates/relay/src/era_watch.rs
@@ -7,14 +7,14 @@
 
 /// How long a starting node waits for an update from another node before it claims engines that
 /// another node may own.
-const WORD_PATIENCE: Duration = Duration::from_millis(1_000);
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// How long a starting node waits for updates from further nodes after the first.
-const GATHERING: Duration = Duration::from_millis(300);
+const GATHER_PERIOD: Duration = Duration::from_millis(300);
 
 /// How long a starting node holds back the operators' text while no other node answers. After the
 /// store returns, nodes are listed again within half of this time.
-const ALONE_PATIENCE: Duration = Duration::from_secs(3);
+const NO_PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How recent the operators' text is that a node knows.
 ///
@@ -39,7 +39,7 @@
         self.configuration >= other.configuration && self.versions >= other.versions
     }
 
-    fn with(self, other: Self) -> Self {
+    fn merge(self, other: Self) -> Self {
         Self {
             configuration: self.configuration.max(other.configuration),
             versions: self.versions.max(other.versions),
@@ -92,7 +92,7 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct EraWatch {
-    settling: Duration,
+    settling_time: Duration,
     /// Whether the whole system starts for the first time, so that there is no earlier era.
     is_first_start: bool,
     era: Option<StoreEra>,
@@ -103,26 +103,26 @@
     /// The era that the store's mark names.
     mark: Option<StoreEra>,
     /// When the first update on this era came from another node.
-    word_at: Option<Duration>,
+    first_update_at: Option<Duration>,
     /// The most recent text that other nodes apply.
-    text_told: TextKnown,
+    newest_peer_text: TextKnown,
     /// Whether this node applies the text that it knows.
     has_text: bool,
 }
 
 impl EraWatch {
-    /// Creates a watch with no known era. After `settling`, claims of an earlier era are no longer
+    /// Creates a watch with no known era. After `settling_time`, claims of an earlier era are no longer
     /// valid.
-    pub fn new(settling: Duration, is_first_start: bool) -> Self {
+    pub fn new(settling_time: Duration, is_first_start: bool) -> Self {
         Self {
-            settling,
+            settling_time,
             is_first_start,
             era: None,
             since: Duration::ZERO,
             has_risen: false,
             mark: None,
-            word_at: None,
-            text_told: TextKnown::default(),
+            first_update_at: None,
+            newest_peer_text: TextKnown::default(),
             has_text: false,
         }
     }
@@ -140,7 +140,7 @@
         }
         self.era = Some(to);
         self.since = now;
-        self.word_at = None;
+        self.first_update_at = None;
         let from = from?;
         self.has_risen = true;
         Some(EraRise { from, to })
@@ -153,32 +153,32 @@
 
     /// Applies an update from another node. Returns whether the store must be read, because the
     /// other node knows of a later era.
-    pub fn take_told(&mut self, told: EraTold, now: Duration) -> bool {
+    pub fn take_told(&mut self, update: EraTold, now: Duration) -> bool {
         let Some(era) = self.era else {
             return false;
         };
-        self.text_told = self.text_told.with(told.text);
-        if told.era == era {
-            let age = Duration::from_millis(u64::from(told.age_ms));
+        self.newest_peer_text = self.newest_peer_text.merge(update.text);
+        if update.era == era {
+            let age = Duration::from_millis(u64::from(update.age_ms));
             self.since = self.since.min(now.saturating_sub(age));
-            self.word_at.get_or_insert(now);
+            self.first_update_at.get_or_insert(now);
         }
-        told.era > era
+        update.era > era
     }
 
     /// Whether all claims of earlier eras are invalid by now.
     pub fn is_settled(&self, now: Duration) -> bool {
         self.era.is_none()
             || self.is_marked()
-            || self.has_begun_with_system()
-            || now.saturating_sub(self.since) >= self.settling
+            || self.is_first_era()
+            || now.saturating_sub(self.since) >= self.settling_time
     }
 
     /// Whether to wait for an update from another node, which says how long this era has been in
     /// force.
     pub fn awaits_word(&self, now: Duration) -> bool {
-        let is_late = now.saturating_sub(self.since) >= WORD_PATIENCE;
-        !self.has_risen && self.word_at.is_none() && !is_late && !self.is_settled(now)
+        let is_late = now.saturating_sub(self.since) >= PEER_TIMEOUT;
+        !self.has_risen && self.first_update_at.is_none() && !is_late && !self.is_settled(now)
     }
 
     /// Whether to ask other nodes for an update.
@@ -189,12 +189,12 @@
     /// Decides whether this node may apply the operators' text that it knows, `known`. Once it may,
     /// that is final, because the text that it knows never gets older.
     pub fn goes_by(&mut self, known: TextKnown, now: Duration) -> bool {
-        let needs_nobody = self.era.is_none() || self.is_marked() || self.has_begun_with_system();
-        let has_caught_up = match self.word_at {
-            Some(at) => now.saturating_sub(at) >= GATHERING && known.covers(self.text_told),
-            None => now.saturating_sub(self.since) >= ALONE_PATIENCE,
+        let needs_no_update = self.era.is_none() || self.is_marked() || self.is_first_era();
+        let has_caught_up = match self.first_update_at {
+            Some(at) => now.saturating_sub(at) >= GATHER_PERIOD && known.covers(self.newest_peer_text),
+            None => now.saturating_sub(self.since) >= NO_PEER_TIMEOUT,
         };
-        self.has_text |= needs_nobody || has_caught_up;
+        self.has_text |= needs_no_update || has_caught_up;
         self.has_text
     }
 
@@ -205,7 +205,7 @@
 
     /// Whether other nodes apply more recent text than `known`.
     pub fn is_behind(&self, known: TextKnown) -> bool {
-        !known.covers(self.text_told)
+        !known.covers(self.newest_peer_text)
     }
 
     /// The update to send to other nodes, with `known` as the text that this node applies; `None`
@@ -221,7 +221,7 @@
 
     /// Whether the era rose so recently that nodes that are cut off may not know.
     pub fn is_news(&self, now: Duration) -> bool {
-        self.has_risen && now.saturating_sub(self.since) < self.settling * 2
+        self.has_risen && now.saturating_sub(self.since) < self.settling_time * 2
     }
 
     /// Whether the era rose since this process started.
@@ -240,7 +240,7 @@
         self.era.is_some() && self.mark == self.era
     }
 
-    fn has_begun_with_system(&self) -> bool {
+    fn is_first_era(&self) -> bool {
         self.is_first_start && !self.has_risen
     }
 }
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -9,11 +9,11 @@
 /// How long answers must have announced no limit, or a higher one, before the limit is lifted or
 /// raised. Answers can arrive out of order, and an upstream may announce its limit only in some of
 /// them.
-const EASE_SPAN: Duration = Duration::from_secs(2);
+const RAISE_DELAY: Duration = Duration::from_secs(2);
 
 /// How long the end of a limit is remembered, so that outdated updates from other nodes do not
 /// restore it.
-const ENDED_LIFE: Duration = Duration::from_secs(30);
+const LIFTED_TTL: Duration = Duration::from_secs(30);
 
 /// The limit that an answer announces.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -54,14 +54,14 @@
 /// use nutmegsail_relay::{LimitChange, LimitSaid, Limits};
 /// let (mut limits, now) = (Limits::default(), Instant::now());
 /// let engine = "engine-1@7".into();
-/// let said = LimitSaid::PerSecond(1.5);
-/// assert_eq!(limits.note_answer(&engine, said, now), Some(LimitChange::Named(1.5)));
-/// assert_eq!(limits.note_answer(&engine, said, now), None);
+/// let announced = LimitSaid::PerSecond(1.5);
+/// assert_eq!(limits.note_answer(&engine, announced, now), Some(LimitChange::Named(1.5)));
+/// assert_eq!(limits.note_answer(&engine, announced, now), None);
 /// assert_eq!(limits.per_s(&engine), Some(1.5));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    known: HashMap<UpstreamId, Known>,
+    known: HashMap<UpstreamId, KnownLimit>,
     /// Number of changes, from answers or from other nodes.
     changes: u64,
     /// Number of changes from answers to this node.
@@ -69,38 +69,38 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownLimit {
     /// Requests per second, or `None` if the limit was lifted.
     per_s: Option<f64>,
     /// When the upstream last announced this.
-    said: Instant,
+    announced_at: Instant,
     /// Since when answers have announced no limit or a higher one, and the lowest that they
     /// announced (`None` if they announced none).
-    easing: Option<(Instant, Option<f64>)>,
+    pending_rise: Option<(Instant, Option<f64>)>,
 }
 
 impl Limits {
     /// Processes the limit that an answer of `upstream` announces. Returns the change, if any.
     ///
-    /// A lower limit applies at once; a higher one, or none, applies after `EASE_SPAN`.
+    /// A lower limit applies at once; a higher one, or none, applies after `RAISE_DELAY`.
     pub fn note_answer(
         &mut self,
         upstream: &UpstreamId,
-        said: LimitSaid,
+        announced: LimitSaid,
         now: Instant,
     ) -> Option<LimitChange> {
-        let per_s = match said {
+        let per_s = match announced {
             LimitSaid::PerSecond(per_s) => Some(per_s),
             LimitSaid::None => None,
             // A malformed value shows that there is a limit, but not which.
             LimitSaid::Malformed => return None,
         };
         let change = match self.known.get_mut(upstream) {
-            Some(known) => known.note(per_s, now),
+            Some(known) => known.record(per_s, now),
             None => {
                 let per_s = per_s?;
                 self.known
-                    .insert(upstream.clone(), Known::new(Some(per_s), now));
+                    .insert(upstream.clone(), KnownLimit::new(Some(per_s), now));
                 Some(LimitChange::Named(per_s))
             }
         };
@@ -139,7 +139,7 @@
     pub fn forget(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Instant) {
         let before = self.known.len();
         self.known.retain(|upstream, known| {
-            let is_ended = known.per_s.is_none() && now.duration_since(known.said) > ENDED_LIFE;
+            let is_ended = known.per_s.is_none() && now.duration_since(known.announced_at) > LIFTED_TTL;
             is_listed(upstream) && !is_ended
         });
         self.changes += u64::from(self.known.len() != before);
@@ -160,43 +160,43 @@
     }
 
     /// Applies an update from another node. Returns the change, if any.
-    pub fn take(&mut self, told: &LimitTold, now: Instant) -> Option<LimitChange> {
-        let change = self.note_told(told, now);
+    pub fn take(&mut self, update: &LimitTold, now: Instant) -> Option<LimitChange> {
+        let change = self.apply_update(update, now);
         self.changes += u64::from(change.is_some());
         change
     }
 
-    fn note_told(&mut self, told: &LimitTold, now: Instant) -> Option<LimitChange> {
-        let age = Duration::from_millis(u64::from(told.age_ms));
-        let said = now.checked_sub(age).unwrap_or(now);
-        let per_s = told.per_s.filter(|per_s| is_rate(*per_s));
-        let Some(known) = self.known.get_mut(&told.upstream) else {
+    fn apply_update(&mut self, update: &LimitTold, now: Instant) -> Option<LimitChange> {
+        let age = Duration::from_millis(u64::from(update.age_ms));
+        let announced_at = now.checked_sub(age).unwrap_or(now);
+        let per_s = update.per_s.filter(|per_s| is_rate(*per_s));
+        let Some(known) = self.known.get_mut(&update.upstream) else {
             if per_s.is_some() {
-                let known = Known::new(per_s, said);
-                self.known.insert(told.upstream.clone(), known);
+                let known = KnownLimit::new(per_s, announced_at);
+                self.known.insert(update.upstream.clone(), known);
             }
             return per_s.map(LimitChange::Named);
         };
-        if said <= known.said {
+        if announced_at <= known.announced_at {
             return None;
         }
         let before = known.per_s;
-        *known = Known::new(per_s, said);
+        *known = KnownLimit::new(per_s, announced_at);
         change(before, per_s)
     }
 }
 
-impl Known {
-    fn new(per_s: Option<f64>, said: Instant) -> Self {
+impl KnownLimit {
+    fn new(per_s: Option<f64>, announced_at: Instant) -> Self {
         Self {
             per_s,
-            said,
-            easing: None,
+            announced_at,
+            pending_rise: None,
         }
     }
 
     fn told(&self, upstream: &UpstreamId, now: Instant) -> LimitTold {
-        let age_ms = now.duration_since(self.said).as_millis();
+        let age_ms = now.duration_since(self.announced_at).as_millis();
         LimitTold {
             upstream: upstream.clone(),
             per_s: self.per_s,
@@ -204,29 +204,29 @@
         }
     }
 
-    fn note(&mut self, said: Option<f64>, now: Instant) -> Option<LimitChange> {
+    fn record(&mut self, announced: Option<f64>, now: Instant) -> Option<LimitChange> {
         let before = self.per_s;
-        let is_lower = match (said, before) {
-            (Some(said), Some(before)) => said <= before,
-            (said, None) => said.is_some(),
+        let is_lower = match (announced, before) {
+            (Some(announced), Some(before)) => announced <= before,
+            (announced, None) => announced.is_some(),
             (None, Some(_)) => false,
         };
-        if is_lower || said == before {
-            *self = Self::new(said, now);
-            return change(before, said);
+        if is_lower || announced == before {
+            *self = Self::new(announced, now);
+            return change(before, announced);
         }
-        let (since, highest) = self.easing.unwrap_or((now, said));
-        let highest = match (highest, said) {
-            (Some(highest), Some(said)) => Some(highest.min(said)),
+        let (since, lowest) = self.pending_rise.unwrap_or((now, announced));
+        let lowest = match (lowest, announced) {
+            (Some(lowest), Some(announced)) => Some(lowest.min(announced)),
             (Some(lower), None) | (None, Some(lower)) => Some(lower),
             (None, None) => None,
         };
-        if now.duration_since(since) < EASE_SPAN {
-            self.easing = Some((since, highest));
+        if now.duration_since(since) < RAISE_DELAY {
+            self.pending_rise = Some((since, lowest));
             return None;
         }
-        *self = Self::new(highest, now);
-        change(before, highest)
+        *self = Self::new(lowest, now);
+        change(before, lowest)
     }
 }
 
--- a/crates/relay/src/listing.rs
+++ b/crates/relay/src/listing.rs
@@ -9,7 +9,7 @@
 use crate::{Upstream, UpstreamState};
 
 /// How long a name is remembered after it was last seen. Delayed writes arrive within seconds.
-const NAME_LIFE: Duration = Duration::from_secs(60);
+const NAME_TTL: Duration = Duration::from_secs(60);
 
 /// An entry of the list of upstreams.
 #[derive(Clone, Debug, PartialEq)]
@@ -65,17 +65,17 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    newest: HashMap<Arc<str>, Newest>,
+    newest: HashMap<Arc<str>, NewestEntry>,
     /// Whether entries have start times.
-    tells_starts: bool,
+    has_start_times: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Newest {
+struct NewestEntry {
     started_ms: Option<u64>,
     heartbeat: u64,
     is_leaving: bool,
-    seen: Instant,
+    last_seen: Instant,
 }
 
 impl Listing {
@@ -89,8 +89,8 @@
             mut upstream,
             heartbeat,
         } = entry;
-        self.tells_starts |= upstream.started_ms.is_some();
-        if self.tells_starts && upstream.started_ms.is_none() {
+        self.has_start_times |= upstream.started_ms.is_some();
+        if self.has_start_times && upstream.started_ms.is_none() {
             return Err(EntryFault::NoStart);
         }
         let known = self.newest.get(&upstream.name);
@@ -103,11 +103,11 @@
         if is_leaving && upstream.takes_work() {
             upstream.state = UpstreamState::Draining { remaining: None };
         }
-        let newest = Newest {
+        let newest = NewestEntry {
             started_ms: upstream.started_ms,
             heartbeat,
             is_leaving,
-            seen: now,
+            last_seen: now,
         };
         self.newest.insert(Arc::clone(&upstream.name), newest);
         Ok(upstream)
@@ -116,11 +116,11 @@
     /// Drops names that are not listed and have not been seen for a minute.
     pub fn forget_old(&mut self, is_listed: impl Fn(&str) -> bool, now: Instant) {
         self.newest
-            .retain(|name, newest| is_listed(name) || now.duration_since(newest.seen) < NAME_LIFE);
+            .retain(|name, newest| is_listed(name) || now.duration_since(newest.last_seen) < NAME_TTL);
     }
 }
 
-impl Newest {
+impl NewestEntry {
     /// Rejects an entry of the same name that is older.
     ///
     /// Where entries have no start times, each process has a name of its own, and heartbeats are
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -8,14 +8,14 @@
 
 /// How long a notice is kept after its upstream was last listed. List entries expire while the
 /// store is unavailable, and reappear when it is restored from an older copy.
-const UNLISTED_LIFE: Duration = Duration::from_secs(600);
+const UNLISTED_TTL: Duration = Duration::from_secs(600);
 
 /// Upper bound on a backoff. An upstream that asks for more gets a trial request after a day.
-const LONGEST_REST: Duration = Duration::from_secs(86_400);
+const MAX_BACKOFF: Duration = Duration::from_secs(86_400);
 
 /// Random jitter added to a backoff: at most this share of it, and at most the limit below.
-const REST_SPREAD_SHARE: f64 = 0.1;
-const LONGEST_SPREAD: Duration = Duration::from_millis(500);
+const JITTER_SHARE: f64 = 0.1;
+const MAX_JITTER: Duration = Duration::from_millis(500);
 
 /// The backoff that an answer requests: how long its upstream wants no further requests from this
 /// node.
@@ -102,9 +102,9 @@
         now: Instant,
         random: &mut dyn Rng,
     ) -> Instant {
-        let rest = rest.min(LONGEST_REST);
-        let spread = rest.mul_f64(REST_SPREAD_SHARE).min(LONGEST_SPREAD);
-        let until = now + rest + spread.mul_f64(random.random());
+        let rest = rest.min(MAX_BACKOFF);
+        let jitter = rest.mul_f64(JITTER_SHARE).min(MAX_JITTER);
+        let until = now + rest + jitter.mul_f64(random.random());
         let notice = self.notice(upstream, now);
         let until = notice.rest_until.map_or(until, |known| known.max(until));
         notice.rest_until = Some(until);
@@ -141,7 +141,7 @@
             if is_listed(upstream) {
                 notice.last_listed = now;
             }
-            now.duration_since(notice.last_listed) < UNLISTED_LIFE
+            now.duration_since(notice.last_listed) < UNLISTED_TTL
         });
     }
 
@@ -165,7 +165,7 @@
     /// ```
     pub fn parse(text: &str) -> Self {
         match text.trim().parse() {
-            Ok(seconds) if is_span(seconds) => {
+            Ok(seconds) if is_valid_length(seconds) => {
                 let rest = Duration::try_from_secs_f64(seconds);
                 Self::For(rest.unwrap_or(Duration::MAX))
             }
@@ -184,6 +184,6 @@
     }
 }
 
-fn is_span(seconds: f64) -> bool {
+fn is_valid_length(seconds: f64) -> bool {
     seconds.is_finite() && seconds >= 0.0
 }
--- a/crates/relay/src/ownership.rs
+++ b/crates/relay/src/ownership.rs
@@ -18,12 +18,12 @@
     /// in flight: the previous owner relies on its last confirmation until that expires, and
     /// `hand_over` must then pass.
     pub fn wait(self) -> Duration {
-        self.confirmation + self.hand_over + ORDER_TRAVEL
+        self.confirmation + self.hand_over + ORDER_TRANSIT
     }
 }
 
 /// Allowance for an order's way to the engine, which takes a few milliseconds on a healthy network.
-const ORDER_TRAVEL: Duration = Duration::from_millis(400);
+const ORDER_TRANSIT: Duration = Duration::from_millis(400);
 
 /// Whether an order may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +71,7 @@
     may_order_from: Duration,
     /// Until when this process may send orders under its previous claim, which was lost when the
     /// store was restored from an older copy.
-    carried_until: Duration,
+    previous_claim_until: Duration,
     /// When the claim was lost because the store was restored from an older copy.
     lapsed_at: Option<Duration>,
 }
@@ -96,7 +96,7 @@
             rules,
             confirmed_at: asked_at,
             may_order_from,
-            carried_until: Duration::ZERO,
+            previous_claim_until: Duration::ZERO,
             lapsed_at: None,
         }
     }
@@ -148,18 +148,18 @@
         asked_at: Duration,
         now: Duration,
     ) -> Self {
-        let had_turn = self.lapsed_at.is_some_and(|at| at >= self.may_order_from);
+        let could_order = self.lapsed_at.is_some_and(|at| at >= self.may_order_from);
         let age = now.saturating_sub(self.confirmed_at);
-        let predecessor = match had_turn && age <= rules.hand_over + ORDER_TRAVEL {
+        let predecessor = match could_order && age <= rules.hand_over + ORDER_TRANSIT {
             true => Predecessor::None,
             false => Predecessor::Another,
         };
-        let carried_until = match had_turn {
+        let previous_claim_until = match could_order {
             true => self.confirmed_at + self.rules.confirmation,
             false => Duration::ZERO,
         };
         Self {
-            carried_until,
+            previous_claim_until,
             ..Self::taken(claim, predecessor, rules, asked_at, now)
         }
     }
@@ -172,8 +172,8 @@
     /// When orders may start again, if this process still sends orders under its previous claim at
     /// `now` and has to interrupt them when that expires.
     pub fn begins_anew_at(&self, now: Duration) -> Option<Duration> {
-        let goes_on = now < self.carried_until && now < self.may_order_from;
-        goes_on.then_some(self.may_order_from)
+        let is_on_previous_claim = now < self.previous_claim_until && now < self.may_order_from;
+        is_on_previous_claim.then_some(self.may_order_from)
     }
 
     /// Records that a read sent at `asked_at` showed the key with this node's revision.
@@ -203,7 +203,7 @@
         if self.is_lapsed() {
             return OrderPermit::Unconfirmed;
         }
-        if now < self.may_order_from && now < self.carried_until {
+        if now < self.may_order_from && now < self.previous_claim_until {
             return OrderPermit::Granted { claim: self.claim };
         }
         if now < self.may_order_from {
--- a/crates/relay/src/ownership_watch.rs
+++ b/crates/relay/src/ownership_watch.rs
@@ -11,10 +11,10 @@
 
 /// How long a problem must last before it is reported: ownership moves within a second when nodes
 /// or engines come and go.
-const PATIENCE: Duration = Duration::from_secs(2);
+const REPORT_DELAY: Duration = Duration::from_secs(2);
 
 /// How many times its fair share a node may own.
-const MOST_PARTS: usize = 2;
+const MAX_FAIR_SHARES: usize = 2;
 
 /// A problem with the ownership of engines, as one node sees it.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash)]
@@ -68,13 +68,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct OwnershipWatch {
     /// Current problems: since when each has lasted, and whether it was reported.
-    concerns: HashMap<OwnershipConcern, Lasting>,
+    concerns: HashMap<OwnershipConcern, OngoingConcern>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Lasting {
+struct OngoingConcern {
     since: Instant,
-    is_told: bool,
+    is_reported: bool,
 }
 
 impl OwnershipWatch {
@@ -82,20 +82,20 @@
     pub fn look(&mut self, seen: OwnersNow<'_>, now: Instant) -> Vec<ConcernChange> {
         let concerns = seen.concerns();
         let mut changes = Vec::new();
-        self.concerns.retain(|concern, lasting| {
-            let goes_on = concerns.contains(concern);
-            if !goes_on && lasting.is_told {
+        self.concerns.retain(|concern, ongoing| {
+            let continues = concerns.contains(concern);
+            if !continues && ongoing.is_reported {
                 changes.push(ConcernChange::Ended(concern.clone()));
             }
-            goes_on
+            continues
         });
         for concern in concerns {
-            let lasting = self.concerns.entry(concern.clone()).or_insert(Lasting {
+            let ongoing = self.concerns.entry(concern.clone()).or_insert(OngoingConcern {
                 since: now,
-                is_told: false,
+                is_reported: false,
             });
-            let is_due = now.duration_since(lasting.since) > PATIENCE;
-            if is_due && !std::mem::replace(&mut lasting.is_told, true) {
+            let is_due = now.duration_since(ongoing.since) > REPORT_DELAY;
+            if is_due && !std::mem::replace(&mut ongoing.is_reported, true) {
                 changes.push(ConcernChange::Began(concern));
             }
         }
@@ -153,19 +153,19 @@
     }
 
     fn owns_too_many(&self, record: &NodeRecord) -> bool {
-        self.owned(record) > self.part(record) * MOST_PARTS
+        self.owned(record) > self.fair_share(record) * MAX_FAIR_SHARES
     }
 
     /// The fair share of a node, rounded up: of the engines in its failure domain, and of those in
     /// failure domains without nodes.
-    fn part(&self, record: &NodeRecord) -> usize {
+    fn fair_share(&self, record: &NodeRecord) -> usize {
         let domain = &record.failure_domain;
         let engines = self.engines_in.get(domain).copied().unwrap_or(0);
         let nodes = self.nodes_in.get(domain).copied().unwrap_or(1);
-        let alone = self.engines_in.iter();
-        let alone = alone.filter(|(domain, _)| !self.nodes_in.contains_key(*domain));
-        let alone: usize = alone.map(|(_, engines)| engines).sum();
-        (engines.div_ceil(nodes) + alone.div_ceil(self.nodes)).max(1)
+        let in_empty_domains = self.engines_in.iter();
+        let in_empty_domains = in_empty_domains.filter(|(domain, _)| !self.nodes_in.contains_key(*domain));
+        let in_empty_domains: usize = in_empty_domains.map(|(_, engines)| engines).sum();
+        (engines.div_ceil(nodes) + in_empty_domains.div_ceil(self.nodes)).max(1)
     }
 }
 
--- a/crates/relay/src/readers.rs
+++ b/crates/relay/src/readers.rs
@@ -8,18 +8,18 @@
 use crate::NodeRecord;
 
 /// Pause after a failed call to the store.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// How many nodes of a failure domain may retry within one such pause.
-const RETRYING_NODES: usize = 4;
+const RETRIES_PER_PAUSE: usize = 4;
 
 /// Upper bound on the pause after a failed call. With it, data is refreshed within half of the 4 s
 /// for which it is valid.
-const LONGEST_RETRY_PAUSE: Duration = Duration::from_millis(750);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(750);
 
 /// How many nodes of a failure domain may read the store for the others. The second takes over when
 /// the first falls silent, before the store lists the first as gone.
-const READERS: usize = 2;
+const READERS_PER_DOMAIN: usize = 2;
 
 /// Returns the node of `domain` that reads the store for `node`, or `None` if `node` must read it
 /// itself.
@@ -53,7 +53,7 @@
     // The node itself may not be listed yet, or no longer.
     let mut before: Vec<&NodeRecord> = near.filter(|other| other.node < *node).collect();
     before.sort_by(|a, b| a.node.cmp(&b.node));
-    let mut readers = before.into_iter().take(READERS);
+    let mut readers = before.into_iter().take(READERS_PER_DOMAIN);
     readers.find(|reader| !is_silent(&reader.node))
 }
 
@@ -67,7 +67,7 @@
         let readers = by_domain.entry(&node.failure_domain).or_default();
         readers.push(node);
         readers.sort_by(|a, b| a.node.cmp(&b.node));
-        readers.truncate(READERS);
+        readers.truncate(READERS_PER_DOMAIN);
     }
     by_domain
 }
@@ -86,6 +86,6 @@
 /// assert_eq!(retry_pause(39), Duration::from_millis(750));
 /// ```
 pub fn retry_pause(near: usize) -> Duration {
-    let share = near as f64 / RETRYING_NODES as f64;
-    RETRY_PAUSE.mul_f64(share.max(1.0)).min(LONGEST_RETRY_PAUSE)
+    let share = near as f64 / RETRIES_PER_PAUSE as f64;
+    MIN_RETRY_PAUSE.mul_f64(share.max(1.0)).min(MAX_RETRY_PAUSE)
 }
--- a/crates/relay/src/rest.rs
+++ b/crates/relay/src/rest.rs
@@ -3,11 +3,11 @@
 use std::time::{Duration, Instant};
 
 /// How long a trial request may stay unanswered before another one is sent.
-const TRIAL_LIMIT: Duration = Duration::from_millis(1_000);
+const TRIAL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Typical time until a trial request is answered. Callers that are refused meanwhile are told to
 /// return then.
-const TRIAL_ANSWERED: Duration = Duration::from_millis(100);
+const TRIAL_LATENCY: Duration = Duration::from_millis(100);
 
 /// The backoff that an upstream requested. After it, a single trial request must be answered before
 /// other requests are sent.
@@ -42,8 +42,8 @@
     pub(crate) fn ends(&self, now: Instant) -> Option<Instant> {
         let rest = self.until.filter(|until| now < *until);
         let trial = match self.trial {
-            Trial::Sent(at) if now.duration_since(at) < TRIAL_LIMIT => {
-                Some((at + TRIAL_ANSWERED).max(now))
+            Trial::Sent(at) if now.duration_since(at) < TRIAL_TIMEOUT => {
+                Some((at + TRIAL_LATENCY).max(now))
             }
             Trial::None | Trial::Due | Trial::Sent(_) => None,
         };
--- a/crates/relay/src/rest_filter.rs
+++ b/crates/relay/src/rest_filter.rs
@@ -5,7 +5,7 @@
 
 /// How many updates in a row include an engine that became idle, so that a lost datagram does not
 /// matter.
-const REST_TOLD: u8 = 3;
+const IDLE_UPDATES: u8 = 3;
 
 /// Chooses which engines to include in a load update, leaving out those that have been idle for a
 /// while.
@@ -17,23 +17,23 @@
 /// use nutmegsail_relay::RestFilter;
 /// let mut filter = RestFilter::default();
 /// assert_eq!(filter.turn([("e1", false), ("e2", false)]), ["e1", "e2"]);
-/// let resting = || [("e1", false), ("e2", true)];
+/// let idle = || [("e1", false), ("e2", true)];
 /// for _ in 0..3 {
-///     assert_eq!(filter.turn(resting()), ["e1", "e2"], "a change to idle is repeated");
+///     assert_eq!(filter.turn(idle()), ["e1", "e2"], "a change to idle is repeated");
 /// }
-/// assert_eq!(filter.turn(resting()), ["e1"]);
+/// assert_eq!(filter.turn(idle()), ["e1"]);
 /// assert_eq!(filter.turn([("e2", false)]), ["e2"]);
 /// ```
 #[derive(Clone, Debug)]
 pub struct RestFilter<K> {
     /// How many updates in a row have included each idle engine.
-    told: HashMap<K, u8>,
+    updates_sent: HashMap<K, u8>,
 }
 
 impl<K> Default for RestFilter<K> {
     fn default() -> Self {
         Self {
-            told: HashMap::new(),
+            updates_sent: HashMap::new(),
         }
     }
 }
@@ -42,18 +42,18 @@
     /// Returns the engines to include in the next update. `engines` lists all known engines and
     /// whether each is idle.
     pub fn turn(&mut self, engines: impl IntoIterator<Item = (K, bool)>) -> Vec<K> {
-        let mut resting = HashMap::new();
-        let mut news = Vec::new();
-        for (engine, is_at_rest) in engines {
-            let told = self.told.get(&engine).copied().unwrap_or(0);
-            if !is_at_rest || told < REST_TOLD {
-                news.push(engine.clone());
+        let mut idle = HashMap::new();
+        let mut included = Vec::new();
+        for (engine, is_idle) in engines {
+            let updates_sent = self.updates_sent.get(&engine).copied().unwrap_or(0);
+            if !is_idle || updates_sent < IDLE_UPDATES {
+                included.push(engine.clone());
             }
-            if is_at_rest {
-                resting.insert(engine, told.saturating_add(1));
+            if is_idle {
+                idle.insert(engine, updates_sent.saturating_add(1));
             }
         }
-        self.told = resting;
-        news
+        self.updates_sent = idle;
+        included
     }
 }
--- a/crates/relay/src/retry_budget.rs
+++ b/crates/relay/src/retry_budget.rs
@@ -35,9 +35,9 @@
 struct Step {
     began: Instant,
     /// First attempts.
-    first: u32,
+    first_attempts: u32,
     /// Retries.
-    further: u32,
+    retries: u32,
 }
 
 impl RetryBudget {
@@ -51,24 +51,24 @@
 
     /// Counts a request's first attempt.
     pub fn count_first(&mut self, now: Instant) {
-        self.step(now).first += 1;
+        self.step(now).first_attempts += 1;
     }
 
     /// Whether the budget allows a retry, at one of `nodes` nodes.
     pub fn has_further(&mut self, nodes: usize, now: Instant) -> bool {
         self.step(now);
-        let first: u32 = self.steps.iter().map(|step| step.first).sum();
-        let further: u32 = self.steps.iter().map(|step| step.further).sum();
+        let first_attempts: u32 = self.steps.iter().map(|step| step.first_attempts).sum();
+        let retries: u32 = self.steps.iter().map(|step| step.retries).sum();
         let slack = self.rules.slack / nodes.max(1) as f64;
-        let allowed = USED_SHARE * (self.rules.ratio * f64::from(first) + slack);
-        f64::from(further) + 1.0 <= allowed
+        let allowed = USED_SHARE * (self.rules.ratio * f64::from(first_attempts) + slack);
+        f64::from(retries) + 1.0 <= allowed
     }
 
     /// Counts a retry if the budget allows it. Returns whether it does.
     pub fn take_further(&mut self, nodes: usize, now: Instant) -> bool {
         let has_room = self.has_further(nodes, now);
         if has_room {
-            self.step(now).further += 1;
+            self.step(now).retries += 1;
         }
         has_room
     }
@@ -86,8 +86,8 @@
         if !self.steps.back().is_some_and(is_current) {
             self.steps.push_back(Step {
                 began: now,
-                first: 0,
-                further: 0,
+                first_attempts: 0,
+                retries: 0,
             });
         }
         let last = self.steps.len() - 1;
--- a/crates/relay/src/return_time.rs
+++ b/crates/relay/src/return_time.rs
@@ -8,10 +8,10 @@
 const SPREAD_SHARE: f64 = 0.5;
 
 /// Lower bound on that interval.
-const LEAST_SPREAD: Duration = Duration::from_millis(250);
+const MIN_SPREAD: Duration = Duration::from_millis(250);
 
 /// Number of priorities that are distinguished. Higher numbers are treated like the last of them.
-const RANKS: u8 = 5;
+const PRIORITIES: u8 = 5;
 
 /// Returns when a caller with a request of priority `rank` should return, if it can be served after
 /// `wait` at the earliest.
@@ -28,7 +28,7 @@
 /// assert!(wait <= urgent && urgent < routine);
 /// ```
 pub fn return_after(wait: Duration, rank: u8, random: &mut dyn Rng) -> Duration {
-    let spread = wait.mul_f64(SPREAD_SHARE).max(LEAST_SPREAD);
-    let place = f64::from(rank.min(RANKS - 1)) + random.random::<f64>();
-    wait + spread.mul_f64(place / f64::from(RANKS))
+    let spread = wait.mul_f64(SPREAD_SHARE).max(MIN_SPREAD);
+    let place = f64::from(rank.min(PRIORITIES - 1)) + random.random::<f64>();
+    wait + spread.mul_f64(place / f64::from(PRIORITIES))
 }
--- a/crates/relay/src/service.rs
+++ b/crates/relay/src/service.rs
@@ -36,12 +36,12 @@
 
     /// Load time from `source`, or from the weight store if none is stated for it.
     pub fn load_from(&self, source: CopySource) -> Duration {
-        let near = match source {
+        let stated = match source {
             CopySource::Memory => self.load_from_memory,
             CopySource::Disk => self.load_from_disk,
             CopySource::Store => None,
         };
-        near.unwrap_or(self.load)
+        stated.unwrap_or(self.load)
     }
 }
 
--- a/crates/relay/src/slot_gate.rs
+++ b/crates/relay/src/slot_gate.rs
@@ -13,35 +13,35 @@
 
 /// Requests granted beyond the upstream's slots, as a share of the slots. They keep a slot busy
 /// while the message that it is free is on its way.
-const AHEAD_SHARE: f64 = 0.25;
+const EXTRA_GRANTS_SHARE: f64 = 0.25;
 
 /// Assumed run time of a request until some have ended.
-const FIRST_WORK: Duration = Duration::from_millis(50);
+const INITIAL_RUN_TIME: Duration = Duration::from_millis(50);
 
 /// Time reserved for running a request before its answer is due, as a multiple of the average run
 /// time. Requests that start later than that are late whenever they take longer than usual.
-const KEPT_WORK: f64 = 1.8;
+const RESERVED_RUN_TIMES: f64 = 1.8;
 
 /// Weight of one request in the moving averages.
-const WORK_STEP: f64 = 0.1;
+const AVERAGE_WEIGHT: f64 = 0.1;
 
 /// Longest time that one request can contribute to a moving average, as a multiple of that average.
 /// A request that hung says little about the others.
-const WORK_SEEN_MOST: f64 = 4.0;
+const MAX_SAMPLE_RATIO: f64 = 4.0;
 
 /// Upper bound on the factor by which granted slots that are idle at the upstream raise the limit.
-const MOST_IDLE_RATIO: f64 = 3.0;
+const MAX_HELD_RATIO: f64 = 3.0;
 
 /// How long a slot counts as taken if its node does not release it: the node may be gone.
-const SLOT_LIFE: Duration = Duration::from_millis(2_500);
+const SLOT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Lower bound on an upstream's rate, in requests per second: only answers can show that its limit
 /// has risen.
-const LEAST_RATE: f64 = 0.25;
+const MIN_RATE: f64 = 0.25;
 
 /// Longest queue wait for requests that are already late. Beyond it, callers do better to go
 /// elsewhere or return later.
-const LATE_QUEUE: Duration = Duration::from_millis(500);
+const MAX_LATE_WAIT: Duration = Duration::from_millis(500);
 
 /// A request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -77,13 +77,13 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting<K> {
+struct QueuedRequest<K> {
     key: K,
     /// Latest start for an answer that is in time. Already past for late requests.
     latest_start: Instant,
     is_late: bool,
     rank: u8,
-    gives_up: Instant,
+    expires_at: Instant,
 }
 
 /// The slots of one upstream, or its rate limit shared by all nodes, and the queue of waiting
@@ -102,14 +102,14 @@
 #[derive(Clone, Debug)]
 pub struct SlotGate<K> {
     slots: u32,
-    taken: HashMap<K, Instant>,
+    granted: HashMap<K, Instant>,
     /// The upstream's rate limit, if it announces one.
     rate: Option<RateBucket>,
-    queue: Vec<Waiting<K>>,
+    queue: Vec<QueuedRequest<K>>,
     /// Average time from the grant of a slot to its release.
-    held: Duration,
+    hold_time: Duration,
     /// Average time that a request spends at the upstream.
-    work: Duration,
+    run_time: Duration,
 }
 
 impl<K: Clone + Copy + Eq + Hash> SlotGate<K> {
@@ -117,11 +117,11 @@
     pub fn new(slots: u32) -> Self {
         Self {
             slots: slots.max(1),
-            taken: HashMap::new(),
+            granted: HashMap::new(),
             rate: None,
             queue: Vec::new(),
-            held: FIRST_WORK,
-            work: FIRST_WORK,
+            hold_time: INITIAL_RUN_TIME,
+            run_time: INITIAL_RUN_TIME,
         }
     }
 
@@ -132,7 +132,7 @@
 
     /// Sets the upstream's rate limit in requests per second, or removes it.
     pub fn set_rate(&mut self, per_s: Option<f64>, now: Instant) {
-        let per_s = per_s.map(|per_s| per_s.max(LEAST_RATE));
+        let per_s = per_s.map(|per_s| per_s.max(MIN_RATE));
         match (&mut self.rate, per_s) {
             (Some(rate), Some(per_s)) => rate.set_rate(per_s, now),
             (rate, per_s) => *rate = per_s.map(|per_s| RateBucket::new(per_s, now)),
@@ -146,25 +146,25 @@
 
     /// Whether no request holds a slot or waits.
     pub fn is_idle(&self) -> bool {
-        self.taken.is_empty() && self.queue.is_empty()
+        self.granted.is_empty() && self.queue.is_empty()
     }
 
     /// Grants a slot, queues the request or turns it away.
     pub fn ask(&mut self, key: K, ask: SlotAsk, now: Instant) -> SlotAnswer {
-        self.forget_lost(now);
+        self.drop_expired_slots(now);
         // Datagrams can be delivered twice.
-        if self.taken.contains_key(&key) {
+        if self.granted.contains_key(&key) {
             return SlotAnswer::Granted;
         }
         if self.queue.iter().any(|waiting| waiting.key == key) {
             return SlotAnswer::Queued;
         }
-        if self.queue.is_empty() && self.take_room(now) {
-            self.taken.insert(key, now);
+        if self.queue.is_empty() && self.take_capacity(now) {
+            self.granted.insert(key, now);
             return SlotAnswer::Granted;
         }
         let in_time = Duration::from_millis(u64::from(ask.in_time_ms));
-        let latest_start = now + in_time.saturating_sub(self.work.mul_f64(KEPT_WORK));
+        let latest_start = now + in_time.saturating_sub(self.run_time.mul_f64(RESERVED_RUN_TIMES));
         let wait_in_time = self.wait_behind(self.ahead_of(ask.rank, latest_start), now);
         let is_late = in_time.is_zero() || now + wait_in_time > latest_start;
         let wait = match is_late {
@@ -176,15 +176,15 @@
             return SlotAnswer::Busy { wait_ms };
         }
         let patience = Duration::from_millis(u64::from(ask.patience_ms));
-        if is_late && (wait > LATE_QUEUE || wait + self.work > patience) {
+        if is_late && (wait > MAX_LATE_WAIT || wait + self.run_time > patience) {
             return SlotAnswer::Refused { wait_ms };
         }
-        self.queue.push(Waiting {
+        self.queue.push(QueuedRequest {
             key,
             latest_start,
             is_late,
             rank: ask.rank,
-            gives_up: now + patience,
+            expires_at: now + patience,
         });
         SlotAnswer::Queued
     }
@@ -198,23 +198,23 @@
         now: Instant,
     ) -> Vec<(K, SlotAnswer)> {
         self.queue.retain(|waiting| waiting.key != *key);
-        if let (Some(since), Some(took)) = (self.taken.remove(key), took) {
-            learn(&mut self.held, now.saturating_duration_since(since));
-            learn(&mut self.work, took);
+        if let (Some(since), Some(took)) = (self.granted.remove(key), took) {
+            update_average(&mut self.hold_time, now.saturating_duration_since(since));
+            update_average(&mut self.run_time, took);
         }
         self.turn(now)
     }
 
     /// Grants slots to queued requests while there is room, and returns the decisions made.
     pub fn turn(&mut self, now: Instant) -> Vec<(K, SlotAnswer)> {
-        self.forget_lost(now);
+        self.drop_expired_slots(now);
         let mut answers = Vec::new();
-        while self.has_room(now) {
+        while self.has_capacity(now) {
             let Some(next) = self.take_next(now, &mut answers) else {
                 break;
             };
-            self.take_room(now);
-            self.taken.insert(next, now);
+            self.take_capacity(now);
+            self.granted.insert(next, now);
             answers.push((next, SlotAnswer::Granted));
         }
         answers
@@ -223,14 +223,14 @@
     /// Removes the next request from the queue and refuses those whose callers have stopped
     /// waiting.
     fn take_next(&mut self, now: Instant, answers: &mut Vec<(K, SlotAnswer)>) -> Option<K> {
-        let gone = self.queue.extract_if(.., |waiting| waiting.gives_up <= now);
-        answers.extend(gone.map(|gone| (gone.key, SlotAnswer::Refused { wait_ms: 0 })));
+        let expired = self.queue.extract_if(.., |waiting| waiting.expires_at <= now);
+        answers.extend(expired.map(|expired| (expired.key, SlotAnswer::Refused { wait_ms: 0 })));
         // A request that became late while queued is served after those that can still be in time.
         for waiting in &mut self.queue {
             waiting.is_late |= waiting.latest_start < now;
         }
-        let order = |waiting: &&Waiting<K>| {
-            let rank = self.rank_that_counts(waiting.rank);
+        let order = |waiting: &&QueuedRequest<K>| {
+            let rank = self.effective_priority(waiting.rank);
             (waiting.is_late, rank, waiting.latest_start)
         };
         let next = self.queue.iter().min_by_key(order).map(|next| next.key)?;
@@ -238,17 +238,17 @@
         Some(next)
     }
 
-    fn has_room(&mut self, now: Instant) -> bool {
-        let has_slot = self.taken.len() < self.limit();
+    fn has_capacity(&mut self, now: Instant) -> bool {
+        let has_slot = self.granted.len() < self.limit();
         let rate = self.rate.as_mut();
-        has_slot && rate.is_none_or(|rate| rate.has_one(now))
+        has_slot && rate.is_none_or(|rate| rate.has_token(now))
     }
 
     /// Consumes the rate allowance for one request, if a slot is free and the rate allows it.
-    fn take_room(&mut self, now: Instant) -> bool {
-        let has_room = self.has_room(now);
+    fn take_capacity(&mut self, now: Instant) -> bool {
+        let has_capacity = self.has_capacity(now);
         let rate = self.rate.as_mut();
-        has_room && rate.is_none_or(|rate| rate.take(now))
+        has_capacity && rate.is_none_or(|rate| rate.take(now))
     }
 
     /// How many requests may hold a slot at once.
@@ -257,23 +257,23 @@
     /// answer are on their way, and while the node holding it waits for CPU time. If requests queue
     /// inside the upstream, they stay there longer and this limit falls.
     fn limit(&self) -> usize {
-        let held_ratio = self.held.as_secs_f64() / self.work.as_secs_f64().max(1e-3);
-        let at_once = f64::from(self.slots) * held_ratio.clamp(1.0, MOST_IDLE_RATIO);
-        (at_once + f64::from(self.slots) * AHEAD_SHARE).ceil() as usize
+        let hold_ratio = self.hold_time.as_secs_f64() / self.run_time.as_secs_f64().max(1e-3);
+        let at_once = f64::from(self.slots) * hold_ratio.clamp(1.0, MAX_HELD_RATIO);
+        (at_once + f64::from(self.slots) * EXTRA_GRANTS_SHARE).ceil() as usize
     }
 
     /// Number of queued requests served before one with this priority and latest start.
     fn ahead_of(&self, rank: u8, latest_start: Instant) -> usize {
-        let place = (self.rank_that_counts(rank), latest_start);
+        let place = (self.effective_priority(rank), latest_start);
         let in_time = self.queue.iter().filter(|waiting| !waiting.is_late);
         in_time
-            .filter(|waiting| (self.rank_that_counts(waiting.rank), waiting.latest_start) <= place)
+            .filter(|waiting| (self.effective_priority(waiting.rank), waiting.latest_start) <= place)
             .count()
     }
 
     /// The priority used for ordering. It counts only under a rate limit, which can keep requests
     /// out altogether; without one, slots become free within the run time of a request.
-    fn rank_that_counts(&self, rank: u8) -> u8 {
+    fn effective_priority(&self, rank: u8) -> u8 {
         match self.rate {
             Some(_) => rank,
             None => 0,
@@ -282,18 +282,18 @@
 
     /// Expected wait of a request with `ahead` others before it.
     fn wait_behind(&self, ahead: usize, now: Instant) -> Duration {
-        let for_slot = self.held.mul_f64((ahead + 1) as f64 / self.limit() as f64);
+        let slot_wait = self.hold_time.mul_f64((ahead + 1) as f64 / self.limit() as f64);
         let rate = self.rate.as_ref();
-        rate.map_or(for_slot, |rate| rate.wait(ahead, now).max(for_slot))
+        rate.map_or(slot_wait, |rate| rate.wait(ahead, now).max(slot_wait))
     }
 
-    fn forget_lost(&mut self, now: Instant) {
-        self.taken
-            .retain(|_, since| now.saturating_duration_since(*since) < SLOT_LIFE);
+    fn drop_expired_slots(&mut self, now: Instant) {
+        self.granted
+            .retain(|_, since| now.saturating_duration_since(*since) < SLOT_TIMEOUT);
     }
 }
 
-fn learn(known: &mut Duration, seen: Duration) {
-    let seen = seen.min(known.mul_f64(WORK_SEEN_MOST));
-    *known = known.mul_f64(1.0 - WORK_STEP) + seen.mul_f64(WORK_STEP);
+fn update_average(average: &mut Duration, sample: Duration) {
+    let sample = sample.min(average.mul_f64(MAX_SAMPLE_RATIO));
+    *average = average.mul_f64(1.0 - AVERAGE_WEIGHT) + sample.mul_f64(AVERAGE_WEIGHT);
 }
--- a/crates/relay/src/stall.rs
+++ b/crates/relay/src/stall.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Shortest stall that is reported. On a busy or slowed machine, ticks are late by some 100 ms.
-const LEAST_TOLD: Duration = Duration::from_millis(1_000);
+const MIN_REPORTED: Duration = Duration::from_millis(1_000);
 
 /// Detects stalls from a timer that should fire once per interval, on a clock that also advances
 /// while the machine is suspended. A check that comes much later shows that the machine was
@@ -37,6 +37,6 @@
         let passed = now.saturating_sub(self.last);
         self.last = now;
         let stalled = passed.saturating_sub(self.interval);
-        (stalled >= LEAST_TOLD).then_some(stalled)
+        (stalled >= MIN_REPORTED).then_some(stalled)
     }
 }
--- a/crates/relay/src/stated_patience.rs
+++ b/crates/relay/src/stated_patience.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Upper bound on the votes for the usual timeout, reached after as many requests that state it.
-const WELL_KNOWN: u32 = 16;
+const MAX_VOTES: u32 = 16;
 
 /// The timeout that callers of a route usually state.
 ///
@@ -32,7 +32,7 @@
     pub fn waited(&mut self, patience: Duration) -> Duration {
         // Boyer-Moore majority vote.
         if patience == self.usual {
-            self.votes = (self.votes + 1).min(WELL_KNOWN);
+            self.votes = (self.votes + 1).min(MAX_VOTES);
         } else if self.votes == 0 {
             (self.usual, self.votes) = (patience, 1);
         } else {
--- a/crates/relay/src/suspect_homes.rs
+++ b/crates/relay/src/suspect_homes.rs
@@ -19,27 +19,27 @@
 ///     address: "10.0.0.1:80".parse().unwrap(),
 /// };
 /// let nodes = [node("east-1", "east"), node("east-2", "east"), node("west-1", "west")];
-/// let homes = homes_of(&RequestDigest::of(&content), &nodes);
-/// assert_eq!(homes.len(), 2);
-/// assert_eq!(homes[1].node.as_str(), "west-1");
+/// let collectors = homes_of(&RequestDigest::of(&content), &nodes);
+/// assert_eq!(collectors.len(), 2);
+/// assert_eq!(collectors[1].node.as_str(), "west-1");
 /// ```
 pub fn homes_of<'a>(
     digest: &RequestDigest,
     nodes: impl IntoIterator<Item = &'a NodeRecord>,
 ) -> Vec<&'a NodeRecord> {
     let seed = xxh3_64(digest.as_bytes());
-    let rank = |node: &NodeRecord| xxh3_64_with_seed(node.node.as_bytes(), seed);
-    let mut homes: BTreeMap<&FailureDomain, (u64, &NodeRecord)> = BTreeMap::new();
+    let hash = |node: &NodeRecord| xxh3_64_with_seed(node.node.as_bytes(), seed);
+    let mut collectors: BTreeMap<&FailureDomain, (u64, &NodeRecord)> = BTreeMap::new();
     for node in nodes {
-        let ranked = (rank(node), node);
-        homes
+        let candidate = (hash(node), node);
+        collectors
             .entry(&node.failure_domain)
-            .and_modify(|home| {
-                if ranked.0 > home.0 {
-                    *home = ranked;
+            .and_modify(|best| {
+                if candidate.0 > best.0 {
+                    *best = candidate;
                 }
             })
-            .or_insert(ranked);
+            .or_insert(candidate);
     }
-    homes.into_values().map(|(_, node)| node).collect()
+    collectors.into_values().map(|(_, node)| node).collect()
 }
--- a/crates/relay/src/suspects.rs
+++ b/crates/relay/src/suspects.rs
@@ -16,30 +16,30 @@
 
 /// How long a strike counts against a request. A request repeated later than that starts without
 /// strikes.
-const STRIKE_LIFE: Duration = Duration::from_secs(600);
+const STRIKE_TTL: Duration = Duration::from_secs(600);
 
 /// How long a request that was answered in full stays cleared, so that strikes from before, which
 /// other nodes still send, are ignored.
-const CLEARED_LIFE: Duration = Duration::from_secs(60);
+const CLEARED_TTL: Duration = Duration::from_secs(60);
 
 /// How long another node's count of the copies it has at upstreams is valid.
-const TRIAL_LIFE: Duration = Duration::from_secs(3);
+const TRIAL_TTL: Duration = Duration::from_secs(3);
 
 /// Number of strikes from which updates on a request go to all nodes. Most requests with one strike
 /// crash nothing.
-const WIDE_STRIKES: usize = 2;
+const BROADCAST_STRIKES: usize = 2;
 
 /// How often a change is sent, because single messages can be lost.
-const TELL_ROUNDS: u8 = 2;
+const SEND_COUNT: u8 = 2;
 
 /// How often, and for how long, a node repeats a single strike that it saw itself: the nodes that
 /// collect strikes may be unreachable at first.
-const RETELL_INTERVAL: Duration = Duration::from_secs(2);
-const RETELL_SPAN: Duration = Duration::from_secs(30);
+const RESEND_INTERVAL: Duration = Duration::from_secs(2);
+const RESEND_PERIOD: Duration = Duration::from_secs(30);
 
 /// Most requests that are remembered. Beyond it, an eighth is dropped at a time, those with the
 /// fewest strikes first.
-const RECORDS_LIMIT: usize = 512;
+const MAX_RECORDS: usize = 512;
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -115,15 +115,15 @@
     /// How many copies this node has at upstreams.
     own_trials: u32,
     /// How many copies other nodes have at upstreams, and when each said so.
-    trials_elsewhere: HashMap<NodeId, (u32, Instant)>,
+    trials_of_others: HashMap<NodeId, (u32, Instant)>,
     /// Whether updates on the request go to all nodes.
-    is_wide: bool,
+    is_broadcast: bool,
     /// Whether this node saw one of the upstreams end.
     is_own: bool,
     /// How many more times an update is to be sent.
-    rounds: u8,
+    sends_left: u8,
     /// When an update on the request was last sent.
-    told: Option<Instant>,
+    last_sent: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -133,8 +133,8 @@
 }
 
 impl Strike {
-    fn is_held(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) < STRIKE_LIFE
+    fn is_valid(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.at) < STRIKE_TTL
     }
 }
 
@@ -148,9 +148,9 @@
         let record = self.records.entry(digest).or_default();
         if record.add(strike, now) {
             record.is_own = true;
-            record.rounds = TELL_ROUNDS;
+            record.sends_left = SEND_COUNT;
         }
-        self.keep_to_limit(now);
+        self.enforce_limit(now);
     }
 
     /// Clears a request that was answered in full.
@@ -160,7 +160,7 @@
         };
         if !record.strikes.is_empty() {
             record.clear(now);
-            record.rounds = TELL_ROUNDS;
+            record.sends_left = SEND_COUNT;
         }
     }
 
@@ -172,7 +172,7 @@
         let strikes = record.strikes(now).count();
         match strikes + record.trials(now) {
             _ if strikes >= STRIKES_LIMIT => Suspicion::Crashes,
-            at_stake if strikes > 0 && at_stake >= STRIKES_LIMIT => Suspicion::OnTrial,
+            possible_strikes if strikes > 0 && possible_strikes >= STRIKES_LIMIT => Suspicion::OnTrial,
             _ => Suspicion::None,
         }
     }
@@ -184,7 +184,7 @@
             return false;
         };
         record.own_trials += 1;
-        record.tell_trials();
+        record.schedule_trial_update();
         true
     }
 
@@ -193,7 +193,7 @@
     pub fn end_trial(&mut self, digest: &RequestDigest) {
         if let Some(record) = self.records.get_mut(digest) {
             record.own_trials = record.own_trials.saturating_sub(1);
-            record.tell_trials();
+            record.schedule_trial_update();
         }
     }
 
@@ -220,15 +220,15 @@
     pub fn news(&mut self, now: Instant) -> Vec<(Audience, SuspectTold)> {
         self.forget_old(now);
         let due = self.records.iter_mut();
-        let due = due.filter(|(_, record)| record.is_to_be_told(now));
+        let due = due.filter(|(_, record)| record.is_send_due(now));
         due.map(|(digest, record)| {
-            record.rounds = record.rounds.saturating_sub(1);
-            record.told = Some(now);
-            let audience = match record.is_wide {
+            record.sends_left = record.sends_left.saturating_sub(1);
+            record.last_sent = Some(now);
+            let audience = match record.is_broadcast {
                 true => Audience::All,
                 false => Audience::Homes,
             };
-            (audience, record.to_tell(*digest, now))
+            (audience, record.to_update(*digest, now))
         })
         .collect()
     }
@@ -240,48 +240,48 @@
         let mut struck: Vec<_> = self
             .records
             .iter()
-            .filter(|(_, record)| record.is_wide)
+            .filter(|(_, record)| record.is_broadcast)
             .filter_map(|(digest, record)| {
                 let newest = record.strikes(now).map(|strike| strike.at).max()?;
                 Some((record.strikes(now).count(), newest, *digest, record))
             })
             .collect();
         struck.sort_by_key(|(strikes, newest, digest, _)| (*strikes, *newest, *digest));
-        let told = struck.into_iter().rev().take(most);
-        told.map(|(_, _, digest, record)| record.to_tell(digest, now))
+        let updated = struck.into_iter().rev().take(most);
+        updated.map(|(_, _, digest, record)| record.to_update(digest, now))
             .collect()
     }
 
     /// Applies an update from another node.
-    pub fn take(&mut self, from: &NodeId, told: &SuspectTold, now: Instant) {
-        let record = self.records.entry(told.digest).or_default();
-        if let Some(cleared) = told.cleared.and_then(|age_ms| before(now, age_ms)) {
+    pub fn take(&mut self, from: &NodeId, update: &SuspectTold, now: Instant) {
+        let record = self.records.entry(update.digest).or_default();
+        if let Some(cleared) = update.cleared.and_then(|age_ms| before(now, age_ms)) {
             record.clear(cleared);
         }
-        for (upstream, age_ms) in &told.strikes {
+        for (upstream, age_ms) in &update.strikes {
             let at = before(now, *age_ms).unwrap_or(now);
             let upstream = *upstream;
             record.add(Strike { upstream, at }, now);
         }
-        if record.is_wide && record.strikes(now).count() > told.strikes.len() {
+        if record.is_broadcast && record.strikes(now).count() > update.strikes.len() {
             // This node may be the only one that knows all the strikes.
-            record.rounds = TELL_ROUNDS;
+            record.sends_left = SEND_COUNT;
         }
-        let trials = (told.trials, now);
-        record.trials_elsewhere.insert(from.clone(), trials);
-        self.keep_to_limit(now);
+        let trials = (update.trials, now);
+        record.trials_of_others.insert(from.clone(), trials);
+        self.enforce_limit(now);
     }
 
     fn forget_old(&mut self, now: Instant) {
         self.records.retain(|_, record| record.is_needed(now));
     }
 
-    fn keep_to_limit(&mut self, now: Instant) {
-        if self.records.len() <= RECORDS_LIMIT {
+    fn enforce_limit(&mut self, now: Instant) {
+        if self.records.len() <= MAX_RECORDS {
             return;
         }
         self.forget_old(now);
-        if self.records.len() <= RECORDS_LIMIT {
+        if self.records.len() <= MAX_RECORDS {
             return;
         }
         let records = self.records.iter();
@@ -292,7 +292,7 @@
             })
             .collect();
         ranked.sort_unstable();
-        let surplus = self.records.len() - RECORDS_LIMIT * 7 / 8;
+        let surplus = self.records.len() - MAX_RECORDS * 7 / 8;
         for (_, _, digest) in &ranked[..surplus] {
             self.records.remove(digest);
         }
@@ -302,30 +302,30 @@
 impl Record {
     /// Adds a strike unless it is known or no longer counts. Returns whether it was added.
     fn add(&mut self, strike: Strike, now: Instant) -> bool {
-        self.strikes.retain(|strike| strike.is_held(now));
-        let is_past = self.cleared.is_some_and(|cleared| strike.at <= cleared);
+        self.strikes.retain(|strike| strike.is_valid(now));
+        let is_outdated = self.cleared.is_some_and(|cleared| strike.at <= cleared);
         let mut known = self.strikes.iter();
         let is_known = known.any(|known| known.upstream == strike.upstream);
-        if is_past || is_known || self.strikes.len() >= STRIKES_LIMIT {
+        if is_outdated || is_known || self.strikes.len() >= STRIKES_LIMIT {
             return false;
         }
         self.strikes.push(strike);
-        self.is_wide |= self.strikes.len() >= WIDE_STRIKES;
+        self.is_broadcast |= self.strikes.len() >= BROADCAST_STRIKES;
         true
     }
 
-    fn tell_trials(&mut self) {
-        if self.is_wide {
-            self.rounds = TELL_ROUNDS;
+    fn schedule_trial_update(&mut self) {
+        if self.is_broadcast {
+            self.sends_left = SEND_COUNT;
         }
     }
 
-    fn is_to_be_told(&self, now: Instant) -> bool {
-        let is_due = |told: Instant| now.saturating_duration_since(told) >= RETELL_INTERVAL;
+    fn is_send_due(&self, now: Instant) -> bool {
+        let is_due = |sent: Instant| now.saturating_duration_since(sent) >= RESEND_INTERVAL;
         let mut strikes = self.strikes(now);
-        let is_new = strikes.any(|strike| now.saturating_duration_since(strike.at) < RETELL_SPAN);
-        let is_again = self.is_own && !self.is_wide && is_new && self.told.is_none_or(is_due);
-        self.rounds > 0 || is_again
+        let is_new = strikes.any(|strike| now.saturating_duration_since(strike.at) < RESEND_PERIOD);
+        let is_resend_due = self.is_own && !self.is_broadcast && is_new && self.last_sent.is_none_or(is_due);
+        self.sends_left > 0 || is_resend_due
     }
 
     fn clear(&mut self, at: Instant) {
@@ -335,14 +335,14 @@
 
     fn strikes(&self, now: Instant) -> impl Iterator<Item = &Strike> {
         let strikes = self.strikes.iter();
-        strikes.filter(move |strike| strike.is_held(now))
+        strikes.filter(move |strike| strike.is_valid(now))
     }
 
     /// How many copies are known to be at upstreams.
     fn trials(&self, now: Instant) -> usize {
-        let elsewhere = self.trials_elsewhere.values();
+        let elsewhere = self.trials_of_others.values();
         let elsewhere = elsewhere
-            .filter(|(_, told)| now.saturating_duration_since(*told) < TRIAL_LIFE)
+            .filter(|(_, received_at)| now.saturating_duration_since(*received_at) < TRIAL_TTL)
             .map(|(trials, _)| *trials);
         (self.own_trials + elsewhere.sum::<u32>()) as usize
     }
@@ -350,11 +350,11 @@
     fn is_needed(&self, now: Instant) -> bool {
         let is_cleared = self
             .cleared
-            .is_some_and(|cleared| now.saturating_duration_since(cleared) < CLEARED_LIFE);
-        is_cleared || self.rounds > 0 || self.own_trials > 0 || self.strikes(now).next().is_some()
+            .is_some_and(|cleared| now.saturating_duration_since(cleared) < CLEARED_TTL);
+        is_cleared || self.sends_left > 0 || self.own_trials > 0 || self.strikes(now).next().is_some()
     }
 
-    fn to_tell(&self, digest: RequestDigest, now: Instant) -> SuspectTold {
+    fn to_update(&self, digest: RequestDigest, now: Instant) -> SuspectTold {
         let age_ms = |at: Instant| {
             let age = now.saturating_duration_since(at);
             u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
--- a/crates/relay/src/team.rs
+++ b/crates/relay/src/team.rs
@@ -160,8 +160,8 @@
 }
 
 fn check_quota(team: &TeamName, quota: Quota) -> Result<(), TeamFault> {
-    let is_meant = |tokens: f64| (0.0..=LARGEST_QUOTA_TOKENS).contains(&tokens);
-    match is_meant(quota.tokens_per_s) && is_meant(quota.burst_tokens) {
+    let is_in_range = |tokens: f64| (0.0..=LARGEST_QUOTA_TOKENS).contains(&tokens);
+    match is_in_range(quota.tokens_per_s) && is_in_range(quota.burst_tokens) {
         true => Ok(()),
         false => Err(TeamFault::QuotaOutOfRange(team.clone())),
     }
--- a/crates/relay/tests/crash_watch.rs
+++ b/crates/relay/tests/crash_watch.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_end_is_held_against_all_that_were_beginning_there() {
+fn all_starting_requests_get_a_strike_when_an_upstream_ends() {
     let (mut watch, now) = (CrashWatch::default(), Instant::now());
     assert_eq!(
         watch.note_broken(&engine(), broken("a"), now),
@@ -54,9 +54,9 @@
 }
 
 #[rstest]
-#[case::a_break_off_of_one_answer(Reach::Connected)]
+#[case::a_broken_answer(Reach::Connected)]
 #[case::a_partition(Reach::Silent)]
-fn what_does_not_end_an_upstream_is_held_against_nobody(#[case] reach: Reach) {
+fn requests_get_no_strike_if_the_upstream_did_not_end(#[case] reach: Reach) {
     let (mut watch, now) = (CrashWatch::default(), Instant::now());
     watch.note_broken(&engine(), broken("a"), now);
     assert_eq!(watch.note_reach(&engine(), reach, now), []);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_stream_that_had_run_for_seconds_is_no_cause() {
+fn a_stream_that_ran_for_seconds_gets_no_strike() {
     let (mut watch, now) = (CrashWatch::default(), Instant::now());
     let running = BrokenRequest {
         began_ago: Some(Duration::from_secs(2)),
@@ -79,12 +79,12 @@
         watch.note_broken(&engine(), running, now),
         CrashStep::Ignore
     );
-    let beginning = BrokenRequest {
+    let starting = BrokenRequest {
         began_ago: Some(Duration::from_millis(80)),
         ..broken("b")
     };
     assert_eq!(
-        watch.note_broken(&engine(), beginning, now),
+        watch.note_broken(&engine(), starting, now),
         CrashStep::Check
     );
     assert_eq!(
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn an_end_counts_for_a_moment_only() {
+fn an_upstream_counts_as_ended_only_briefly() {
     let (mut watch, now) = (CrashWatch::default(), Instant::now());
     watch.note_broken(&engine(), broken("a"), now);
     watch.note_reach(&engine(), Reach::Refused, now);
--- a/crates/relay/tests/era_watch.rs
+++ b/crates/relay/tests/era_watch.rs
@@ -24,7 +24,7 @@
     }
 }
 
-fn starting() -> EraWatch {
+fn starting_node() -> EraWatch {
     let mut watch = EraWatch::new(SETTLING, false);
     assert_eq!(watch.see(Some(ERA), START), None);
     watch
@@ -43,8 +43,8 @@
 #[rstest]
 #[case::configuration(text(4, 9))]
 #[case::version(text(5, 8))]
-fn older_text_than_others_have_is_held_back(#[case] older: TextKnown) {
-    let mut watch = starting();
+fn text_older_than_other_nodes_have_is_held_back(#[case] older: TextKnown) {
+    let mut watch = starting_node();
     assert!(!watch.goes_by(older, ms(0)));
     watch.take_told(told(0, text(5, 9)), ms(100));
     assert!(!watch.goes_by(older, ms(60_000)));
@@ -56,8 +56,8 @@
 
 // Guards against relying on the first update when a later one names more recent text.
 #[test]
-fn further_nodes_are_heard_for_a_moment() {
-    let mut watch = starting();
+fn updates_from_further_nodes_are_awaited() {
+    let mut watch = starting_node();
     watch.take_told(told(0, text(4, 0)), ms(100));
     assert!(!watch.goes_by(text(4, 0), ms(150)));
     watch.take_told(told(0, text(5, 0)), ms(200));
@@ -65,8 +65,8 @@
 }
 
 #[test]
-fn a_node_that_hears_nobody_goes_by_what_the_store_shows() {
-    let mut watch = starting();
+fn a_node_without_updates_applies_the_text_in_the_store() {
+    let mut watch = starting_node();
     assert!(!watch.goes_by(text(1, 0), ms(2_999)));
     assert!(watch.goes_by(text(1, 0), ms(3_000)));
 }
@@ -74,8 +74,8 @@
 #[rstest]
 #[case::no_era(None, false, None)]
 #[case::marked(Some(ERA), false, Some(ERA))]
-#[case::begins_with_the_system(Some(ERA), true, None)]
-fn nobody_has_to_be_heard(
+#[case::first_start(Some(ERA), true, None)]
+fn no_update_is_needed(
     #[case] era: Option<StoreEra>,
     #[case] is_first_start: bool,
     #[case] mark: Option<StoreEra>,
@@ -91,23 +91,23 @@
 
 // Guards against trusting a mark of an earlier era that came with the older copy.
 #[test]
-fn an_earlier_mark_says_nothing() {
-    let mut watch = starting();
+fn a_mark_of_an_earlier_era_is_ignored() {
+    let mut watch = starting_node();
     watch.take_mark(StoreEra(1));
     assert!(!watch.is_settled(ms(0)) && !watch.goes_by(text(1, 0), ms(0)));
 }
 
 #[test]
-fn anothers_word_settles_an_era_that_is_long_in_force() {
-    let mut watch = starting();
+fn an_update_settles_an_era_that_is_long_in_force() {
+    let mut watch = starting_node();
     assert!(watch.awaits_word(ms(0)) && !watch.is_settled(ms(0)));
     watch.take_told(told(7_100, text(1, 0)), ms(100));
     assert!(!watch.awaits_word(ms(100)) && watch.is_settled(ms(100)));
 }
 
 #[test]
-fn a_later_era_that_another_node_knows_is_asked_for() {
-    let mut watch = starting();
+fn a_later_era_known_to_another_node_causes_a_read_of_the_store() {
+    let mut watch = starting_node();
     let later = EraTold {
         era: StoreEra(3),
         ..told(9_000, text(1, 0))
@@ -124,8 +124,8 @@
 // Guards against a mark that lets starting nodes apply operators' text that still has to be written
 // again.
 #[test]
-fn the_mark_waits_for_claims_of_before_and_for_the_text() {
-    let mut watch = starting();
+fn the_mark_waits_for_earlier_claims_and_for_the_text() {
+    let mut watch = starting_node();
     assert!(watch.goes_by(text(1, 0), ms(3_000)));
     assert!(watch.see(Some(StoreEra(3)), ms(4_000)).is_some());
     assert_eq!(watch.mark_due(false, ms(10_999)), None);
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -28,9 +28,9 @@
 #[derive(Clone, Debug)]
 enum Event {
     /// The current process announces in an answer that it is leaving.
-    Word(usize),
+    Announced(usize),
     /// An update from another node says that it is leaving.
-    Told(usize),
+    PeerUpdate(usize),
     /// The process ends and another one starts under its name.
     Restart(usize),
     /// A list of any age is read. For each upstream in it: whether it is ready, and whether the
@@ -42,8 +42,8 @@
 fn event() -> impl Strategy<Value = Event> {
     let entry = prop::option::weighted(0.8, (any::<bool>(), any::<bool>()));
     prop_oneof![
-        1 => (0..UPSTREAMS).prop_map(Event::Word),
-        1 => (0..UPSTREAMS).prop_map(Event::Told),
+        1 => (0..UPSTREAMS).prop_map(Event::Announced),
+        1 => (0..UPSTREAMS).prop_map(Event::PeerUpdate),
         1 => (0..UPSTREAMS).prop_map(Event::Restart),
         3 => prop::collection::vec(entry, UPSTREAMS).prop_map(Event::List),
         6 => Just(Event::Ask),
@@ -57,7 +57,7 @@
     starts: [u64; UPSTREAMS],
     listed: Vec<Upstream>,
     /// When each leaving process must stop getting requests.
-    spared_from: HashMap<UpstreamId, Instant>,
+    no_requests_from: HashMap<UpstreamId, Instant>,
     now: Instant,
     is_engine: bool,
 }
@@ -71,7 +71,7 @@
             notices: Notices::default(),
             starts: [1; UPSTREAMS],
             listed: Vec::new(),
-            spared_from: HashMap::new(),
+            no_requests_from: HashMap::new(),
             now: Instant::now(),
             is_engine,
         };
@@ -79,8 +79,8 @@
         world
     }
 
-    fn upstream(&self, place: usize, started: u64) -> Upstream {
-        let name = format!("u{place}");
+    fn upstream(&self, index: usize, started: u64) -> Upstream {
+        let name = format!("u{index}");
         let upstream = match self.is_engine {
             true => engine(&name, &["a1"]),
             false => plain(&name),
@@ -94,14 +94,14 @@
 
     fn list(&mut self, entries: &[Option<(bool, bool)>]) {
         let entries = entries.iter().enumerate();
-        let listed = entries.filter_map(|(place, entry)| {
-            let (is_ready, is_before) = (*entry)?;
-            let started = self.starts[place] - u64::from(is_before && self.starts[place] > 1);
+        let listed = entries.filter_map(|(index, entry)| {
+            let (is_ready, is_previous) = (*entry)?;
+            let started = self.starts[index] - u64::from(is_previous && self.starts[index] > 1);
             let state = match is_ready {
                 true => UpstreamState::Ready,
                 false => UpstreamState::Draining { remaining: None },
             };
-            let upstream = self.upstream(place, started);
+            let upstream = self.upstream(index, started);
             Some(Upstream { state, ..upstream })
         });
         self.listed = listed.collect();
@@ -120,22 +120,22 @@
         self.dispatcher.set_upstreams(&known, self.now);
     }
 
-    fn play(&mut self, event: &Event) -> Result<(), TestCaseError> {
+    fn apply(&mut self, event: &Event) -> Result<(), TestCaseError> {
         match event {
-            Event::Word(place) => {
-                let id = self.upstream(*place, self.starts[*place]).id;
+            Event::Announced(index) => {
+                let id = self.upstream(*index, self.starts[*index]).id;
                 self.dispatcher.note_leaving(&id, self.now);
                 self.notices.note_leaving(&id, self.now);
-                self.spared_from.entry(id).or_insert(self.now + GRACE);
+                self.no_requests_from.entry(id).or_insert(self.now + GRACE);
             }
-            Event::Told(place) => {
-                let id = self.upstream(*place, self.starts[*place]).id;
+            Event::PeerUpdate(index) => {
+                let id = self.upstream(*index, self.starts[*index]).id;
                 self.notices.note_leaving(&id, self.now);
                 self.now += TICK;
                 self.publish();
-                self.spared_from.entry(id).or_insert(self.now);
+                self.no_requests_from.entry(id).or_insert(self.now);
             }
-            Event::Restart(place) => self.starts[*place] += 1,
+            Event::Restart(index) => self.starts[*index] += 1,
             Event::List(entries) => self.list(entries),
             Event::Ask => self.ask()?,
         }
@@ -156,14 +156,14 @@
         let mut random = ChaCha8Rng::seed_from_u64(1);
         let stays =
             |upstream: &&Upstream| upstream.takes_work() && !self.notices.is_leaving(&upstream.id);
-        let has_other = self.listed.iter().any(|upstream| stays(&upstream));
+        let has_staying = self.listed.iter().any(|upstream| stays(&upstream));
         match self.dispatcher.choose(&need, self.now, &mut random) {
             Ok(choice) => {
                 let id = &choice.upstream.id;
-                let spared = self.spared_from.get(id);
-                prop_assert!(spared.is_none_or(|from| self.now < *from), "{} is leaving", id);
+                let deadline = self.no_requests_from.get(id);
+                prop_assert!(deadline.is_none_or(|from| self.now < *from), "{} is leaving", id);
                 prop_assert!(
-                    !has_other || !choice.is_leaving,
+                    !has_staying || !choice.is_leaving,
                     "{} is leaving, others are not",
                     id
                 );
@@ -174,7 +174,7 @@
                     id
                 );
             }
-            Err(_) => prop_assert!(!has_other, "others take work"),
+            Err(_) => prop_assert!(!has_staying, "others take work"),
         }
         Ok(())
     }
@@ -191,14 +191,14 @@
     // Guards against sending requests to a leaving process after its grace period, whatever is read
     // or received later.
     #[test]
-    fn a_process_that_leaves_gets_nothing_past_its_bound(
+    fn a_leaving_process_gets_no_requests_after_its_grace_period(
         events in prop::collection::vec((event(), 0u64..700), 1..60),
         is_engine in any::<bool>(),
     ) {
         let mut world = World::new(is_engine);
         for (event, pause_ms) in events {
             world.now += Duration::from_millis(pause_ms);
-            world.play(&event)?;
+            world.apply(&event)?;
         }
     }
 }
@@ -206,9 +206,9 @@
 // Guards against sending a request after the grace period to an upstream that was chosen before it
 // announced that it is leaving.
 #[rstest]
-#[case::within_the_grace(Duration::from_millis(900), true)]
-#[case::past_it(Duration::from_millis(1_000), false)]
-fn what_was_chosen_is_looked_at_again(#[case] after: Duration, #[case] may_send: bool) {
+#[case::within_the_grace_period(Duration::from_millis(900), true)]
+#[case::after_the_grace_period(Duration::from_millis(1_000), false)]
+fn a_chosen_upstream_is_checked_again_before_sending(#[case] after: Duration, #[case] may_send: bool) {
     let mut world = World::new(false);
     let id = world.upstream(0, 1).id;
     let now = world.now;
--- a/crates/relay/tests/limited_gate.rs
+++ b/crates/relay/tests/limited_gate.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_limit_begins_with_nothing_and_lets_one_go_when_it_is_due() {
+fn a_new_limit_allows_nothing_until_the_first_request_is_due() {
     let now = Instant::now();
     let mut gate = limited(2.0, now);
     let busy = SlotAnswer::Busy { wait_ms: 500 };
@@ -34,7 +34,7 @@
 
 // Guards against serving routine requests before urgent ones.
 #[test]
-fn the_most_urgent_goes_first() {
+fn the_most_urgent_request_goes_first() {
     let now = Instant::now();
     let mut gate = limited(2.0, now);
     let queued = |rank| SlotAsk {
@@ -51,7 +51,7 @@
 
 // Guards against queueing requests that would be served too late.
 #[test]
-fn who_cannot_be_in_time_is_refused_at_once_and_told_when_to_return() {
+fn a_request_that_cannot_be_in_time_is_refused_with_a_return_time() {
     let now = Instant::now();
     let mut gate = limited(0.5, now);
     let ask = SlotAsk {
@@ -65,7 +65,7 @@
 // Guards against counting a request twice, or queueing it twice, if its datagram is delivered
 // twice.
 #[test]
-fn an_ask_that_comes_twice_counts_once() {
+fn a_request_received_twice_counts_once() {
     let now = Instant::now();
     let mut gate = limited(2.0, now);
     let queued = SlotAsk {
@@ -83,9 +83,9 @@
 }
 
 #[rstest]
-#[case::none_at_all(0.0)]
-#[case::far_under_one(0.001)]
-fn an_upstream_that_takes_next_to_nothing_is_asked_now_and_then(#[case] per_s: f64) {
+#[case::zero(0.0)]
+#[case::far_below_one(0.001)]
+fn a_rate_near_zero_still_allows_a_request_now_and_then(#[case] per_s: f64) {
     let now = Instant::now();
     let mut gate = limited(per_s, now);
     let granted = (0..60_u32).filter(|second| {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn without_its_limit_an_upstream_takes_all_again() {
+fn requests_are_not_limited_after_the_limit_is_lifted() {
     let now = Instant::now();
     let mut gate = limited(1.0, now);
     let queued = SlotAsk {
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_rate_that_falls_takes_away_what_had_added_up() {
+fn lowering_the_rate_removes_accumulated_requests() {
     let now = Instant::now();
     let mut bucket = RateBucket::new(10.0, now);
     let later = now + Duration::from_secs(5);
@@ -132,7 +132,7 @@
     // Guards against exceeding one and a half times the limit plus five requests within any four
     // seconds.
     #[test]
-    fn a_gate_keeps_the_limit_in_every_window(
+    fn the_gate_keeps_to_the_limit_in_every_window(
         per_s in 0.0..40.0_f64,
         steps in prop::collection::vec((0..300_u64, 0..10_u8, any::<bool>()), 1..400),
     ) {
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/limits.rs
@@ -12,51 +12,51 @@
     "engine-1@7".into()
 }
 
-fn named(per_s: f64) -> LimitSaid {
+fn per_second(per_s: f64) -> LimitSaid {
     LimitSaid::PerSecond(per_s)
 }
 
 #[rstest]
-#[case::decimal("1.2", named(1.2))]
-#[case::none_at_all("0", named(0.0))]
-#[case::spaces(" 7 ", named(7.0))]
+#[case::decimal("1.2", per_second(1.2))]
+#[case::zero("0", per_second(0.0))]
+#[case::spaces(" 7 ", per_second(7.0))]
 #[case::negative("-0.5", LimitSaid::Malformed)]
 #[case::not_a_number("NaN", LimitSaid::Malformed)]
 #[case::infinite("inf", LimitSaid::Malformed)]
-#[case::words("soon", LimitSaid::Malformed)]
+#[case::not_numeric("soon", LimitSaid::Malformed)]
 #[case::empty("", LimitSaid::Malformed)]
-fn a_limit_is_read(#[case] text: &str, #[case] said: LimitSaid) {
-    assert_eq!(LimitSaid::parse(text), said);
+fn limit_values_are_parsed(#[case] text: &str, #[case] announced: LimitSaid) {
+    assert_eq!(LimitSaid::parse(text), announced);
 }
 
 #[test]
-fn a_limit_falls_at_once_and_rises_after_a_while() {
+fn a_lower_limit_applies_at_once_and_a_higher_one_later() {
     let (mut limits, now) = (Limits::default(), Instant::now());
-    limits.note_answer(&engine(), named(2.0), now);
-    let lower = limits.note_answer(&engine(), named(1.0), now + MS);
+    limits.note_answer(&engine(), per_second(2.0), now);
+    let lower = limits.note_answer(&engine(), per_second(1.0), now + MS);
     assert_eq!(lower, Some(LimitChange::Named(1.0)));
     assert_eq!(
-        limits.note_answer(&engine(), named(4.0), now + 100 * MS),
+        limits.note_answer(&engine(), per_second(4.0), now + 100 * MS),
         None
     );
     assert_eq!(
-        limits.note_answer(&engine(), named(3.0), now + 900 * MS),
+        limits.note_answer(&engine(), per_second(3.0), now + 900 * MS),
         None
     );
-    let raised = limits.note_answer(&engine(), named(4.0), now + 2_200 * MS);
+    let raised = limits.note_answer(&engine(), per_second(4.0), now + 2_200 * MS);
     assert_eq!(raised, Some(LimitChange::Named(3.0)), "the lowest in that time");
 }
 
 // Guards against lifting a limit because some answers do not announce it.
 #[test]
-fn a_limit_that_only_some_answers_name_stays() {
+fn a_limit_that_only_some_answers_announce_stays() {
     let (mut limits, now) = (Limits::default(), Instant::now());
     for turn in 0..=18 {
-        let said = match turn % 3 {
-            0 => named(1.0),
+        let announced = match turn % 3 {
+            0 => per_second(1.0),
             _ => LimitSaid::None,
         };
-        limits.note_answer(&engine(), said, now + 500 * MS * turn);
+        limits.note_answer(&engine(), announced, now + 500 * MS * turn);
         assert_eq!(limits.per_s(&engine()), Some(1.0));
     }
     let at = now + Duration::from_secs(60);
@@ -67,25 +67,25 @@
 }
 
 #[test]
-fn a_limit_that_cannot_be_read_changes_nothing() {
+fn a_malformed_limit_changes_nothing() {
     let (mut limits, now) = (Limits::default(), Instant::now());
     assert_eq!(
         limits.note_answer(&engine(), LimitSaid::Malformed, now),
         None
     );
     assert_eq!(limits.per_s(&engine()), None);
-    limits.note_answer(&engine(), named(1.0), now);
+    limits.note_answer(&engine(), per_second(1.0), now);
     limits.note_answer(&engine(), LimitSaid::Malformed, now + 5_000 * MS);
     assert_eq!(limits.per_s(&engine()), Some(1.0));
 }
 
 #[test]
-fn nodes_learn_it_from_each_other_and_the_newest_word_counts() {
+fn nodes_share_limits_and_the_newest_announcement_counts() {
     let (mut here, mut there, now) = (Limits::default(), Limits::default(), Instant::now());
-    here.note_answer(&engine(), named(1.0), now);
+    here.note_answer(&engine(), per_second(1.0), now);
     let old = here.told(now + MS);
     assert_eq!(there.take(&old[0], now + MS), Some(LimitChange::Named(1.0)));
-    there.note_answer(&engine(), named(0.5), now + 100 * MS);
+    there.note_answer(&engine(), per_second(0.5), now + 100 * MS);
     assert_eq!(
         there.take(&old[0], now + 100 * MS),
         None,
@@ -100,9 +100,9 @@
 
 // Guards against restoring a lifted limit from a node that has not heard that it was lifted.
 #[test]
-fn an_end_is_remembered() {
+fn a_lifted_limit_is_not_restored_by_an_old_update() {
     let (mut limits, now) = (Limits::default(), Instant::now());
-    limits.note_answer(&engine(), named(1.0), now);
+    limits.note_answer(&engine(), per_second(1.0), now);
     let old = limits.told(now);
     limits.note_answer(&engine(), LimitSaid::None, now + 10 * MS);
     limits.note_answer(&engine(), LimitSaid::None, now + 2_100 * MS);
--- a/crates/relay/tests/ownership_watch.rs
+++ b/crates/relay/tests/ownership_watch.rs
@@ -23,18 +23,18 @@
 }
 
 fn engines(near: usize, far: usize) -> Vec<Upstream> {
-    let near = (0..near).map(|place| engine(&format!("near-{place}"), &[]));
-    let far = (0..far).map(|place| far_engine(&format!("far-{place}"), &[]));
+    let near = (0..near).map(|index| engine(&format!("near-{index}"), &[]));
+    let far = (0..far).map(|index| far_engine(&format!("far-{index}"), &[]));
     near.chain(far).collect()
 }
 
-/// Changes that node n1 reports after a time of `lasting`. `owners` names the owners of `engines`
+/// Changes that node n1 reports after a time of `duration`. `owners` names the owners of `engines`
 /// in their order.
-fn told(
+fn reported_changes(
     listed: &[&str],
     engines: &[Upstream],
     owners: &[&str],
-    lasting: Duration,
+    duration: Duration,
 ) -> Vec<ConcernChange> {
     let nodes: Vec<NodeRecord> = listed.iter().copied().map(record).collect();
     let owned = engines.iter().zip(owners);
@@ -50,8 +50,8 @@
     };
     let (mut watch, now) = (OwnershipWatch::default(), Instant::now());
     assert_eq!(watch.look(seen, now), [], "nothing has lasted long enough");
-    let changes = watch.look(seen, now + lasting);
-    assert_eq!(watch.look(seen, now + lasting), [], "reported only once");
+    let changes = watch.look(seen, now + duration);
+    assert_eq!(watch.look(seen, now + duration), [], "reported only once");
     changes
 }
 
@@ -59,9 +59,9 @@
 
 // Guards against leaving it unreported that one node owns all engines.
 #[test]
-fn a_node_that_owns_all_engines_and_those_that_own_none_are_told() {
+fn a_node_that_owns_all_engines_and_one_that_owns_none_are_reported() {
     let owners = ["n2"; 6];
-    let changes = told(&["n1", "n2", "n3"], &engines(6, 0), &owners, LONG);
+    let changes = reported_changes(&["n1", "n2", "n3"], &engines(6, 0), &owners, LONG);
     assert_eq!(
         changes,
         [
@@ -72,32 +72,32 @@
 }
 
 #[rstest]
-#[case::spread(&["n1", "n2", "n3"], 6, &["n1", "n2", "n3", "n1", "n2", "n3"])]
-#[case::twice_its_part(&["n1", "n2", "n3"], 6, &["n1", "n2", "n2", "n2", "n2", "n3"])]
+#[case::even(&["n1", "n2", "n3"], 6, &["n1", "n2", "n3", "n1", "n2", "n3"])]
+#[case::twice_the_fair_share(&["n1", "n2", "n3"], 6, &["n1", "n2", "n2", "n2", "n2", "n3"])]
 #[case::fewer_engines_than_nodes(&["n1", "n2", "n3"], 2, &["n2", "n3"])]
-#[case::alone(&["n1"], 9, &["n1"; 9])]
-fn engines_that_are_spread_are_no_concern(
+#[case::single_node(&["n1"], 9, &["n1"; 9])]
+fn evenly_owned_engines_are_not_reported(
     #[case] listed: &[&str],
     #[case] count: usize,
     #[case] owners: &[&str],
 ) {
-    assert_eq!(told(listed, &engines(count, 0), owners, LONG), []);
+    assert_eq!(reported_changes(listed, &engines(count, 0), owners, LONG), []);
 }
 
 #[test]
-fn engines_where_no_node_is_are_everybodys_part() {
+fn engines_in_domains_without_nodes_are_shared_by_all_nodes() {
     let owners = ["n1", "n1", "n2", "n2"];
-    assert_eq!(told(&["n1", "n2"], &engines(0, 4), &owners, LONG), []);
+    assert_eq!(reported_changes(&["n1", "n2"], &engines(0, 4), &owners, LONG), []);
 }
 
 #[test]
-fn what_lasts_for_a_moment_is_not_told() {
+fn a_short_problem_is_not_reported() {
     let short = Duration::from_millis(1_900);
-    assert_eq!(told(&["n2"], &engines(2, 0), &["n2", "n2"], short), []);
+    assert_eq!(reported_changes(&["n2"], &engines(2, 0), &["n2", "n2"], short), []);
 }
 
 #[test]
-fn the_end_of_what_was_told_is_told() {
+fn the_end_of_a_reported_problem_is_reported() {
     let (mut watch, now) = (OwnershipWatch::default(), Instant::now());
     let (node, owners) = ("n1".into(), HashMap::new());
     let nodes = [record("n1")];
--- a/crates/relay/tests/promises.rs
+++ b/crates/relay/tests/promises.rs
@@ -45,9 +45,9 @@
     // key of a paused owner unnoticed, and another node claims the engine; when the first owner
     // resumes, its last confirmation may still allow orders.
     #[test]
-    fn orders_of_two_owners_are_apart(
+    fn orders_of_two_owners_are_a_hand_over_apart(
         confirmed_ms in 0u64..20_000,
-        taken_away_after_ms in 0u64..5_000,
+        deleted_after_ms in 0u64..5_000,
         ordered_after_ms in 0u64..2_500,
         next_ordered_after_ms in 0u64..9_000,
     ) {
@@ -55,10 +55,10 @@
         let mut first = Ownership::taken(claim(5), Predecessor::None, RULES, ms(0), ms(0));
         first.confirm(ms(confirmed_ms));
         // A read sent at `confirmed_ms` showed its key, so the key was deleted later.
-        let taken_ms = confirmed_ms + taken_away_after_ms;
+        let deleted_ms = confirmed_ms + deleted_after_ms;
         let order_ms = confirmed_ms + ordered_after_ms;
-        let next_order_ms = taken_ms + next_ordered_after_ms;
-        let second = Ownership::taken(claim(9), Predecessor::Another, RULES, ms(taken_ms), ms(taken_ms));
+        let next_order_ms = deleted_ms + next_ordered_after_ms;
+        let second = Ownership::taken(claim(9), Predecessor::Another, RULES, ms(deleted_ms), ms(deleted_ms));
         let first_orders = matches!(first.permit(ms(order_ms)), OrderPermit::Granted { .. });
         // The next owner can confirm at any time.
         let mut second = second;
@@ -72,39 +72,39 @@
     // Guards against exceeding the retry budget over all nodes in any window, however requests and
     // failures are distributed.
     #[test]
-    fn nodes_keep_the_budget_together(
+    fn all_nodes_together_stay_within_the_retry_budget(
         sends in prop::collection::vec((0usize..5, 0u64..200, any::<bool>()), 1..400),
     ) {
         let rules = RetryBudgetRules { ratio: 0.2, slack: 20.0, window: Duration::from_secs(10) };
         let began = Instant::now();
         let mut budgets: Vec<RetryBudget> = (0..5).map(|_| RetryBudget::new(rules)).collect();
         let mut at = began;
-        let mut firsts = Vec::new();
-        let mut furthers = Vec::new();
-        for (node, pause_ms, is_further) in sends {
+        let mut first_attempts = Vec::new();
+        let mut retries = Vec::new();
+        for (node, pause_ms, is_retry) in sends {
             at += Duration::from_millis(pause_ms);
-            if is_further {
+            if is_retry {
                 if budgets[node].take_further(5, at) {
-                    furthers.push(at);
+                    retries.push(at);
                 }
             } else {
                 budgets[node].count_first(at);
-                firsts.push(at);
+                first_attempts.push(at);
             }
         }
-        for end in &furthers {
+        for end in &retries {
             let within = |times: &[Instant], span: u64| {
                 times.iter().filter(|at| **at <= *end && *end - **at < Duration::from_secs(span)).count()
             };
-            let allowed = 0.2 * within(&firsts, 20) as f64 + 20.0;
-            prop_assert!(within(&furthers, 10) as f64 <= allowed);
+            let allowed = 0.2 * within(&first_attempts, 20) as f64 + 20.0;
+            prop_assert!(within(&retries, 10) as f64 <= allowed);
         }
     }
 
     // Guards against crashing an engine by loading more than fits, and against refused requests
     // because an adapter in use was unloaded.
     #[test]
-    fn no_plan_overfills_an_engine_or_drops_what_is_in_use(
+    fn no_plan_overfills_an_engine_or_unloads_adapters_in_use(
         held in prop::collection::hash_set(0usize..12, 0..8),
         coming in prop::collection::hash_set(20usize..26, 0..5),
         in_use in prop::collection::hash_set(0usize..12, 0..8),
@@ -146,7 +146,7 @@
 
     // Nodes with the same view claim every engine, and none twice.
     #[test]
-    fn every_engine_is_claimed_by_one_node(near in 0usize..12, far in 0usize..12, here in 0usize..5, there in 0usize..5) {
+    fn every_engine_is_claimed_by_exactly_one_node(near in 0usize..12, far in 0usize..12, here in 0usize..5, there in 0usize..5) {
         prop_assume!(here + there > 0);
         let record = |index: usize, domain: &str| NodeRecord {
             node: format!("{domain}-{index}").into(),
@@ -173,7 +173,7 @@
 
 // Guards against requests that fall back to an older version because it is named again late.
 #[test]
-fn versions_only_rise_and_the_older_one_ends_with_its_overlap() {
+fn versions_only_rise_and_the_older_one_ends_after_the_overlap() {
     let (now, overlap) = (Instant::now(), Duration::from_secs(3));
     let mut versions = Versions::default();
     assert_eq!(versions.rule(&model(1), overlap, now), VersionRule::ANY);
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn the_least_wanted_adapter_makes_way() {
+fn the_adapter_with_the_least_demand_is_evicted() {
     let now = Instant::now();
     let mut demand = Demand::new(Duration::from_secs(10));
     for (index, requests) in [(1, 5.0), (2, 1.0), (3, 2.0)] {
@@ -229,7 +229,7 @@
 // Guards against running requests on a version that is two behind, which an engine still holds.
 // Versions are named 12 s apart; while the newest is loading, only the one before it may serve.
 #[test]
-fn while_a_version_replaces_another_the_one_before_both_is_over() {
+fn the_version_before_the_previous_one_is_not_used() {
     let (now, overlap) = (Instant::now(), Duration::from_secs(3));
     let mut versions = Versions::default();
     versions.name(model(1), 2, now);
@@ -244,7 +244,7 @@
 // Guards against a suspended machine that leaves no trace in the logs. One was suspended for 8 s,
 // and its callers' answers stopped.
 #[test]
-fn a_stall_shows_in_a_look_that_comes_late() {
+fn a_late_check_reports_a_stall() {
     let ms = Duration::from_millis;
     let mut watch = StallWatch::new(ms(200), ms(50_000));
     assert_eq!(watch.check(ms(50_201)), None);
@@ -256,7 +256,7 @@
 // Guards against copies of popular adapters that use up the weight store while callers wait for
 // adapters that no engine holds.
 #[test]
-fn copies_leave_the_weight_store_to_misses_when_many_load() {
+fn no_copies_are_loaded_when_the_weight_store_is_busy() {
     let mut times = LoadTimes::default();
     times.set_engines(78);
     assert!(times.has_room_for_copy(2.0), "the weight store is idle");
@@ -273,7 +273,7 @@
 // would then allow only the two loads under way, and loads would wait seconds although the weight
 // store serves 32 at full speed.
 #[test]
-fn a_slow_load_beside_few_others_does_not_tell_the_limit_of_the_weight_store() {
+fn one_slow_load_does_not_lower_the_estimated_limit_of_the_weight_store() {
     let ms = Duration::from_millis;
     let mut times = LoadTimes::default();
     times.set_engines(78);
@@ -289,7 +289,7 @@
 // lag by 100 ms, of another by 230 ms, and every miss of the second waited 110 ms for nothing.
 // Where many loads share the weight store, requests sent too early come back unserved.
 #[test]
-fn the_lag_of_reports_is_told_from_the_time_of_loads() {
+fn report_lag_is_distinguished_from_load_time() {
     let ms = Duration::from_millis;
     for lag in [100, 230] {
         let mut times = LoadTimes::default();
--- a/crates/relay/tests/request_digest.rs
+++ b/crates/relay/tests/request_digest.rs
@@ -19,13 +19,13 @@
 #[case::query(RequestContent { path: "/notes/1?x=3", ..CONTENT })]
 #[case::body(RequestContent { body: b"guests", ..CONTENT })]
 #[case::no_body(RequestContent { body: b"", ..CONTENT })]
-#[case::bytes_between_parts(RequestContent { host: "spa/notes", path: "/1?x=2", ..CONTENT })]
-fn requests_that_differ_are_told_apart(#[case] other: RequestContent<'_>) {
+#[case::bytes_moved_between_parts(RequestContent { host: "spa/notes", path: "/1?x=2", ..CONTENT })]
+fn different_requests_have_different_digests(#[case] other: RequestContent<'_>) {
     assert_ne!(RequestDigest::of(&CONTENT), RequestDigest::of(&other));
 }
 
 #[test]
-fn the_same_request_of_two_teams_is_two_requests() {
+fn the_same_request_of_two_teams_has_different_digests() {
     let teams = [
         None,
         Some(TeamName::from("spa")),
--- a/crates/relay/tests/rest.rs
+++ b/crates/relay/tests/rest.rs
@@ -35,10 +35,10 @@
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    let rest_ms = prop_oneof![Just(0), 1..400_u64, 400..4_000_u64, Just(u64::MAX)];
+    let backoff_ms = prop_oneof![Just(0), 1..400_u64, 400..4_000_u64, Just(u64::MAX)];
     prop_oneof![
         8 => Just(Event::Ask),
-        2 => (0..UPSTREAMS, rest_ms).prop_map(|(place, rest_ms)| Event::Refuse(place, rest_ms)),
+        2 => (0..UPSTREAMS, backoff_ms).prop_map(|(index, backoff_ms)| Event::Refuse(index, backoff_ms)),
         3 => (0..UPSTREAMS).prop_map(Event::Answer),
         1 => (0..UPSTREAMS).prop_map(Event::Fail),
         1 => (0..UPSTREAMS).prop_map(Event::Relist),
@@ -61,9 +61,9 @@
 
 impl World {
     fn new(is_engine: bool) -> Self {
-        let named = |place: usize| match is_engine {
-            true => engine(&format!("u{place}"), &["a1"]),
-            false => plain(&format!("u{place}")),
+        let named = |index: usize| match is_engine {
+            true => engine(&format!("u{index}"), &["a1"]),
+            false => plain(&format!("u{index}")),
         };
         let mut world = Self {
             dispatcher: Dispatcher::new("here".into()),
@@ -82,7 +82,7 @@
     fn list(&mut self, is_listed: impl Fn(usize) -> bool) {
         let listed = self.upstreams.iter().enumerate();
         let listed: Vec<Arc<Upstream>> = listed
-            .filter(|(place, _)| is_listed(*place))
+            .filter(|(index, _)| is_listed(*index))
             .map(|(_, upstream)| Arc::new(upstream.clone()))
             .collect();
         self.dispatcher.set_upstreams(&listed, self.now);
@@ -90,64 +90,64 @@
         self.dispatcher.set_rests(|id| notices.rest_until(id));
     }
 
-    fn id(&self, place: usize) -> UpstreamId {
-        self.upstreams[place].id.clone()
+    fn id(&self, index: usize) -> UpstreamId {
+        self.upstreams[index].id.clone()
     }
 
-    fn play(&mut self, event: &Event) -> Result<(), TestCaseError> {
+    fn apply(&mut self, event: &Event) -> Result<(), TestCaseError> {
         match event {
             Event::Ask => self.ask()?,
-            Event::Refuse(place, rest_ms) => self.refuse(*place, Duration::from_millis(*rest_ms)),
-            Event::Answer(place) if self.in_flight[*place] > 0 => {
-                let (id, took) = (self.id(*place), Duration::from_millis(20));
+            Event::Refuse(index, backoff_ms) => self.refuse(*index, Duration::from_millis(*backoff_ms)),
+            Event::Answer(index) if self.in_flight[*index] > 0 => {
+                let (id, took) = (self.id(*index), Duration::from_millis(20));
                 self.dispatcher.answer_began(&id, 20.0, took, self.now);
                 self.dispatcher
                     .note_outcome(&id, Outcome::Answered, self.now);
-                self.end(*place);
-                if self.rests[*place].is_none_or(|until| until <= self.now) {
-                    self.trials[*place] = None;
+                self.end(*index);
+                if self.rests[*index].is_none_or(|until| until <= self.now) {
+                    self.trials[*index] = None;
                 }
             }
-            Event::Fail(place) if self.in_flight[*place] > 0 => {
-                let id = self.id(*place);
+            Event::Fail(index) if self.in_flight[*index] > 0 => {
+                let id = self.id(*index);
                 self.dispatcher.note_outcome(&id, Outcome::Failed, self.now);
-                self.end(*place);
-                self.trials[*place] = self.trials[*place].as_ref().map(|_| Vec::new());
+                self.end(*index);
+                self.trials[*index] = self.trials[*index].as_ref().map(|_| Vec::new());
             }
             Event::Answer(_) | Event::Fail(_) => {}
-            Event::Relist(place) => {
-                self.in_flight[*place] = 0;
-                self.list(|listed| listed != *place);
+            Event::Relist(index) => {
+                self.in_flight[*index] = 0;
+                self.list(|listed| listed != *index);
                 self.list(|_| true);
-                self.trials[*place] = self.trials[*place].as_ref().map(|_| Vec::new());
+                self.trials[*index] = self.trials[*index].as_ref().map(|_| Vec::new());
             }
         }
         Ok(())
     }
 
-    fn refuse(&mut self, place: usize, rest: Duration) {
-        let id = self.id(place);
+    fn refuse(&mut self, index: usize, rest: Duration) {
+        let id = self.id(index);
         self.dispatcher.note_outcome(&id, Outcome::Full, self.now);
-        if self.in_flight[place] > 0 {
-            self.end(place);
+        if self.in_flight[index] > 0 {
+            self.end(index);
         }
         if !rest.is_zero() {
             let until = self
                 .notices
                 .note_rest(&id, rest, self.now, &mut self.random);
             self.dispatcher.note_rest(&id, until);
-            let least = self.now + rest.min(Duration::from_secs(86_400));
-            self.rests[place] = self.rests[place].max(Some(least));
-            self.trials[place] = Some(Vec::new());
-        } else if self.trials[place].is_some() {
-            self.trials[place] = Some(Vec::new());
+            let earliest_end = self.now + rest.min(Duration::from_secs(86_400));
+            self.rests[index] = self.rests[index].max(Some(earliest_end));
+            self.trials[index] = Some(Vec::new());
+        } else if self.trials[index].is_some() {
+            self.trials[index] = Some(Vec::new());
         }
     }
 
-    fn end(&mut self, place: usize) {
-        let id = self.id(place);
+    fn end(&mut self, index: usize) {
+        let id = self.id(index);
         self.dispatcher.ended(&id);
-        self.in_flight[place] -= 1;
+        self.in_flight[index] -= 1;
     }
 
     fn ask(&mut self) -> Result<(), TestCaseError> {
@@ -163,16 +163,16 @@
             tried: &[],
         };
         let now = self.now;
-        let rests = |place: usize| self.rests[place].is_some_and(|until| now < until);
+        let rests = |index: usize| self.rests[index].is_some_and(|until| now < until);
         match self.dispatcher.choose(&need, now, &mut self.random) {
             Ok(choice) => {
-                let place = (0..UPSTREAMS)
-                    .find(|place| self.id(*place) == choice.upstream.id)
+                let index = (0..UPSTREAMS)
+                    .find(|index| self.id(*index) == choice.upstream.id)
                     .unwrap();
-                prop_assert!(!rests(place), "{} is in a backoff", choice.upstream.id);
+                prop_assert!(!rests(index), "{} is in a backoff", choice.upstream.id);
                 self.dispatcher.sent(&choice.upstream.id, 0, now);
-                self.in_flight[place] += 1;
-                if let Some(sent) = &mut self.trials[place] {
+                self.in_flight[index] += 1;
+                if let Some(sent) = &mut self.trials[index] {
                     sent.retain(|at| now.duration_since(*at) < Duration::from_secs(1));
                     sent.push(now);
                     prop_assert!(sent.len() <= 1, "{} at once after a backoff", sent.len());
@@ -182,7 +182,7 @@
                 let ends = self.dispatcher.rest_ends(&need, now);
                 let all = (0..UPSTREAMS).all(rests);
                 prop_assert!(!all || ends.is_some(), "no return time is given");
-                let first = (0..UPSTREAMS).filter_map(|place| self.rests[place]).min();
+                let first = (0..UPSTREAMS).filter_map(|index| self.rests[index]).min();
                 prop_assert!(!all || ends >= first, "the return time is too early");
             }
         }
@@ -201,21 +201,21 @@
     // Guards against requests to an upstream during a backoff, and against sending it more than one
     // when the backoff ends.
     #[test]
-    fn an_upstream_at_rest_gets_nothing_and_is_tried_after_it(
+    fn an_upstream_gets_nothing_during_a_backoff_and_one_trial_after_it(
         events in prop::collection::vec((event(), 0u64..500), 1..80),
         is_engine in any::<bool>(),
     ) {
         let mut world = World::new(is_engine);
         for (event, pause_ms) in events {
             world.now += Duration::from_millis(pause_ms);
-            world.play(&event)?;
+            world.apply(&event)?;
         }
     }
 
     // Guards against telling callers to return before they can be served, or routine ones before
     // urgent ones.
     #[test]
-    fn callers_return_after_the_wait_and_the_urgent_first(
+    fn callers_return_after_the_wait_and_urgent_ones_first(
         wait_ms in 0u64..100_000,
         rank in 0u8..4,
         seed in any::<u64>(),
@@ -230,9 +230,9 @@
 // Guards against ending a backoff because of a later, shorter one or an answer to an earlier
 // request.
 #[rstest]
-#[case::a_shorter_one(|world: &mut World| world.refuse(0, Duration::from_millis(100)))]
-#[case::an_answer(|world: &mut World| world.play(&Event::Answer(0)).unwrap())]
-fn a_rest_goes_on_whatever_else_is_said(#[case] said: fn(&mut World)) {
+#[case::a_shorter_backoff(|world: &mut World| world.refuse(0, Duration::from_millis(100)))]
+#[case::an_answer(|world: &mut World| world.apply(&Event::Answer(0)).unwrap())]
+fn a_backoff_is_not_shortened(#[case] event_during_backoff: fn(&mut World)) {
     let mut world = World::new(false);
     let id = world.id(0);
     world.dispatcher.sent(&id, 0, world.now);
@@ -240,7 +240,7 @@
     world.in_flight[0] = 2;
     let rest = Duration::from_secs(3);
     world.refuse(0, rest);
-    said(&mut world);
+    event_during_backoff(&mut world);
     let late = Duration::from_millis(2_900);
     assert!(!world.dispatcher.may_send(&id, world.now + late));
     assert!(
--- a/crates/relay/tests/restored_store.rs
+++ b/crates/relay/tests/restored_store.rs
@@ -29,27 +29,27 @@
 
 /// Contents of the store: the ownership key and the era mark.
 #[derive(Clone, Default)]
-struct Kept {
+struct StoreContents {
     revision: u64,
     owner: Option<Owner>,
     mark: Option<StoreEra>,
 }
 
 struct Store {
-    kept: Kept,
-    copy: Kept,
+    contents: StoreContents,
+    copy: StoreContents,
     era: u64,
 }
 
 impl Store {
     fn counting_from(era: u64, revision: u64) -> Self {
-        let kept = Kept {
+        let contents = StoreContents {
             revision,
-            ..Kept::default()
+            ..StoreContents::default()
         };
         Self {
-            copy: kept.clone(),
-            kept,
+            copy: contents.clone(),
+            contents,
             era,
         }
     }
@@ -59,17 +59,17 @@
     }
 
     fn claim(&mut self, node: usize, waits_until: Duration) -> StoreNumber {
-        self.kept.revision += 1;
-        self.kept.owner = Some(Owner {
+        self.contents.revision += 1;
+        self.contents.owner = Some(Owner {
             node,
-            revision: self.kept.revision,
+            revision: self.contents.revision,
             waits_until,
         });
-        self.number(self.kept.revision)
+        self.number(self.contents.revision)
     }
 
     fn restore(&mut self) {
-        self.kept = self.copy.clone();
+        self.contents = self.copy.clone();
         self.era += 1;
     }
 }
@@ -78,7 +78,7 @@
     watch: EraWatch,
     owned: Option<Ownership>,
     lapsed: Option<Ownership>,
-    is_cut: bool,
+    is_cut_off: bool,
 }
 
 impl Node {
@@ -87,13 +87,13 @@
             watch: EraWatch::new(RULES.wait(), false),
             owned: None,
             lapsed: None,
-            is_cut: false,
+            is_cut_off: false,
         }
     }
 
     /// Reads the store, and confirms or claims the ownership.
-    fn touch(&mut self, me: usize, store: &mut Store, now: Duration) {
-        if self.is_cut {
+    fn sync(&mut self, own_index: usize, store: &mut Store, now: Duration) {
+        if self.is_cut_off {
             return;
         }
         let rise = self.watch.see(Some(StoreEra(store.era)), now);
@@ -101,26 +101,26 @@
             owned.lapse(now);
             self.lapsed = Some(owned);
         }
-        if let Some(mark) = store.kept.mark {
+        if let Some(mark) = store.contents.mark {
             self.watch.take_mark(mark);
         }
         self.watch.goes_by(TEXT, now);
         if let Some(mark) = self.watch.mark_due(false, now) {
-            store.kept.mark = Some(mark);
+            store.contents.mark = Some(mark);
         }
-        match (store.kept.owner, &mut self.owned) {
+        match (store.contents.owner, &mut self.owned) {
             (Some(owner), Some(owned)) if store.number(owner.revision) == owned.claim() => {
                 owned.confirm(now);
             }
-            (Some(owner), _) if owner.node != me => (self.owned, self.lapsed) = (None, None),
-            (owner, _) => self.claim(me, store, owner, now),
+            (Some(owner), _) if owner.node != own_index => (self.owned, self.lapsed) = (None, None),
+            (owner, _) => self.claim(own_index, store, owner, now),
         }
     }
 
-    fn claim(&mut self, me: usize, store: &mut Store, own_before: Option<Owner>, now: Duration) {
+    fn claim(&mut self, own_index: usize, store: &mut Store, previous_owner: Option<Owner>, now: Duration) {
         let is_restarted = self.owned.is_none() && self.lapsed.is_none();
         let is_settled = self.watch.is_settled(now);
-        let predecessor = match own_before.filter(|_| is_restarted && is_settled) {
+        let predecessor = match previous_owner.filter(|_| is_restarted && is_settled) {
             Some(Owner { waits_until, .. }) => Predecessor::Own { waits_until },
             None => Predecessor::Another,
         };
@@ -128,7 +128,7 @@
             Predecessor::Own { waits_until } => waits_until,
             _ => now + RULES.wait(),
         };
-        let claim = store.claim(me, waits_until);
+        let claim = store.claim(own_index, waits_until);
         let taken = match self.lapsed.take() {
             Some(lapsed) => lapsed.retaken(claim, RULES, now, now),
             None => Ownership::taken(claim, predecessor, RULES, now, now),
@@ -139,39 +139,39 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Touch(usize),
-    Cut(usize, bool),
+    Sync(usize),
+    CutOff(usize, bool),
     Restart(usize),
-    Word(usize, usize),
-    KeyTaken,
+    Update(usize, usize),
+    KeyDeleted,
     Copy,
     Restore,
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        8 => (0..NODES).prop_map(Event::Touch),
-        2 => (0..NODES, any::<bool>()).prop_map(|(node, is_cut)| Event::Cut(node, is_cut)),
+        8 => (0..NODES).prop_map(Event::Sync),
+        2 => (0..NODES, any::<bool>()).prop_map(|(node, is_cut_off)| Event::CutOff(node, is_cut_off)),
         1 => (0..NODES).prop_map(Event::Restart),
-        1 => (0..NODES, 0..NODES).prop_map(|(from, to)| Event::Word(from, to)),
-        2 => Just(Event::KeyTaken),
+        1 => (0..NODES, 0..NODES).prop_map(|(from, to)| Event::Update(from, to)),
+        2 => Just(Event::KeyDeleted),
         2 => Just(Event::Copy),
         2 => Just(Event::Restore),
     ]
 }
 
-fn play(nodes: &mut [Node], store: &mut Store, event: Event, now: Duration) {
+fn apply(nodes: &mut [Node], store: &mut Store, event: Event, now: Duration) {
     match event {
-        Event::Touch(node) => nodes[node].touch(node, store, now),
-        Event::Cut(node, is_cut) => nodes[node].is_cut = is_cut,
+        Event::Sync(node) => nodes[node].sync(node, store, now),
+        Event::CutOff(node, is_cut_off) => nodes[node].is_cut_off = is_cut_off,
         Event::Restart(node) => nodes[node] = Node::start(),
-        Event::Word(from, to) => {
+        Event::Update(from, to) => {
             if let Some(told) = nodes[from].watch.told(TEXT, now) {
                 nodes[to].watch.take_told(told, now);
             }
         }
-        Event::KeyTaken => store.kept.owner = None,
-        Event::Copy => store.copy = store.kept.clone(),
+        Event::KeyDeleted => store.contents.owner = None,
+        Event::Copy => store.copy = store.contents.clone(),
         Event::Restore => store.restore(),
     }
 }
@@ -211,7 +211,7 @@
     // Guards against concurrent orders of two owners, whatever the store loses and whichever nodes
     // are cut off.
     #[test]
-    fn orders_of_two_owners_are_apart_whatever_the_store_forgets(
+    fn orders_of_two_owners_stay_apart_when_the_store_is_restored(
         events in prop::collection::vec((event(), 0u64..1_500), 1..120),
         first_era in prop_oneof![Just(1), Just(4_094), 0u64..1 << 40],
         first_revision in prop_oneof![Just(0), Just((1 << 40) - 3), 0u64..1 << 62],
@@ -222,13 +222,13 @@
         let mut now = Duration::from_secs(100);
         for (event, pause_ms) in events {
             now += Duration::from_millis(pause_ms);
-            play(&mut nodes, &mut store, event, now);
-            for (place, node) in nodes.iter().enumerate() {
+            apply(&mut nodes, &mut store, event, now);
+            for (index, node) in nodes.iter().enumerate() {
                 let permit = node.owned.map(|owned| owned.permit(now));
                 if let Some(OrderPermit::Granted { claim }) = permit {
                     let fence = claim.fence().expect("it fits");
-                    check(&orders, place, fence, now)?;
-                    orders[place] = Some((now, fence));
+                    check(&orders, index, fence, now)?;
+                    orders[index] = Some((now, fence));
                 }
             }
         }
--- a/crates/relay/tests/slot_gate.rs
+++ b/crates/relay/tests/slot_gate.rs
@@ -30,7 +30,7 @@
 
 /// Outcomes of callers' requests.
 #[derive(Default)]
-struct Got {
+struct Outcomes {
     asked: u32,
     in_time: u32,
     late: u32,
@@ -39,53 +39,53 @@
 
 /// Simulates an upstream of `slots` that gets a multiple of the requests it can serve. A refused
 /// caller returns once, and is late then.
-struct Play {
+struct Simulation {
     slots: u32,
-    work_ms: f64,
+    run_time_ms: f64,
     /// Delay from a grant to the request's arrival at the upstream, and from its end to the
     /// release.
-    way_ms: u32,
+    delay_ms: u32,
     random: ChaCha8Rng,
     gate: SlotGate<u32>,
     start: Instant,
     asked_at: HashMap<u32, u32>,
     sent_at: HashMap<u32, u32>,
     /// Requests on their way to the upstream, and when they arrive.
-    on_their_way: VecDeque<(u32, u32)>,
+    in_transit: VecDeque<(u32, u32)>,
     running: Vec<(u32, u32)>,
     /// Ended requests that are not yet released, and when they will be.
     ended: Vec<(u32, u32)>,
-    got: Vec<Got>,
+    outcomes: Vec<Outcomes>,
 }
 
-impl Play {
-    fn new(slots: u32, work_ms: f64, way_ms: u32, seed: u64) -> Self {
+impl Simulation {
+    fn new(slots: u32, run_time_ms: f64, delay_ms: u32, seed: u64) -> Self {
         Self {
             slots,
-            work_ms,
-            way_ms,
+            run_time_ms,
+            delay_ms,
             random: ChaCha8Rng::seed_from_u64(seed),
             gate: SlotGate::new(slots),
             start: Instant::now(),
             asked_at: HashMap::new(),
             sent_at: HashMap::new(),
-            on_their_way: VecDeque::new(),
+            in_transit: VecDeque::new(),
             running: Vec::new(),
             ended: Vec::new(),
-            got: Vec::new(),
+            outcomes: Vec::new(),
         }
     }
 
-    fn run(mut self, steps: u32, load: impl Fn(u32) -> f64) -> Vec<Got> {
-        self.got = (0..steps / 1_000 + 1).map(|_| Got::default()).collect();
+    fn run(mut self, steps: u32, load: impl Fn(u32) -> f64) -> Vec<Outcomes> {
+        self.outcomes = (0..steps / 1_000 + 1).map(|_| Outcomes::default()).collect();
         let mut returns: Vec<(u32, u32)> = Vec::new();
         let mut number = 0;
         for step in 0..steps {
             self.end(step);
-            let rate = load(step) * f64::from(self.slots) / self.work_ms;
+            let rate = load(step) * f64::from(self.slots) / self.run_time_ms;
             if self.random.random::<f64>() < rate {
                 self.asked_at.insert(number, step);
-                self.got[(step / 1_000) as usize].asked += 1;
+                self.outcomes[(step / 1_000) as usize].asked += 1;
                 if let Some(wait_ms) = self.ask(number, fresh(), step) {
                     returns.push((step + wait_ms.max(50), number));
                 }
@@ -99,24 +99,24 @@
             }
             self.begin(step);
         }
-        self.got
+        self.outcomes
     }
 
     /// Outcomes of the callers that asked in the same second as `id`.
-    fn second(&mut self, id: u32) -> &mut Got {
-        &mut self.got[(self.asked_at[&id] / 1_000) as usize]
+    fn second(&mut self, id: u32) -> &mut Outcomes {
+        &mut self.outcomes[(self.asked_at[&id] / 1_000) as usize]
     }
 
     /// Asks for a slot. Returns the time to wait before coming back if the request is turned away.
     fn ask(&mut self, id: u32, ask: SlotAsk, step: u32) -> Option<u32> {
         let answer = self.gate.ask(id, ask, self.start + MS * step);
-        self.take(id, answer, step)
+        self.apply_answer(id, answer, step)
     }
 
-    fn take(&mut self, id: u32, answer: SlotAnswer, step: u32) -> Option<u32> {
+    fn apply_answer(&mut self, id: u32, answer: SlotAnswer, step: u32) -> Option<u32> {
         match answer {
             SlotAnswer::Granted => {
-                self.on_their_way.push_back((id, step + self.way_ms));
+                self.in_transit.push_back((id, step + self.delay_ms));
                 None
             }
             SlotAnswer::Queued => None,
@@ -126,13 +126,13 @@
 
     fn begin(&mut self, step: u32) {
         while self.running.len() < self.slots as usize {
-            let next = self.on_their_way.front().copied();
+            let next = self.in_transit.front().copied();
             let Some((id, arrived)) = next.filter(|(_, arrives)| *arrives <= step) else {
                 break;
             };
-            self.on_their_way.pop_front();
+            self.in_transit.pop_front();
             self.sent_at.insert(id, arrived);
-            let work = self.work_ms * (0.5 + self.random.random::<f64>());
+            let work = self.run_time_ms * (0.5 + self.random.random::<f64>());
             self.running.push((id, step + work as u32));
         }
     }
@@ -149,16 +149,16 @@
                 true => second.in_time += 1,
                 false => second.late += 1,
             }
-            self.ended.push((id, end + self.way_ms));
+            self.ended.push((id, end + self.delay_ms));
         }
         let heard: Vec<(u32, u32)> = self
             .ended
             .extract_if(.., |(_, heard)| *heard <= step)
             .collect();
         for (id, heard) in heard {
-            let took = MS * (heard - self.way_ms - self.sent_at[&id]);
+            let took = MS * (heard - self.delay_ms - self.sent_at[&id]);
             for (id, answer) in self.gate.release(&id, Some(took), self.start + MS * step) {
-                if self.take(id, answer, step).is_some() {
+                if self.apply_answer(id, answer, step).is_some() {
                     self.second(id).refused += 1;
                 }
             }
@@ -167,9 +167,9 @@
 }
 
 /// Answers in time from second `from` to second `to`, as a share of the upstream's capacity.
-fn goodput(got: &[Got], from: usize, to: usize, slots: u32, work_ms: f64) -> f64 {
-    let in_time: u32 = got[from..to].iter().map(|second| second.in_time).sum();
-    f64::from(in_time) / ((to - from) as f64 * 1_000.0 * f64::from(slots) / work_ms)
+fn goodput(outcomes: &[Outcomes], from: usize, to: usize, slots: u32, run_time_ms: f64) -> f64 {
+    let in_time: u32 = outcomes[from..to].iter().map(|second| second.in_time).sum();
+    f64::from(in_time) / ((to - from) as f64 * 1_000.0 * f64::from(slots) / run_time_ms)
 }
 
 // Guards against a full queue that makes every answer late: above its capacity, an upstream must
@@ -178,19 +178,19 @@
 fn goodput_stays_near_capacity_at_every_load(
     #[values(1.1, 1.5, 2.0)] load: f64,
     #[values((2, 30.0), (6, 60.0), (16, 40.0))] upstream: (u32, f64),
-    #[values(1, 20)] way_ms: u32,
+    #[values(1, 20)] delay_ms: u32,
 ) {
-    let (slots, work_ms) = upstream;
-    let got = Play::new(slots, work_ms, way_ms, 7).run(20_000, |_| load);
-    let goodput = goodput(&got, 2, 19, slots, work_ms);
+    let (slots, run_time_ms) = upstream;
+    let outcomes = Simulation::new(slots, run_time_ms, delay_ms, 7).run(20_000, |_| load);
+    let goodput = goodput(&outcomes, 2, 19, slots, run_time_ms);
     assert!(goodput >= 0.9, "{goodput}");
 }
 
 #[rstest]
 fn below_capacity_nearly_all_are_in_time(#[values(0.5, 0.8)] load: f64) {
-    let got = Play::new(6, 60.0, 1, 8).run(20_000, |_| load);
-    let asked: u32 = got[1..19].iter().map(|second| second.asked).sum();
-    let in_time: u32 = got[1..19].iter().map(|second| second.in_time).sum();
+    let outcomes = Simulation::new(6, 60.0, 1, 8).run(20_000, |_| load);
+    let asked: u32 = outcomes[1..19].iter().map(|second| second.asked).sum();
+    let in_time: u32 = outcomes[1..19].iter().map(|second| second.in_time).sum();
     assert!(
         f64::from(in_time) >= 0.97 * f64::from(asked),
         "{in_time} of {asked}"
@@ -207,8 +207,8 @@
             0.7
         }
     };
-    let got = Play::new(6, 60.0, 1, 8).run(14_000, burst);
-    for second in &got[8..13] {
+    let outcomes = Simulation::new(6, 60.0, 1, 8).run(14_000, burst);
+    for second in &outcomes[8..13] {
         assert!(
             f64::from(second.in_time) >= 0.9 * f64::from(second.asked),
             "{} of {}",
@@ -232,7 +232,7 @@
 
 // Guards against slots that stay taken because the node that held them is gone.
 #[test]
-fn a_slot_that_was_never_given_back_is_free_again() {
+fn a_slot_that_is_never_released_becomes_free() {
     let (mut gate, now) = (SlotGate::new(1), Instant::now());
     for id in 0..2 {
         assert_eq!(gate.ask(id, fresh(), now), SlotAnswer::Granted);
@@ -243,7 +243,7 @@
 
 // Guards against granting a slot to a request that no longer waits.
 #[test]
-fn whoever_has_gone_is_passed_by() {
+fn a_request_that_no_longer_waits_is_not_granted_a_slot() {
     let (mut gate, now) = (SlotGate::new(1), Instant::now());
     for id in 0..2 {
         assert_eq!(gate.ask(id, fresh(), now), SlotAnswer::Granted);
@@ -255,15 +255,15 @@
 }
 
 #[test]
-fn a_request_that_cannot_wait_is_told_how_long_the_queue_is() {
+fn a_request_that_may_not_queue_gets_the_expected_wait() {
     let (mut gate, now) = (SlotGate::new(1), Instant::now());
-    let hasty = SlotAsk {
+    let not_queueing = SlotAsk {
         may_queue: false,
         ..fresh()
     };
     for id in 0..2 {
-        assert_eq!(gate.ask(id, hasty, now), SlotAnswer::Granted);
+        assert_eq!(gate.ask(id, not_queueing, now), SlotAnswer::Granted);
     }
-    assert_eq!(gate.ask(2, hasty, now), SlotAnswer::Busy { wait_ms: 25 });
+    assert_eq!(gate.ask(2, not_queueing, now), SlotAnswer::Busy { wait_ms: 25 });
     assert_eq!(gate.release(&2, None, now), []);
 }
--- a/crates/relay/tests/suspects.rs
+++ b/crates/relay/tests/suspects.rs
@@ -32,37 +32,37 @@
 /// All updates that a node sends now, to any recipient.
 fn news(suspects: &mut Suspects, now: Instant) -> Vec<SuspectTold> {
     let news = suspects.news(now).into_iter();
-    news.map(|(_, told)| told).collect()
+    news.map(|(_, update)| update).collect()
 }
 
-fn take_all(suspects: &mut Suspects, from: &NodeId, told: &[SuspectTold], now: Instant) {
-    for told in told {
-        suspects.take(from, told, now);
+fn apply_all(suspects: &mut Suspects, from: &NodeId, updates: &[SuspectTold], now: Instant) {
+    for update in updates {
+        suspects.take(from, update, now);
     }
 }
 
 // Guards against counting strikes per node rather than over the fleet.
 #[test]
-fn ends_that_three_nodes_saw_add_up_at_each() {
+fn strikes_seen_by_three_nodes_add_up_at_every_node() {
     let now = Instant::now();
     let mut nodes = vec![Suspects::default(); 5];
     for (number, suspects) in nodes[1..4].iter_mut().enumerate() {
         suspects.strike(digest("a"), &engine(number), now);
     }
     for from in 1..4 {
-        let told = nodes[from].news(now);
+        let updates = nodes[from].news(now);
         assert!(
-            told.iter()
+            updates.iter()
                 .all(|(audience, _)| *audience == Audience::Homes)
         );
-        let told: Vec<SuspectTold> = told.into_iter().map(|(_, told)| told).collect();
-        take_all(&mut nodes[0], &node(from), &told, now);
+        let updates: Vec<SuspectTold> = updates.into_iter().map(|(_, update)| update).collect();
+        apply_all(&mut nodes[0], &node(from), &updates, now);
     }
-    let told = nodes[0].news(now);
-    assert!(told.iter().all(|(audience, _)| *audience == Audience::All));
-    let told: Vec<SuspectTold> = told.into_iter().map(|(_, told)| told).collect();
+    let updates = nodes[0].news(now);
+    assert!(updates.iter().all(|(audience, _)| *audience == Audience::All));
+    let updates: Vec<SuspectTold> = updates.into_iter().map(|(_, update)| update).collect();
     for suspects in &mut nodes {
-        take_all(suspects, &node(0), &told, now);
+        apply_all(suspects, &node(0), &updates, now);
         assert_eq!(suspects.suspicion(&digest("a"), now), Suspicion::Crashes);
         assert_eq!(suspects.suspicion(&digest("b"), now), Suspicion::None);
     }
@@ -73,27 +73,27 @@
 }
 
 #[test]
-fn one_end_that_two_nodes_saw_counts_once() {
+fn a_crash_seen_by_two_nodes_counts_once() {
     let now = Instant::now();
     let (mut here, mut there) = (struck(2, now), struck(2, now));
-    let told = news(&mut there, now);
-    take_all(&mut here, &node(2), &told, now);
+    let updates = news(&mut there, now);
+    apply_all(&mut here, &node(2), &updates, now);
     assert_eq!(here.ages(&digest("a"), now).len(), 2);
     assert_eq!(here.suspicion(&digest("a"), now), Suspicion::None);
 }
 
 // Guards against refusing requests whose upstreams crashed for another reason.
 #[test]
-fn a_whole_answer_clears_at_every_node() {
+fn a_full_answer_clears_the_request_at_every_node() {
     let now = Instant::now();
     let (mut here, mut there) = (struck(3, now), struck(3, now));
     let late = here.standing(10, now);
     here.clear(&digest("a"), now + SECOND);
     assert_eq!(here.suspicion(&digest("a"), now + SECOND), Suspicion::None);
-    let told = news(&mut here, now + SECOND);
-    take_all(&mut there, &node(1), &told, now + SECOND);
+    let updates = news(&mut here, now + SECOND);
+    apply_all(&mut there, &node(1), &updates, now + SECOND);
     assert_eq!(there.suspicion(&digest("a"), now + SECOND), Suspicion::None);
-    take_all(&mut there, &node(3), &late, now + SECOND);
+    apply_all(&mut there, &node(3), &late, now + SECOND);
     let at = now + SECOND;
     assert_eq!(
         there.suspicion(&digest("a"), at),
@@ -104,13 +104,13 @@
 
 // Guards against copies of a request that crash a fourth upstream before the third crash is known.
 #[test]
-fn what_is_on_its_way_counts() {
+fn copies_at_upstreams_count_as_possible_strikes() {
     let now = Instant::now();
     let (mut here, mut there) = (struck(2, now), struck(2, now));
     assert!(here.begin_trial(&digest("a"), now));
     assert_eq!(here.suspicion(&digest("a"), now), Suspicion::OnTrial);
-    let told = news(&mut here, now);
-    take_all(&mut there, &node(1), &told, now);
+    let updates = news(&mut here, now);
+    apply_all(&mut there, &node(1), &updates, now);
     assert_eq!(there.suspicion(&digest("a"), now), Suspicion::OnTrial);
     let silent = now + Duration::from_secs(4);
     assert_eq!(
@@ -119,20 +119,20 @@
         "a node that fell silent blocks nobody"
     );
     here.end_trial(&digest("a"));
-    let told = news(&mut here, now);
-    take_all(&mut there, &node(1), &told, now);
+    let updates = news(&mut here, now);
+    apply_all(&mut there, &node(1), &updates, now);
     assert_eq!(there.suspicion(&digest("a"), now), Suspicion::None);
 }
 
 #[test]
-fn a_request_that_no_upstream_ended_under_is_never_on_trial() {
+fn a_request_without_strikes_is_never_on_trial() {
     let mut suspects = Suspects::default();
     assert!(!suspects.begin_trial(&digest("a"), Instant::now()));
     assert_eq!(suspects.counts(Instant::now()), (0, 0));
 }
 
 #[test]
-fn ends_are_forgotten_after_ten_minutes_and_records_are_bounded() {
+fn strikes_expire_after_ten_minutes_and_records_are_bounded() {
     let now = Instant::now();
     let mut suspects = struck(3, now);
     let later = now + Duration::from_secs(601);
@@ -151,9 +151,9 @@
     /// The request arrives at a node.
     Ask(usize),
     /// All nodes send their updates. A message is lost where its flag is set.
-    Tell(Vec<bool>),
+    SendUpdates(Vec<bool>),
     /// One node sends another all that it knows.
-    TellAll(usize, usize),
+    SendAll(usize, usize),
     /// A node restarts.
     Restart(usize),
 }
@@ -161,19 +161,19 @@
 const NODES: usize = 5;
 
 /// Nodes that receive strikes seen by a single node.
-const HOMES: usize = 2;
+const COLLECTORS: usize = 2;
 
 /// Delivers the updates of every node. A message is lost where `lost` is set.
-fn tell(nodes: &mut [Suspects], lost: &[bool], now: Instant) {
-    let told: Vec<_> = nodes.iter_mut().map(|node| node.news(now)).collect();
-    for (place, is_lost) in lost.iter().enumerate() {
-        let (from, to) = (place / NODES, place % NODES);
+fn deliver_updates(nodes: &mut [Suspects], lost: &[bool], now: Instant) {
+    let updates: Vec<_> = nodes.iter_mut().map(|node| node.news(now)).collect();
+    for (index, is_lost) in lost.iter().enumerate() {
+        let (from, to) = (index / NODES, index % NODES);
         if *is_lost || from == to {
             continue;
         }
-        for (audience, told) in &told[from] {
-            if *audience == Audience::All || to < HOMES {
-                nodes[to].take(&node(from), told, now);
+        for (audience, update) in &updates[from] {
+            if *audience == Audience::All || to < COLLECTORS {
+                nodes[to].take(&node(from), update, now);
             }
         }
     }
@@ -183,8 +183,8 @@
     let is_lost = prop::collection::vec(prop::bool::weighted(0.3), NODES * NODES);
     prop_oneof![
         3 => (0..NODES).prop_map(Step::Ask),
-        3 => is_lost.prop_map(Step::Tell),
-        1 => (0..NODES, 0..NODES).prop_map(|(from, to)| Step::TellAll(from, to)),
+        3 => is_lost.prop_map(Step::SendUpdates),
+        1 => (0..NODES, 0..NODES).prop_map(|(from, to)| Step::SendAll(from, to)),
         1 => (0..NODES).prop_map(Step::Restart),
     ]
 }
@@ -199,27 +199,27 @@
     // Guards against a fourth crash once nodes have heard from each other, whatever messages were
     // lost before.
     #[test]
-    fn once_nodes_have_heard_each_other_no_more_than_the_limit_end(
+    fn nodes_that_exchange_updates_agree_and_stay_within_the_limit(
         steps in prop::collection::vec(step(), 1..80),
     ) {
         let mut now = Instant::now();
         let mut nodes = vec![Suspects::default(); NODES];
-        let mut ends = 0;
+        let mut crashes = 0;
         for step in steps {
             now += Duration::from_millis(100);
             match step {
                 Step::Ask(asked) => {
                     if nodes[asked].suspicion(&digest("a"), now) == Suspicion::None {
-                        nodes[asked].strike(digest("a"), &engine(ends), now);
-                        ends += 1;
+                        nodes[asked].strike(digest("a"), &engine(crashes), now);
+                        crashes += 1;
                     }
                     let known = nodes[asked].ages(&digest("a"), now).len();
                     prop_assert!(known <= STRIKES_LIMIT);
                 }
-                Step::Tell(lost) => tell(&mut nodes, &lost, now),
-                Step::TellAll(from, to) => {
-                    let told = nodes[from].standing(10, now);
-                    take_all(&mut nodes[to], &node(from), &told, now);
+                Step::SendUpdates(lost) => deliver_updates(&mut nodes, &lost, now),
+                Step::SendAll(from, to) => {
+                    let updates = nodes[from].standing(10, now);
+                    apply_all(&mut nodes[to], &node(from), &updates, now);
                 }
                 Step::Restart(restarted) => nodes[restarted] = Suspects::default(),
             }
@@ -227,11 +227,11 @@
         // A strike seen by one node is repeated every two seconds, suspects twice a second.
         for _ in 0..40 {
             now += Duration::from_millis(100);
-            tell(&mut nodes, &[false; NODES * NODES], now);
+            deliver_updates(&mut nodes, &[false; NODES * NODES], now);
             for from in 0..NODES {
-                let told = nodes[from].standing(10, now);
+                let updates = nodes[from].standing(10, now);
                 for suspects in &mut nodes {
-                    take_all(suspects, &node(from), &told, now);
+                    apply_all(suspects, &node(from), &updates, now);
                 }
             }
         }
