--- a/crates/relay/src/era_watch.rs
+++ b/crates/relay/src/era_watch.rs
@@ -153,17 +153,17 @@
 
     /// Applies an update from another node. Returns whether the store must be read, because the
     /// other node knows of a later era.
-    pub fn take_told(&mut self, update: EraTold, now: Duration) -> bool {
+    pub fn take_told(&mut self, received: EraTold, now: Duration) -> bool {
         let Some(era) = self.era else {
             return false;
         };
-        self.newest_peer_text = self.newest_peer_text.merge(update.text);
-        if update.era == era {
-            let age = Duration::from_millis(u64::from(update.age_ms));
+        self.newest_peer_text = self.newest_peer_text.merge(received.text);
+        if received.era == era {
+            let age = Duration::from_millis(u64::from(received.age_ms));
             self.since = self.since.min(now.saturating_sub(age));
             self.first_update_at.get_or_insert(now);
         }
-        update.era > era
+        received.era > era
     }
 
     /// Whether all claims of earlier eras are invalid by now.
@@ -177,8 +177,8 @@
     /// Whether to wait for an update from another node, which says how long this era has been in
     /// force.
     pub fn awaits_word(&self, now: Duration) -> bool {
-        let is_late = now.saturating_sub(self.since) >= PEER_TIMEOUT;
-        !self.has_risen && self.first_update_at.is_none() && !is_late && !self.is_settled(now)
+        let has_timed_out = now.saturating_sub(self.since) >= PEER_TIMEOUT;
+        !self.has_risen && self.first_update_at.is_none() && !has_timed_out && !self.is_settled(now)
     }
 
     /// Whether to ask other nodes for an update.
@@ -232,8 +232,8 @@
     /// The era to write into the store's mark, if any. `is_behind` says whether the operators' text
     /// in the store is older than what this node knows.
     pub fn mark_due(&self, is_behind: bool, now: Duration) -> Option<StoreEra> {
-        let is_over = self.has_text && !is_behind && self.is_settled(now);
-        self.era.filter(|_| is_over && !self.is_marked())
+        let is_resolved = self.has_text && !is_behind && self.is_settled(now);
+        self.era.filter(|_| is_resolved && !self.is_marked())
     }
 
     fn is_marked(&self) -> bool {
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -161,12 +161,12 @@
 
     /// Applies an update from another node. Returns the change, if any.
     pub fn take(&mut self, update: &LimitTold, now: Instant) -> Option<LimitChange> {
-        let change = self.apply_update(update, now);
+        let change = self.merge_update(update, now);
         self.changes += u64::from(change.is_some());
         change
     }
 
-    fn apply_update(&mut self, update: &LimitTold, now: Instant) -> Option<LimitChange> {
+    fn merge_update(&mut self, update: &LimitTold, now: Instant) -> Option<LimitChange> {
         let age = Duration::from_millis(u64::from(update.age_ms));
         let announced_at = now.checked_sub(age).unwrap_or(now);
         let per_s = update.per_s.filter(|per_s| is_rate(*per_s));
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -41,9 +41,9 @@
 /// assert!(notices.note_leaving(&engine, now));
 /// assert!(!notices.note_leaving(&engine, now), "already known");
 /// assert!(notices.is_leaving(&engine));
-/// let rest = Duration::from_secs(3);
-/// notices.note_rest(&engine, rest, now, &mut rand::rng());
-/// assert!(notices.is_resting(&engine, now + rest));
+/// let backoff = Duration::from_secs(3);
+/// notices.note_rest(&engine, backoff, now, &mut rand::rng());
+/// assert!(notices.is_resting(&engine, now + backoff));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Notices {
@@ -91,20 +91,20 @@
         notice.is_some_and(|notice| notice.is_leaving)
     }
 
-    /// Records a backoff of length `rest` requested by `upstream`, and returns when it ends.
+    /// Records a backoff of length `backoff` requested by `upstream`, and returns when it ends.
     ///
     /// A later request never shortens a backoff, because answers can arrive out of order. Random
     /// jitter keeps nodes that were refused at the same time from returning at the same time.
     pub fn note_rest(
         &mut self,
         upstream: &UpstreamId,
-        rest: Duration,
+        backoff: Duration,
         now: Instant,
         random: &mut dyn Rng,
     ) -> Instant {
-        let rest = rest.min(MAX_BACKOFF);
-        let jitter = rest.mul_f64(JITTER_SHARE).min(MAX_JITTER);
-        let until = now + rest + jitter.mul_f64(random.random());
+        let backoff = backoff.min(MAX_BACKOFF);
+        let jitter = backoff.mul_f64(JITTER_SHARE).min(MAX_JITTER);
+        let until = now + backoff + jitter.mul_f64(random.random());
         let notice = self.notice(upstream, now);
         let until = notice.rest_until.map_or(until, |known| known.max(until));
         notice.rest_until = Some(until);
@@ -126,8 +126,8 @@
     pub fn counts(&self, now: Instant) -> (usize, usize) {
         let leaving = self.leaving().count();
         let known = self.known.keys();
-        let resting = known.filter(|upstream| self.is_resting(upstream, now));
-        (leaving, resting.count())
+        let backing_off = known.filter(|upstream| self.is_resting(upstream, now));
+        (leaving, backing_off.count())
     }
 
     /// When the last known backoff of `upstream` ends, even if that is in the past.
@@ -166,8 +166,8 @@
     pub fn parse(text: &str) -> Self {
         match text.trim().parse() {
             Ok(seconds) if is_valid_length(seconds) => {
-                let rest = Duration::try_from_secs_f64(seconds);
-                Self::For(rest.unwrap_or(Duration::MAX))
+                let backoff = Duration::try_from_secs_f64(seconds);
+                Self::For(backoff.unwrap_or(Duration::MAX))
             }
             _ => Self::Malformed,
         }
--- a/crates/relay/src/ownership_watch.rs
+++ b/crates/relay/src/ownership_watch.rs
@@ -60,10 +60,10 @@
 /// use nutmegsail_relay::{ConcernChange, OwnersNow, OwnershipConcern, OwnershipWatch};
 /// let (mut watch, now) = (OwnershipWatch::default(), Instant::now());
 /// let (node, owners) = ("n1".into(), HashMap::new());
-/// let seen = OwnersNow { node: &node, nodes: &[], engines: &[], owners: &owners };
-/// assert_eq!(watch.look(seen, now), []);
+/// let snapshot = OwnersNow { node: &node, nodes: &[], engines: &[], owners: &owners };
+/// assert_eq!(watch.look(snapshot, now), []);
 /// let later = now + Duration::from_secs(3);
-/// assert_eq!(watch.look(seen, later), [ConcernChange::Began(OwnershipConcern::NotListed)]);
+/// assert_eq!(watch.look(snapshot, later), [ConcernChange::Began(OwnershipConcern::NotListed)]);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct OwnershipWatch {
@@ -79,8 +79,8 @@
 
 impl OwnershipWatch {
     /// Checks a snapshot and returns the changes to report.
-    pub fn look(&mut self, seen: OwnersNow<'_>, now: Instant) -> Vec<ConcernChange> {
-        let concerns = seen.concerns();
+    pub fn look(&mut self, snapshot: OwnersNow<'_>, now: Instant) -> Vec<ConcernChange> {
+        let concerns = snapshot.concerns();
         let mut changes = Vec::new();
         self.concerns.retain(|concern, ongoing| {
             let continues = concerns.contains(concern);
@@ -130,14 +130,14 @@
 }
 
 impl<'a> Counts<'a> {
-    fn of(seen: &OwnersNow<'a>) -> Self {
-        let domains = seen.engines.iter().map(|engine| &engine.failure_domain);
-        let owners = seen.engines.iter();
+    fn of(snapshot: &OwnersNow<'a>) -> Self {
+        let domains = snapshot.engines.iter().map(|engine| &engine.failure_domain);
+        let owners = snapshot.engines.iter();
         Self {
             engines_in: count(domains),
-            nodes_in: count(seen.nodes.iter().map(|record| &record.failure_domain)),
-            owned: count(owners.filter_map(|engine| seen.owners.get(&engine.id))),
-            nodes: seen.nodes.len(),
+            nodes_in: count(snapshot.nodes.iter().map(|record| &record.failure_domain)),
+            owned: count(owners.filter_map(|engine| snapshot.owners.get(&engine.id))),
+            nodes: snapshot.nodes.len(),
         }
     }
 
--- a/crates/relay/src/rest.rs
+++ b/crates/relay/src/rest.rs
@@ -40,14 +40,14 @@
 
     /// When the next request may be sent, or `None` if one may be sent now.
     pub(crate) fn ends(&self, now: Instant) -> Option<Instant> {
-        let rest = self.until.filter(|until| now < *until);
+        let backoff = self.until.filter(|until| now < *until);
         let trial = match self.trial {
             Trial::Sent(at) if now.duration_since(at) < TRIAL_TIMEOUT => {
                 Some((at + TRIAL_LATENCY).max(now))
             }
             Trial::None | Trial::Due | Trial::Sent(_) => None,
         };
-        rest.or(trial)
+        backoff.or(trial)
     }
 
     /// Records that a request was sent; it is the trial if one is due.
--- a/crates/relay/src/retry_budget.rs
+++ b/crates/relay/src/retry_budget.rs
@@ -14,7 +14,7 @@
     pub window: Duration,
 }
 
-/// Share of the fleet's budget that nodes use. The rest is a margin, so that windows that are not
+/// Share of the fleet's budget that nodes use. The remainder is a margin, so that windows that are not
 /// aligned, and attempts in flight, do not add up to more than the whole.
 const USED_SHARE: f64 = 0.6;
 
@@ -82,8 +82,8 @@
         {
             self.steps.pop_front();
         }
-        let is_current = |step: &Step| now.duration_since(step.began) < window / STEPS;
-        if !self.steps.back().is_some_and(is_current) {
+        let is_current_step = |step: &Step| now.duration_since(step.began) < window / STEPS;
+        if !self.steps.back().is_some_and(is_current_step) {
             self.steps.push_back(Step {
                 began: now,
                 first_attempts: 0,
--- a/crates/relay/src/slot_gate.rs
+++ b/crates/relay/src/slot_gate.rs
@@ -30,7 +30,7 @@
 const MAX_SAMPLE_RATIO: f64 = 4.0;
 
 /// Upper bound on the factor by which granted slots that are idle at the upstream raise the limit.
-const MAX_HELD_RATIO: f64 = 3.0;
+const MAX_HOLD_RATIO: f64 = 3.0;
 
 /// How long a slot counts as taken if its node does not release it: the node may be gone.
 const SLOT_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -156,7 +156,7 @@
         if self.granted.contains_key(&key) {
             return SlotAnswer::Granted;
         }
-        if self.queue.iter().any(|waiting| waiting.key == key) {
+        if self.queue.iter().any(|queued| queued.key == key) {
             return SlotAnswer::Queued;
         }
         if self.queue.is_empty() && self.take_capacity(now) {
@@ -175,8 +175,8 @@
         if !ask.may_queue {
             return SlotAnswer::Busy { wait_ms };
         }
-        let patience = Duration::from_millis(u64::from(ask.patience_ms));
-        if is_late && (wait > MAX_LATE_WAIT || wait + self.run_time > patience) {
+        let wait_limit = Duration::from_millis(u64::from(ask.patience_ms));
+        if is_late && (wait > MAX_LATE_WAIT || wait + self.run_time > wait_limit) {
             return SlotAnswer::Refused { wait_ms };
         }
         self.queue.push(QueuedRequest {
@@ -184,7 +184,7 @@
             latest_start,
             is_late,
             rank: ask.rank,
-            expires_at: now + patience,
+            expires_at: now + wait_limit,
         });
         SlotAnswer::Queued
     }
@@ -197,7 +197,7 @@
         took: Option<Duration>,
         now: Instant,
     ) -> Vec<(K, SlotAnswer)> {
-        self.queue.retain(|waiting| waiting.key != *key);
+        self.queue.retain(|queued| queued.key != *key);
         if let (Some(since), Some(took)) = (self.granted.remove(key), took) {
             update_average(&mut self.hold_time, now.saturating_duration_since(since));
             update_average(&mut self.run_time, took);
@@ -223,18 +223,18 @@
     /// Removes the next request from the queue and refuses those whose callers have stopped
     /// waiting.
     fn take_next(&mut self, now: Instant, answers: &mut Vec<(K, SlotAnswer)>) -> Option<K> {
-        let expired = self.queue.extract_if(.., |waiting| waiting.expires_at <= now);
+        let expired = self.queue.extract_if(.., |queued| queued.expires_at <= now);
         answers.extend(expired.map(|expired| (expired.key, SlotAnswer::Refused { wait_ms: 0 })));
         // A request that became late while queued is served after those that can still be in time.
-        for waiting in &mut self.queue {
-            waiting.is_late |= waiting.latest_start < now;
+        for queued in &mut self.queue {
+            queued.is_late |= queued.latest_start < now;
         }
-        let order = |waiting: &&QueuedRequest<K>| {
-            let rank = self.effective_priority(waiting.rank);
-            (waiting.is_late, rank, waiting.latest_start)
+        let order = |queued: &&QueuedRequest<K>| {
+            let rank = self.effective_priority(queued.rank);
+            (queued.is_late, rank, queued.latest_start)
         };
         let next = self.queue.iter().min_by_key(order).map(|next| next.key)?;
-        self.queue.retain(|waiting| waiting.key != next);
+        self.queue.retain(|queued| queued.key != next);
         Some(next)
     }
 
@@ -258,16 +258,16 @@
     /// inside the upstream, they stay there longer and this limit falls.
     fn limit(&self) -> usize {
         let hold_ratio = self.hold_time.as_secs_f64() / self.run_time.as_secs_f64().max(1e-3);
-        let at_once = f64::from(self.slots) * hold_ratio.clamp(1.0, MAX_HELD_RATIO);
-        (at_once + f64::from(self.slots) * EXTRA_GRANTS_SHARE).ceil() as usize
+        let with_idle_slots = f64::from(self.slots) * hold_ratio.clamp(1.0, MAX_HOLD_RATIO);
+        (with_idle_slots + f64::from(self.slots) * EXTRA_GRANTS_SHARE).ceil() as usize
     }
 
     /// Number of queued requests served before one with this priority and latest start.
     fn ahead_of(&self, rank: u8, latest_start: Instant) -> usize {
-        let place = (self.effective_priority(rank), latest_start);
-        let in_time = self.queue.iter().filter(|waiting| !waiting.is_late);
+        let position = (self.effective_priority(rank), latest_start);
+        let in_time = self.queue.iter().filter(|queued| !queued.is_late);
         in_time
-            .filter(|waiting| (self.effective_priority(waiting.rank), waiting.latest_start) <= place)
+            .filter(|queued| (self.effective_priority(queued.rank), queued.latest_start) <= position)
             .count()
     }
 
--- a/crates/relay/src/stated_patience.rs
+++ b/crates/relay/src/stated_patience.rs
@@ -15,11 +15,11 @@
 /// use std::time::Duration;
 /// use nutmegsail_relay::StatedPatience;
 /// let seconds = Duration::from_secs;
-/// let mut patience = StatedPatience::default();
-/// assert_eq!(patience.waited(seconds(3)), Duration::ZERO);
-/// assert_eq!(patience.waited(seconds(3)), Duration::ZERO);
-/// assert_eq!(patience.waited(seconds(2)), seconds(1));
-/// assert_eq!(patience.waited(seconds(60)), Duration::ZERO);
+/// let mut usual = StatedPatience::default();
+/// assert_eq!(usual.waited(seconds(3)), Duration::ZERO);
+/// assert_eq!(usual.waited(seconds(3)), Duration::ZERO);
+/// assert_eq!(usual.waited(seconds(2)), seconds(1));
+/// assert_eq!(usual.waited(seconds(60)), Duration::ZERO);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StatedPatience {
@@ -28,16 +28,16 @@
 }
 
 impl StatedPatience {
-    /// Returns how long a caller that states the timeout `patience` has waited so far.
-    pub fn waited(&mut self, patience: Duration) -> Duration {
+    /// Returns how long a caller that states `timeout` has waited so far.
+    pub fn waited(&mut self, timeout: Duration) -> Duration {
         // Boyer-Moore majority vote.
-        if patience == self.usual {
+        if timeout == self.usual {
             self.votes = (self.votes + 1).min(MAX_VOTES);
         } else if self.votes == 0 {
-            (self.usual, self.votes) = (patience, 1);
+            (self.usual, self.votes) = (timeout, 1);
         } else {
             self.votes -= 1;
         }
-        self.usual.saturating_sub(patience)
+        self.usual.saturating_sub(timeout)
     }
 }
--- a/crates/relay/src/suspects.rs
+++ b/crates/relay/src/suspects.rs
@@ -114,7 +114,7 @@
     cleared: Option<Instant>,
     /// How many copies this node has at upstreams.
     own_trials: u32,
-    /// How many copies other nodes have at upstreams, and when each said so.
+    /// How many copies other nodes have at upstreams, and when each update arrived.
     trials_of_others: HashMap<NodeId, (u32, Instant)>,
     /// Whether updates on the request go to all nodes.
     is_broadcast: bool,
--- a/crates/relay/tests/ownership_watch.rs
+++ b/crates/relay/tests/ownership_watch.rs
@@ -42,16 +42,16 @@
         .map(|(engine, owner)| (engine.id.clone(), (*owner).into()))
         .collect();
     let engines: Vec<&Upstream> = engines.iter().collect();
-    let seen = OwnersNow {
+    let snapshot = OwnersNow {
         node: &"n1".into(),
         nodes: &nodes,
         engines: &engines,
         owners: &owners,
     };
     let (mut watch, now) = (OwnershipWatch::default(), Instant::now());
-    assert_eq!(watch.look(seen, now), [], "nothing has lasted long enough");
-    let changes = watch.look(seen, now + duration);
-    assert_eq!(watch.look(seen, now + duration), [], "reported only once");
+    assert_eq!(watch.look(snapshot, now), [], "nothing has lasted long enough");
+    let changes = watch.look(snapshot, now + duration);
+    assert_eq!(watch.look(snapshot, now + duration), [], "reported only once");
     changes
 }
 
@@ -102,13 +102,13 @@
     let (node, owners) = ("n1".into(), HashMap::new());
     let nodes = [record("n1")];
     let mut look = |nodes: &[NodeRecord], after_s: u64| {
-        let seen = OwnersNow {
+        let snapshot = OwnersNow {
             node: &node,
             nodes,
             engines: &[],
             owners: &owners,
         };
-        watch.look(seen, now + Duration::from_secs(after_s))
+        watch.look(snapshot, now + Duration::from_secs(after_s))
     };
     assert_eq!(look(&[], 0), []);
     assert_eq!(look(&[], 3).len(), 1);
--- a/crates/relay/tests/rest.rs
+++ b/crates/relay/tests/rest.rs
@@ -51,7 +51,7 @@
     notices: Notices,
     upstreams: Vec<Upstream>,
     /// Earliest end of the backoff of each upstream.
-    rests: [Option<Instant>; UPSTREAMS],
+    earliest_ends: [Option<Instant>; UPSTREAMS],
     /// Requests sent to each upstream since its last backoff ended, until one is answered.
     trials: [Option<Vec<Instant>>; UPSTREAMS],
     in_flight: [usize; UPSTREAMS],
@@ -69,7 +69,7 @@
             dispatcher: Dispatcher::new("here".into()),
             notices: Notices::default(),
             upstreams: (0..UPSTREAMS).map(named).collect(),
-            rests: [None; UPSTREAMS],
+            earliest_ends: [None; UPSTREAMS],
             trials: Default::default(),
             in_flight: [0; UPSTREAMS],
             now: Instant::now(),
@@ -104,7 +104,7 @@
                 self.dispatcher
                     .note_outcome(&id, Outcome::Answered, self.now);
                 self.end(*index);
-                if self.rests[*index].is_none_or(|until| until <= self.now) {
+                if self.earliest_ends[*index].is_none_or(|until| until <= self.now) {
                     self.trials[*index] = None;
                 }
             }
@@ -125,19 +125,19 @@
         Ok(())
     }
 
-    fn refuse(&mut self, index: usize, rest: Duration) {
+    fn refuse(&mut self, index: usize, backoff: Duration) {
         let id = self.id(index);
         self.dispatcher.note_outcome(&id, Outcome::Full, self.now);
         if self.in_flight[index] > 0 {
             self.end(index);
         }
-        if !rest.is_zero() {
+        if !backoff.is_zero() {
             let until = self
                 .notices
-                .note_rest(&id, rest, self.now, &mut self.random);
+                .note_rest(&id, backoff, self.now, &mut self.random);
             self.dispatcher.note_rest(&id, until);
-            let earliest_end = self.now + rest.min(Duration::from_secs(86_400));
-            self.rests[index] = self.rests[index].max(Some(earliest_end));
+            let earliest_end = self.now + backoff.min(Duration::from_secs(86_400));
+            self.earliest_ends[index] = self.earliest_ends[index].max(Some(earliest_end));
             self.trials[index] = Some(Vec::new());
         } else if self.trials[index].is_some() {
             self.trials[index] = Some(Vec::new());
@@ -163,13 +163,13 @@
             tried: &[],
         };
         let now = self.now;
-        let rests = |index: usize| self.rests[index].is_some_and(|until| now < until);
+        let in_backoff = |index: usize| self.earliest_ends[index].is_some_and(|until| now < until);
         match self.dispatcher.choose(&need, now, &mut self.random) {
             Ok(choice) => {
                 let index = (0..UPSTREAMS)
                     .find(|index| self.id(*index) == choice.upstream.id)
                     .unwrap();
-                prop_assert!(!rests(index), "{} is in a backoff", choice.upstream.id);
+                prop_assert!(!in_backoff(index), "{} is in a backoff", choice.upstream.id);
                 self.dispatcher.sent(&choice.upstream.id, 0, now);
                 self.in_flight[index] += 1;
                 if let Some(sent) = &mut self.trials[index] {
@@ -180,9 +180,9 @@
             }
             Err(_) => {
                 let ends = self.dispatcher.rest_ends(&need, now);
-                let all = (0..UPSTREAMS).all(rests);
+                let all = (0..UPSTREAMS).all(in_backoff);
                 prop_assert!(!all || ends.is_some(), "no return time is given");
-                let first = (0..UPSTREAMS).filter_map(|index| self.rests[index]).min();
+                let first = (0..UPSTREAMS).filter_map(|index| self.earliest_ends[index]).min();
                 prop_assert!(!all || ends >= first, "the return time is too early");
             }
         }
@@ -238,14 +238,14 @@
     world.dispatcher.sent(&id, 0, world.now);
     world.dispatcher.sent(&id, 0, world.now);
     world.in_flight[0] = 2;
-    let rest = Duration::from_secs(3);
-    world.refuse(0, rest);
+    let backoff = Duration::from_secs(3);
+    world.refuse(0, backoff);
     event_during_backoff(&mut world);
     let late = Duration::from_millis(2_900);
     assert!(!world.dispatcher.may_send(&id, world.now + late));
     assert!(
         world
             .dispatcher
-            .may_send(&id, world.now + rest.mul_f64(1.2))
+            .may_send(&id, world.now + backoff.mul_f64(1.2))
     );
 }
--- a/crates/relay/tests/slot_gate.rs
+++ b/crates/relay/tests/slot_gate.rs
@@ -94,16 +94,16 @@
             let due: Vec<(u32, u32)> = returns.extract_if(.., |(at, _)| *at <= step).collect();
             for (_, id) in due {
                 if self.ask(id, late(), step).is_some() {
-                    self.second(id).refused += 1;
+                    self.outcomes_of(id).refused += 1;
                 }
             }
-            self.begin(step);
+            self.start_requests(step);
         }
         self.outcomes
     }
 
     /// Outcomes of the callers that asked in the same second as `id`.
-    fn second(&mut self, id: u32) -> &mut Outcomes {
+    fn outcomes_of(&mut self, id: u32) -> &mut Outcomes {
         &mut self.outcomes[(self.asked_at[&id] / 1_000) as usize]
     }
 
@@ -124,7 +124,7 @@
         }
     }
 
-    fn begin(&mut self, step: u32) {
+    fn start_requests(&mut self, step: u32) {
         while self.running.len() < self.slots as usize {
             let next = self.in_transit.front().copied();
             let Some((id, arrived)) = next.filter(|(_, arrives)| *arrives <= step) else {
@@ -138,28 +138,28 @@
     }
 
     fn end(&mut self, step: u32) {
-        let ends: Vec<(u32, u32)> = self
+        let finished: Vec<(u32, u32)> = self
             .running
             .extract_if(.., |(_, end)| *end <= step)
             .collect();
-        for (id, end) in ends {
+        for (id, end) in finished {
             let is_in_time = end - self.asked_at[&id] <= OBJECTIVE_MS;
-            let second = self.second(id);
+            let second = self.outcomes_of(id);
             match is_in_time {
                 true => second.in_time += 1,
                 false => second.late += 1,
             }
             self.ended.push((id, end + self.delay_ms));
         }
-        let heard: Vec<(u32, u32)> = self
+        let released: Vec<(u32, u32)> = self
             .ended
-            .extract_if(.., |(_, heard)| *heard <= step)
+            .extract_if(.., |(_, released_at)| *released_at <= step)
             .collect();
-        for (id, heard) in heard {
-            let took = MS * (heard - self.delay_ms - self.sent_at[&id]);
+        for (id, released_at) in released {
+            let took = MS * (released_at - self.delay_ms - self.sent_at[&id]);
             for (id, answer) in self.gate.release(&id, Some(took), self.start + MS * step) {
                 if self.apply_answer(id, answer, step).is_some() {
-                    self.second(id).refused += 1;
+                    self.outcomes_of(id).refused += 1;
                 }
             }
         }
