--- a/crates/relay/src/suspects.rs
+++ b/crates/relay/src/suspects.rs
@@ -210,9 +210,9 @@
     pub fn counts(&self, now: Instant) -> (usize, usize) {
         let strikes = self.records.values();
         let strikes = strikes.map(|record| record.strikes(now).count());
-        strikes.fold((0, 0), |(refused, struck), strikes| {
+        strikes.fold((0, 0), |(refused, suspected), strikes| {
             let refused = refused + usize::from(strikes >= STRIKES_LIMIT);
-            (refused, struck + usize::from(strikes > 0))
+            (refused, suspected + usize::from(strikes > 0))
         })
     }
 
@@ -237,7 +237,7 @@
     /// because nodes start or become reachable late. Requests with the most strikes come first,
     /// then the most recent.
     pub fn standing(&self, most: usize, now: Instant) -> Vec<SuspectTold> {
-        let mut struck: Vec<_> = self
+        let mut suspected: Vec<_> = self
             .records
             .iter()
             .filter(|(_, record)| record.is_broadcast)
@@ -246,8 +246,8 @@
                 Some((record.strikes(now).count(), newest, *digest, record))
             })
             .collect();
-        struck.sort_by_key(|(strikes, newest, digest, _)| (*strikes, *newest, *digest));
-        let updated = struck.into_iter().rev().take(most);
+        suspected.sort_by_key(|(strikes, newest, digest, _)| (*strikes, *newest, *digest));
+        let updated = suspected.into_iter().rev().take(most);
         updated.map(|(_, _, digest, record)| record.to_update(digest, now))
             .collect()
     }
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Helpers that build upstreams, reports and lists for tests.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "no test file uses all of them")]
 
 use std::sync::Arc;
 
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -1,6 +1,6 @@
 //! Upstreams that announce that they are leaving, with outdated lists and updates from other nodes.
 
-#![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 mod common;
 
--- a/crates/relay/tests/listing.rs
+++ b/crates/relay/tests/listing.rs
@@ -1,6 +1,6 @@
 //! Outdated entries of the list of upstreams, whatever order they arrive in.
 
-#![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 mod common;
 
--- a/crates/relay/tests/ownership_watch.rs
+++ b/crates/relay/tests/ownership_watch.rs
@@ -1,6 +1,6 @@
 //! Reports of engines whose owners are missing or unevenly distributed.
 
-#![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 mod common;
 
--- a/crates/relay/tests/promises.rs
+++ b/crates/relay/tests/promises.rs
@@ -1,6 +1,6 @@
 //! Properties of the crate's smaller components.
 
-#![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 mod common;
 
--- a/crates/relay/tests/rest.rs
+++ b/crates/relay/tests/rest.rs
@@ -1,6 +1,6 @@
 //! Upstreams that request a backoff, and the requests sent to them during and after it.
 
-#![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 mod common;
 
--- a/crates/relay/tests/restored_store.rs
+++ b/crates/relay/tests/restored_store.rs
@@ -77,7 +77,7 @@
 struct Node {
     watch: EraWatch,
     owned: Option<Ownership>,
-    lapsed: Option<Ownership>,
+    lost: Option<Ownership>,
     is_cut_off: bool,
 }
 
@@ -86,7 +86,7 @@
         Self {
             watch: EraWatch::new(RULES.wait(), false),
             owned: None,
-            lapsed: None,
+            lost: None,
             is_cut_off: false,
         }
     }
@@ -99,7 +99,7 @@
         let rise = self.watch.see(Some(StoreEra(store.era)), now);
         if let Some(mut owned) = self.owned.take_if(|_| rise.is_some()) {
             owned.lapse(now);
-            self.lapsed = Some(owned);
+            self.lost = Some(owned);
         }
         if let Some(mark) = store.contents.mark {
             self.watch.take_mark(mark);
@@ -112,13 +112,13 @@
             (Some(owner), Some(owned)) if store.number(owner.revision) == owned.claim() => {
                 owned.confirm(now);
             }
-            (Some(owner), _) if owner.node != own_index => (self.owned, self.lapsed) = (None, None),
+            (Some(owner), _) if owner.node != own_index => (self.owned, self.lost) = (None, None),
             (owner, _) => self.claim(own_index, store, owner, now),
         }
     }
 
     fn claim(&mut self, own_index: usize, store: &mut Store, previous_owner: Option<Owner>, now: Duration) {
-        let is_restarted = self.owned.is_none() && self.lapsed.is_none();
+        let is_restarted = self.owned.is_none() && self.lost.is_none();
         let is_settled = self.watch.is_settled(now);
         let predecessor = match previous_owner.filter(|_| is_restarted && is_settled) {
             Some(Owner { waits_until, .. }) => Predecessor::Own { waits_until },
@@ -129,8 +129,8 @@
             _ => now + RULES.wait(),
         };
         let claim = store.claim(own_index, waits_until);
-        let taken = match self.lapsed.take() {
-            Some(lapsed) => lapsed.retaken(claim, RULES, now, now),
+        let taken = match self.lost.take() {
+            Some(lost) => lost.retaken(claim, RULES, now, now),
             None => Ownership::taken(claim, predecessor, RULES, now, now),
         };
         self.owned = Some(taken);
