--- a/crates/relay/src/crash_watch.rs
+++ b/crates/relay/src/crash_watch.rs
@@ -125,7 +125,8 @@
         if reach != Reach::Refused {
             return Vec::new();
         }
-        self.upstreams.insert(upstream.clone(), ProbeState::Ended(now));
+        self.upstreams
+            .insert(upstream.clone(), ProbeState::Ended(now));
         broken.sort_unstable();
         broken.dedup();
         broken
--- a/crates/relay/src/era_watch.rs
+++ b/crates/relay/src/era_watch.rs
@@ -191,7 +191,9 @@
     pub fn goes_by(&mut self, known: TextKnown, now: Duration) -> bool {
         let needs_no_update = self.era.is_none() || self.is_marked() || self.is_first_era();
         let has_caught_up = match self.first_update_at {
-            Some(at) => now.saturating_sub(at) >= GATHER_PERIOD && known.covers(self.newest_peer_text),
+            Some(at) => {
+                now.saturating_sub(at) >= GATHER_PERIOD && known.covers(self.newest_peer_text)
+            }
             None => now.saturating_sub(self.since) >= NO_PEER_TIMEOUT,
         };
         self.has_text |= needs_no_update || has_caught_up;
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -139,7 +139,8 @@
     pub fn forget(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Instant) {
         let before = self.known.len();
         self.known.retain(|upstream, known| {
-            let is_ended = known.per_s.is_none() && now.duration_since(known.announced_at) > LIFTED_TTL;
+            let is_ended =
+                known.per_s.is_none() && now.duration_since(known.announced_at) > LIFTED_TTL;
             is_listed(upstream) && !is_ended
         });
         self.changes += u64::from(self.known.len() != before);
--- a/crates/relay/src/listing.rs
+++ b/crates/relay/src/listing.rs
@@ -115,8 +115,9 @@
 
     /// Drops names that are not listed and have not been seen for a minute.
     pub fn forget_old(&mut self, is_listed: impl Fn(&str) -> bool, now: Instant) {
-        self.newest
-            .retain(|name, newest| is_listed(name) || now.duration_since(newest.last_seen) < NAME_TTL);
+        self.newest.retain(|name, newest| {
+            is_listed(name) || now.duration_since(newest.last_seen) < NAME_TTL
+        });
     }
 }
 
--- a/crates/relay/src/ownership_watch.rs
+++ b/crates/relay/src/ownership_watch.rs
@@ -90,10 +90,13 @@
             continues
         });
         for concern in concerns {
-            let ongoing = self.concerns.entry(concern.clone()).or_insert(OngoingConcern {
-                since: now,
-                is_reported: false,
-            });
+            let ongoing = self
+                .concerns
+                .entry(concern.clone())
+                .or_insert(OngoingConcern {
+                    since: now,
+                    is_reported: false,
+                });
             let is_due = now.duration_since(ongoing.since) > REPORT_DELAY;
             if is_due && !std::mem::replace(&mut ongoing.is_reported, true) {
                 changes.push(ConcernChange::Began(concern));
@@ -163,7 +166,8 @@
         let engines = self.engines_in.get(domain).copied().unwrap_or(0);
         let nodes = self.nodes_in.get(domain).copied().unwrap_or(1);
         let in_empty_domains = self.engines_in.iter();
-        let in_empty_domains = in_empty_domains.filter(|(domain, _)| !self.nodes_in.contains_key(*domain));
+        let in_empty_domains =
+            in_empty_domains.filter(|(domain, _)| !self.nodes_in.contains_key(*domain));
         let in_empty_domains: usize = in_empty_domains.map(|(_, engines)| engines).sum();
         (engines.div_ceil(nodes) + in_empty_domains.div_ceil(self.nodes)).max(1)
     }
--- a/crates/relay/src/rate_bucket.rs
+++ b/crates/relay/src/rate_bucket.rs
@@ -60,7 +60,9 @@
 
     /// How long a request has to wait if `ahead` others go first.
     pub fn wait(&self, ahead: usize, now: Instant) -> Duration {
-        let passed_s = now.saturating_duration_since(self.last_refill).as_secs_f64();
+        let passed_s = now
+            .saturating_duration_since(self.last_refill)
+            .as_secs_f64();
         let missing = (ahead + 1) as f64 - self.available - passed_s * self.per_s;
         let wait_s = missing.max(0.0) / self.per_s;
         Duration::try_from_secs_f64(wait_s).unwrap_or(Duration::MAX)
--- a/crates/relay/src/slot_gate.rs
+++ b/crates/relay/src/slot_gate.rs
@@ -267,7 +267,9 @@
         let position = (self.effective_priority(rank), latest_start);
         let in_time = self.queue.iter().filter(|queued| !queued.is_late);
         in_time
-            .filter(|queued| (self.effective_priority(queued.rank), queued.latest_start) <= position)
+            .filter(|queued| {
+                (self.effective_priority(queued.rank), queued.latest_start) <= position
+            })
             .count()
     }
 
@@ -282,7 +284,9 @@
 
     /// Expected wait of a request with `ahead` others before it.
     fn wait_behind(&self, ahead: usize, now: Instant) -> Duration {
-        let slot_wait = self.hold_time.mul_f64((ahead + 1) as f64 / self.limit() as f64);
+        let slot_wait = self
+            .hold_time
+            .mul_f64((ahead + 1) as f64 / self.limit() as f64);
         let rate = self.rate.as_ref();
         rate.map_or(slot_wait, |rate| rate.wait(ahead, now).max(slot_wait))
     }
--- a/crates/relay/src/suspects.rs
+++ b/crates/relay/src/suspects.rs
@@ -172,7 +172,9 @@
         let strikes = record.strikes(now).count();
         match strikes + record.trials(now) {
             _ if strikes >= STRIKES_LIMIT => Suspicion::Crashes,
-            possible_strikes if strikes > 0 && possible_strikes >= STRIKES_LIMIT => Suspicion::OnTrial,
+            possible_strikes if strikes > 0 && possible_strikes >= STRIKES_LIMIT => {
+                Suspicion::OnTrial
+            }
             _ => Suspicion::None,
         }
     }
@@ -248,7 +250,8 @@
             .collect();
         suspected.sort_by_key(|(strikes, newest, digest, _)| (*strikes, *newest, *digest));
         let updated = suspected.into_iter().rev().take(most);
-        updated.map(|(_, _, digest, record)| record.to_update(digest, now))
+        updated
+            .map(|(_, _, digest, record)| record.to_update(digest, now))
             .collect()
     }
 
@@ -324,7 +327,8 @@
         let is_due = |sent: Instant| now.saturating_duration_since(sent) >= RESEND_INTERVAL;
         let mut strikes = self.strikes(now);
         let is_new = strikes.any(|strike| now.saturating_duration_since(strike.at) < RESEND_PERIOD);
-        let is_resend_due = self.is_own && !self.is_broadcast && is_new && self.last_sent.is_none_or(is_due);
+        let is_resend_due =
+            self.is_own && !self.is_broadcast && is_new && self.last_sent.is_none_or(is_due);
         self.sends_left > 0 || is_resend_due
     }
 
@@ -351,7 +355,10 @@
         let is_cleared = self
             .cleared
             .is_some_and(|cleared| now.saturating_duration_since(cleared) < CLEARED_TTL);
-        is_cleared || self.sends_left > 0 || self.own_trials > 0 || self.strikes(now).next().is_some()
+        is_cleared
+            || self.sends_left > 0
+            || self.own_trials > 0
+            || self.strikes(now).next().is_some()
     }
 
     fn to_update(&self, digest: RequestDigest, now: Instant) -> SuspectTold {
--- a/crates/relay/tests/crash_watch.rs
+++ b/crates/relay/tests/crash_watch.rs
@@ -64,7 +64,7 @@
     assert_eq!(
         watch.note_broken(&engine(), broken("b"), now),
         CrashStep::Check,
-        "each broken connection is probed"
+        "each broken connection causes a probe"
     );
 }
 
--- a/crates/relay/tests/era_watch.rs
+++ b/crates/relay/tests/era_watch.rs
@@ -51,7 +51,10 @@
     assert!(watch.is_behind(older));
     assert_eq!(watch.told(older, ms(60_000)), None);
     assert!(watch.goes_by(text(5, 9), ms(60_100)));
-    assert!(watch.goes_by(older, ms(60_200)), "applied text stays applied");
+    assert!(
+        watch.goes_by(older, ms(60_200)),
+        "applied text stays applied"
+    );
 }
 
 // Guards against relying on the first update when a later one names more recent text.
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -161,7 +161,11 @@
             Ok(choice) => {
                 let id = &choice.upstream.id;
                 let deadline = self.no_requests_from.get(id);
-                prop_assert!(deadline.is_none_or(|from| self.now < *from), "{} is leaving", id);
+                prop_assert!(
+                    deadline.is_none_or(|from| self.now < *from),
+                    "{} is leaving",
+                    id
+                );
                 prop_assert!(
                     !has_staying || !choice.is_leaving,
                     "{} is leaving, others are not",
@@ -208,7 +212,10 @@
 #[rstest]
 #[case::within_the_grace_period(Duration::from_millis(900), true)]
 #[case::after_the_grace_period(Duration::from_millis(1_000), false)]
-fn a_chosen_upstream_is_checked_again_before_sending(#[case] after: Duration, #[case] may_send: bool) {
+fn a_chosen_upstream_is_checked_again_before_sending(
+    #[case] after: Duration,
+    #[case] may_send: bool,
+) {
     let mut world = World::new(false);
     let id = world.upstream(0, 1).id;
     let now = world.now;
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/limits.rs
@@ -44,7 +44,11 @@
         None
     );
     let raised = limits.note_answer(&engine(), per_second(4.0), now + 2_200 * MS);
-    assert_eq!(raised, Some(LimitChange::Named(3.0)), "the lowest in that time");
+    assert_eq!(
+        raised,
+        Some(LimitChange::Named(3.0)),
+        "the lowest in that time"
+    );
 }
 
 // Guards against lifting a limit because some answers do not announce it.
--- a/crates/relay/tests/ownership_watch.rs
+++ b/crates/relay/tests/ownership_watch.rs
@@ -49,9 +49,17 @@
         owners: &owners,
     };
     let (mut watch, now) = (OwnershipWatch::default(), Instant::now());
-    assert_eq!(watch.look(snapshot, now), [], "nothing has lasted long enough");
+    assert_eq!(
+        watch.look(snapshot, now),
+        [],
+        "nothing has lasted long enough"
+    );
     let changes = watch.look(snapshot, now + duration);
-    assert_eq!(watch.look(snapshot, now + duration), [], "reported only once");
+    assert_eq!(
+        watch.look(snapshot, now + duration),
+        [],
+        "reported only once"
+    );
     changes
 }
 
@@ -81,19 +89,28 @@
     #[case] count: usize,
     #[case] owners: &[&str],
 ) {
-    assert_eq!(reported_changes(listed, &engines(count, 0), owners, LONG), []);
+    assert_eq!(
+        reported_changes(listed, &engines(count, 0), owners, LONG),
+        []
+    );
 }
 
 #[test]
 fn engines_in_domains_without_nodes_are_shared_by_all_nodes() {
     let owners = ["n1", "n1", "n2", "n2"];
-    assert_eq!(reported_changes(&["n1", "n2"], &engines(0, 4), &owners, LONG), []);
+    assert_eq!(
+        reported_changes(&["n1", "n2"], &engines(0, 4), &owners, LONG),
+        []
+    );
 }
 
 #[test]
 fn a_short_problem_is_not_reported() {
     let short = Duration::from_millis(1_900);
-    assert_eq!(reported_changes(&["n2"], &engines(2, 0), &["n2", "n2"], short), []);
+    assert_eq!(
+        reported_changes(&["n2"], &engines(2, 0), &["n2", "n2"], short),
+        []
+    );
 }
 
 #[test]
--- a/crates/relay/tests/readers.rs
+++ b/crates/relay/tests/readers.rs
@@ -18,7 +18,10 @@
 #[case::the_first("n1", None)]
 #[case::the_second("n2", Some("n1"))]
 #[case::a_later_one("n5", Some("n1"))]
-fn a_node_has_the_same_reader_whether_it_is_listed_or_not(#[case] node: &str, #[case] reader: Option<&str>) {
+fn a_node_has_the_same_reader_whether_it_is_listed_or_not(
+    #[case] node: &str,
+    #[case] reader: Option<&str>,
+) {
     let listed = ["n1", "n2", "n3", "n5"].into_iter();
     let others: Vec<NodeRecord> = listed.filter(|other| *other != node).map(record).collect();
     let all: Vec<NodeRecord> = others.iter().cloned().chain([record(node)]).collect();
--- a/crates/relay/tests/rest.rs
+++ b/crates/relay/tests/rest.rs
@@ -35,10 +35,10 @@
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    let backoff_ms = prop_oneof![Just(0), 1..400_u64, 400..4_000_u64, Just(u64::MAX)];
+    let wait_ms = prop_oneof![Just(0), 1..400_u64, 400..4_000_u64, Just(u64::MAX)];
     prop_oneof![
         8 => Just(Event::Ask),
-        2 => (0..UPSTREAMS, backoff_ms).prop_map(|(index, backoff_ms)| Event::Refuse(index, backoff_ms)),
+        2 => (0..UPSTREAMS, wait_ms).prop_map(|(index, wait_ms)| Event::Refuse(index, wait_ms)),
         3 => (0..UPSTREAMS).prop_map(Event::Answer),
         1 => (0..UPSTREAMS).prop_map(Event::Fail),
         1 => (0..UPSTREAMS).prop_map(Event::Relist),
@@ -97,7 +97,7 @@
     fn apply(&mut self, event: &Event) -> Result<(), TestCaseError> {
         match event {
             Event::Ask => self.ask()?,
-            Event::Refuse(index, backoff_ms) => self.refuse(*index, Duration::from_millis(*backoff_ms)),
+            Event::Refuse(index, wait_ms) => self.refuse(*index, Duration::from_millis(*wait_ms)),
             Event::Answer(index) if self.in_flight[*index] > 0 => {
                 let (id, took) = (self.id(*index), Duration::from_millis(20));
                 self.dispatcher.answer_began(&id, 20.0, took, self.now);
@@ -182,7 +182,9 @@
                 let ends = self.dispatcher.rest_ends(&need, now);
                 let all = (0..UPSTREAMS).all(in_backoff);
                 prop_assert!(!all || ends.is_some(), "no return time is given");
-                let first = (0..UPSTREAMS).filter_map(|index| self.earliest_ends[index]).min();
+                let first = (0..UPSTREAMS)
+                    .filter_map(|index| self.earliest_ends[index])
+                    .min();
                 prop_assert!(!all || ends >= first, "the return time is too early");
             }
         }
--- a/crates/relay/tests/restored_store.rs
+++ b/crates/relay/tests/restored_store.rs
@@ -117,7 +117,13 @@
         }
     }
 
-    fn claim(&mut self, own_index: usize, store: &mut Store, previous_owner: Option<Owner>, now: Duration) {
+    fn claim(
+        &mut self,
+        own_index: usize,
+        store: &mut Store,
+        previous_owner: Option<Owner>,
+        now: Duration,
+    ) {
         let is_restarted = self.owned.is_none() && self.lost.is_none();
         let is_settled = self.watch.is_settled(now);
         let predecessor = match previous_owner.filter(|_| is_restarted && is_settled) {
--- a/crates/relay/tests/slot_gate.rs
+++ b/crates/relay/tests/slot_gate.rs
@@ -77,7 +77,9 @@
     }
 
     fn run(mut self, steps: u32, load: impl Fn(u32) -> f64) -> Vec<Outcomes> {
-        self.outcomes = (0..steps / 1_000 + 1).map(|_| Outcomes::default()).collect();
+        self.outcomes = (0..steps / 1_000 + 1)
+            .map(|_| Outcomes::default())
+            .collect();
         let mut returns: Vec<(u32, u32)> = Vec::new();
         let mut number = 0;
         for step in 0..steps {
@@ -264,6 +266,9 @@
     for id in 0..2 {
         assert_eq!(gate.ask(id, not_queueing, now), SlotAnswer::Granted);
     }
-    assert_eq!(gate.ask(2, not_queueing, now), SlotAnswer::Busy { wait_ms: 25 });
+    assert_eq!(
+        gate.ask(2, not_queueing, now),
+        SlotAnswer::Busy { wait_ms: 25 }
+    );
     assert_eq!(gate.release(&2, None, now), []);
 }
--- a/crates/relay/tests/suspects.rs
+++ b/crates/relay/tests/suspects.rs
@@ -52,14 +52,19 @@
     for from in 1..4 {
         let updates = nodes[from].news(now);
         assert!(
-            updates.iter()
+            updates
+                .iter()
                 .all(|(audience, _)| *audience == Audience::Homes)
         );
         let updates: Vec<SuspectTold> = updates.into_iter().map(|(_, update)| update).collect();
         apply_all(&mut nodes[0], &node(from), &updates, now);
     }
     let updates = nodes[0].news(now);
-    assert!(updates.iter().all(|(audience, _)| *audience == Audience::All));
+    assert!(
+        updates
+            .iter()
+            .all(|(audience, _)| *audience == Audience::All)
+    );
     let updates: Vec<SuspectTold> = updates.into_iter().map(|(_, update)| update).collect();
     for suspects in &mut nodes {
         apply_all(suspects, &node(0), &updates, now);
