--- a/crates/relay/src/far_news.rs
+++ b/crates/relay/src/far_news.rs
@@ -1,60 +1,62 @@
-//! Which engines' loads other failure domains are told of.
+//! Chooses engine loads to send to other failure domains.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// How often all loads are told, in exchanges. Engines of other failure domains are a second choice, and bytes
-/// between domains are charged for.
-const ALL_EVERY: u32 = 4;
+/// All loads are sent in every fourth update. Engines of other failure domains are a second choice,
+/// and traffic between domains is billed by the byte.
+const FULL_UPDATE_EVERY: u32 = 4;
 
-/// The change of the requests at an engine from which it is told at once: what they add to the wait there is a
-/// good part of a latency objective.
-const AT_ONCE_REQUESTS: u32 = 3;
+/// A load is sent at once if the number of requests changed by this much: that many add a large
+/// part of a latency objective to the wait at the engine.
+const LARGE_CHANGE: u32 = 3;
 
-/// Tells other failure domains of loads: now and then of all, at once of those that change.
+/// Chooses which engine loads to send to other failure domains: all of them now and then, and large
+/// changes at once.
 ///
-/// Answers an adapter that many nodes turn to at a time: those of other failure domains go on to an engine while
-/// their news of it are from before, and each of them takes it for free.
+/// Otherwise, when many nodes turn to one adapter at the same time, nodes in other failure domains
+/// would keep sending requests to an engine that their outdated loads show as free.
 ///
 /// ```
 /// use nutmegsail_relay::FarNews;
-/// let mut news = FarNews::default();
-/// assert_eq!(news.turn([("e1", 2), ("e2", 0)]), ["e1", "e2"]);
-/// assert_eq!(news.turn([("e1", 3), ("e2", 0)]), [""; 0]);
-/// assert_eq!(news.turn([("e1", 6), ("e2", 0)]), ["e1"]);
+/// let mut included = FarNews::default();
+/// assert_eq!(included.turn([("e1", 2), ("e2", 0)]), ["e1", "e2"]);
+/// assert_eq!(included.turn([("e1", 3), ("e2", 0)]), [""; 0]);
+/// assert_eq!(included.turn([("e1", 6), ("e2", 0)]), ["e1"]);
 /// ```
 #[derive(Clone, Debug)]
 pub struct FarNews<K> {
-    /// The requests at each engine that were told last.
-    told: HashMap<K, u32>,
+    /// The number of requests at each engine when its load was last sent.
+    last_sent: HashMap<K, u32>,
     turns: u32,
 }
 
 impl<K> Default for FarNews<K> {
     fn default() -> Self {
         Self {
-            told: HashMap::new(),
+            last_sent: HashMap::new(),
             turns: 0,
         }
     }
 }
 
 impl<K: Copy + Eq + Hash> FarNews<K> {
-    /// The engines to tell of now, of all that are known, each with the requests there.
+    /// Returns the engines to include in the next update. `engines` lists all known engines and the
+    /// number of requests at each.
     pub fn turn(&mut self, engines: impl IntoIterator<Item = (K, u32)>) -> Vec<K> {
-        let tells_all = self.turns.is_multiple_of(ALL_EVERY);
+        let is_full_update = self.turns.is_multiple_of(FULL_UPDATE_EVERY);
         self.turns = self.turns.wrapping_add(1);
-        let before = std::mem::take(&mut self.told);
-        let mut news = Vec::new();
+        let previous = std::mem::take(&mut self.last_sent);
+        let mut included = Vec::new();
         for (engine, requests) in engines {
-            let told = before.get(&engine).copied().unwrap_or(0);
-            if tells_all || requests.abs_diff(told) >= AT_ONCE_REQUESTS {
-                self.told.insert(engine, requests);
-                news.push(engine);
+            let last_sent = previous.get(&engine).copied().unwrap_or(0);
+            if is_full_update || requests.abs_diff(last_sent) >= LARGE_CHANGE {
+                self.last_sent.insert(engine, requests);
+                included.push(engine);
             } else {
-                self.told.insert(engine, told);
+                self.last_sent.insert(engine, last_sent);
             }
         }
-        news
+        included
     }
 }
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -1,4 +1,4 @@
-//! Rates that upstreams in need have named.
+//! Request rate limits that overloaded upstreams announce in their answers.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -6,42 +6,44 @@
 use nutmegsail_base::UpstreamId;
 use serde::{Deserialize, Serialize};
 
-/// How long an upstream's answers must have named no limit, or a higher one, for that to count. Answers overtake each
-/// other, and an upstream may name it in some only.
-const EASE_SPAN: Duration = Duration::from_secs(2);
+/// How long answers must have announced no limit, or a higher one, before the limit is lifted or
+/// raised. Answers can arrive out of order, and an upstream may announce its limit only in some of
+/// them.
+const RAISE_DELAY: Duration = Duration::from_secs(2);
 
-/// How long the end of a limit is remembered, against what other nodes still tell of it.
-const ENDED_LIFE: Duration = Duration::from_secs(30);
+/// How long the end of a limit is remembered, so that outdated updates from other nodes do not
+/// restore it.
+const LIFTED_TTL: Duration = Duration::from_secs(30);
 
-/// What an answer says of its upstream's limit.
+/// The limit that an answer announces.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LimitSaid {
-    /// Nothing: it takes what it is sent.
+    /// No limit is announced.
     #[default]
     None,
-    /// So many requests a second, from all nodes together.
+    /// Requests per second, from all nodes together.
     PerSecond(f64),
-    /// What cannot be read.
+    /// The value cannot be parsed.
     Malformed,
 }
 
-/// A change of what is known of an upstream's limit.
+/// A change of the known limit of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitChange {
-    /// It holds from now on, in requests a second.
+    /// A new limit is in force, in requests per second.
     Named(f64),
-    /// It has ended.
+    /// The limit was lifted.
     Ended,
 }
 
-/// What a node tells others of one upstream's limit.
+/// An update on one upstream's limit that nodes send to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitTold {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// Requests a second; nothing if it has ended.
+    /// Requests per second, or `None` if the limit was lifted.
     pub per_s: Option<f64>,
-    /// How long ago the upstream said so, in milliseconds.
+    /// How long ago the upstream announced this, in milliseconds.
     pub age_ms: u32,
 }
 
@@ -52,48 +54,53 @@
 /// use nutmegsail_relay::{LimitChange, LimitSaid, Limits};
 /// let (mut limits, now) = (Limits::default(), Instant::now());
 /// let engine = "engine-1@7".into();
-/// let said = LimitSaid::PerSecond(1.5);
-/// assert_eq!(limits.note_answer(&engine, said, now), Some(LimitChange::Named(1.5)));
-/// assert_eq!(limits.note_answer(&engine, said, now), None);
+/// let announced = LimitSaid::PerSecond(1.5);
+/// assert_eq!(limits.note_answer(&engine, announced, now), Some(LimitChange::Named(1.5)));
+/// assert_eq!(limits.note_answer(&engine, announced, now), None);
 /// assert_eq!(limits.per_s(&engine), Some(1.5));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    known: HashMap<UpstreamId, Known>,
+    known: HashMap<UpstreamId, KnownLimit>,
+    /// Number of changes, from answers or from other nodes.
     changes: u64,
+    /// Number of changes from answers to this node.
     own_changes: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
-    /// Requests a second; nothing if it has ended.
+struct KnownLimit {
+    /// Requests per second, or `None` if the limit was lifted.
     per_s: Option<f64>,
-    /// When the upstream last said so.
-    said: Instant,
-    /// Since when its answers have named no limit, or a higher one: the highest of them.
-    easing: Option<(Instant, Option<f64>)>,
+    /// When the upstream last announced this.
+    announced_at: Instant,
+    /// Since when answers have announced no limit or a higher one, and the lowest that they
+    /// announced (`None` if they announced none).
+    pending_rise: Option<(Instant, Option<f64>)>,
 }
 
 impl Limits {
-    /// Takes in what an answer of `upstream` says.
+    /// Processes the limit that an answer of `upstream` announces. Returns the change, if any.
+    ///
+    /// A lower limit applies at once; a higher one, or none, applies after `RAISE_DELAY`.
     pub fn note_answer(
         &mut self,
         upstream: &UpstreamId,
-        said: LimitSaid,
+        announced: LimitSaid,
         now: Instant,
     ) -> Option<LimitChange> {
-        let per_s = match said {
+        let per_s = match announced {
             LimitSaid::PerSecond(per_s) => Some(per_s),
             LimitSaid::None => None,
-            // What cannot be read says that there is a limit, and not which.
+            // A malformed value shows that there is a limit, but not which.
             LimitSaid::Malformed => return None,
         };
         let change = match self.known.get_mut(upstream) {
-            Some(known) => known.note(per_s, now),
+            Some(known) => known.record(per_s, now),
             None => {
                 let per_s = per_s?;
                 self.known
-                    .insert(upstream.clone(), Known::new(Some(per_s), now));
+                    .insert(upstream.clone(), KnownLimit::new(Some(per_s), now));
                 Some(LimitChange::Named(per_s))
             }
         };
@@ -102,49 +109,50 @@
         change
     }
 
-    /// How often what is known has changed.
+    /// Number of changes to the known limits, from answers or from other nodes.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// How often an answer to this node has changed it.
+    /// Number of changes that answers to this node caused.
     pub fn own_changes(&self) -> u64 {
         self.own_changes
     }
 
-    /// The upstreams with a limit, and their limits.
+    /// Upstreams with a limit in force, and those limits in requests per second.
     pub fn in_force(&self) -> impl Iterator<Item = (&UpstreamId, f64)> {
         let known = self.known.iter();
         known.filter_map(|(upstream, known)| Some((upstream, known.per_s?)))
     }
 
-    /// The limit of `upstream` in requests a second, if one is in force.
+    /// The limit of `upstream` in requests per second, if one is in force.
     pub fn per_s(&self, upstream: &UpstreamId) -> Option<f64> {
         self.known.get(upstream)?.per_s
     }
 
-    /// How many upstreams have a limit.
+    /// Number of upstreams with a limit in force.
     pub fn count(&self) -> usize {
         self.in_force().count()
     }
 
-    /// Forgets upstreams that are not listed any more.
+    /// Drops upstreams that are no longer listed, and limits that were lifted long enough ago.
     pub fn forget(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Instant) {
         let before = self.known.len();
         self.known.retain(|upstream, known| {
-            let is_ended = known.per_s.is_none() && now.duration_since(known.said) > ENDED_LIFE;
+            let is_ended =
+                known.per_s.is_none() && now.duration_since(known.announced_at) > LIFTED_TTL;
             is_listed(upstream) && !is_ended
         });
         self.changes += u64::from(self.known.len() != before);
     }
 
-    /// What is known of one upstream.
+    /// The update to send to other nodes about `upstream`, if it is known.
     pub fn told_of(&self, upstream: &UpstreamId, now: Instant) -> Option<LimitTold> {
         let known = self.known.get(upstream)?;
         Some(known.told(upstream, now))
     }
 
-    /// All that is known.
+    /// Updates to send to other nodes about all known upstreams.
     pub fn told(&self, now: Instant) -> Vec<LimitTold> {
         let known = self.known.iter();
         known
@@ -152,44 +160,44 @@
             .collect()
     }
 
-    /// Takes in what another node told.
-    pub fn take(&mut self, told: &LimitTold, now: Instant) -> Option<LimitChange> {
-        let change = self.note_told(told, now);
+    /// Applies an update from another node. Returns the change, if any.
+    pub fn take(&mut self, update: &LimitTold, now: Instant) -> Option<LimitChange> {
+        let change = self.merge_update(update, now);
         self.changes += u64::from(change.is_some());
         change
     }
 
-    fn note_told(&mut self, told: &LimitTold, now: Instant) -> Option<LimitChange> {
-        let age = Duration::from_millis(u64::from(told.age_ms));
-        let said = now.checked_sub(age).unwrap_or(now);
-        let per_s = told.per_s.filter(|per_s| is_rate(*per_s));
-        let Some(known) = self.known.get_mut(&told.upstream) else {
+    fn merge_update(&mut self, update: &LimitTold, now: Instant) -> Option<LimitChange> {
+        let age = Duration::from_millis(u64::from(update.age_ms));
+        let announced_at = now.checked_sub(age).unwrap_or(now);
+        let per_s = update.per_s.filter(|per_s| is_rate(*per_s));
+        let Some(known) = self.known.get_mut(&update.upstream) else {
             if per_s.is_some() {
-                let known = Known::new(per_s, said);
-                self.known.insert(told.upstream.clone(), known);
+                let known = KnownLimit::new(per_s, announced_at);
+                self.known.insert(update.upstream.clone(), known);
             }
             return per_s.map(LimitChange::Named);
         };
-        if said <= known.said {
+        if announced_at <= known.announced_at {
             return None;
         }
         let before = known.per_s;
-        *known = Known::new(per_s, said);
+        *known = KnownLimit::new(per_s, announced_at);
         change(before, per_s)
     }
 }
 
-impl Known {
-    fn new(per_s: Option<f64>, said: Instant) -> Self {
+impl KnownLimit {
+    fn new(per_s: Option<f64>, announced_at: Instant) -> Self {
         Self {
             per_s,
-            said,
-            easing: None,
+            announced_at,
+            pending_rise: None,
         }
     }
 
     fn told(&self, upstream: &UpstreamId, now: Instant) -> LimitTold {
-        let age_ms = now.duration_since(self.said).as_millis();
+        let age_ms = now.duration_since(self.announced_at).as_millis();
         LimitTold {
             upstream: upstream.clone(),
             per_s: self.per_s,
@@ -197,29 +205,29 @@
         }
     }
 
-    fn note(&mut self, said: Option<f64>, now: Instant) -> Option<LimitChange> {
+    fn record(&mut self, announced: Option<f64>, now: Instant) -> Option<LimitChange> {
         let before = self.per_s;
-        let is_lower = match (said, before) {
-            (Some(said), Some(before)) => said <= before,
-            (said, None) => said.is_some(),
+        let is_lower = match (announced, before) {
+            (Some(announced), Some(before)) => announced <= before,
+            (announced, None) => announced.is_some(),
             (None, Some(_)) => false,
         };
-        if is_lower || said == before {
-            *self = Self::new(said, now);
-            return change(before, said);
+        if is_lower || announced == before {
+            *self = Self::new(announced, now);
+            return change(before, announced);
         }
-        let (since, highest) = self.easing.unwrap_or((now, said));
-        let highest = match (highest, said) {
-            (Some(highest), Some(said)) => Some(highest.min(said)),
+        let (since, lowest) = self.pending_rise.unwrap_or((now, announced));
+        let lowest = match (lowest, announced) {
+            (Some(lowest), Some(announced)) => Some(lowest.min(announced)),
             (Some(lower), None) | (None, Some(lower)) => Some(lower),
             (None, None) => None,
         };
-        if now.duration_since(since) < EASE_SPAN {
-            self.easing = Some((since, highest));
+        if now.duration_since(since) < RAISE_DELAY {
+            self.pending_rise = Some((since, lowest));
             return None;
         }
-        *self = Self::new(highest, now);
-        change(before, highest)
+        *self = Self::new(lowest, now);
+        change(before, lowest)
     }
 }
 
@@ -231,13 +239,13 @@
     }
 }
 
-/// Whether a number can be a rate.
+/// Whether a number is a valid rate.
 fn is_rate(per_s: f64) -> bool {
     per_s.is_finite() && per_s >= 0.0
 }
 
 impl LimitSaid {
-    /// What a text says.
+    /// Parses an announced limit.
     ///
     /// ```
     /// use nutmegsail_relay::LimitSaid;
--- a/crates/relay/src/listing.rs
+++ b/crates/relay/src/listing.rs
@@ -1,4 +1,4 @@
-//! Which entries of the list of upstreams count.
+//! Filters outdated entries out of the list of upstreams.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,37 +8,37 @@
 
 use crate::{Upstream, UpstreamState};
 
-/// How long a name is remembered that is not listed any more. A delayed write comes within seconds.
-const NAME_LIFE: Duration = Duration::from_secs(60);
+/// How long a name is remembered after it was last seen. Delayed writes arrive within seconds.
+const NAME_TTL: Duration = Duration::from_secs(60);
 
-/// An entry as it was read.
+/// An entry of the list of upstreams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamEntry {
-    /// What it says.
+    /// The upstream that it describes.
     pub upstream: Upstream,
-    /// The count of heartbeats since the upstream's start.
+    /// Number of heartbeats since the upstream started.
     pub heartbeat: u64,
 }
 
-/// Why an entry does not count.
+/// Why an entry is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum EntryFault {
-    /// A later start of the same name is known.
-    #[error("a later start of this name is known")]
+    /// A process that started later under the same name is known.
+    #[error("a process that started later under this name is known")]
     OlderStart,
-    /// A later heartbeat of the same start is known.
-    #[error("a later heartbeat of this start is known")]
+    /// A later heartbeat of the same process is known.
+    #[error("a later heartbeat of this process is known")]
     OlderHeartbeat,
-    /// It does not say when its process started, though others do.
-    #[error("it does not say when its process started")]
+    /// It has no start time, although other entries have one.
+    #[error("the entry has no start time")]
     NoStart,
 }
 
-/// The newest that was said under each name.
+/// The newest entry seen under each name.
 ///
-/// Writes to the store may be delayed by seconds and come after newer ones. Taken at its word, such
-/// an entry would bring back a process that has ended, with all it held, or have one that leaves
-/// take work again.
+/// Writes to the store can be delayed by seconds and arrive after newer ones. Accepting such an
+/// entry would bring back a process that has ended, with everything it held, or send new work to
+/// one that is leaving.
 ///
 /// ```
 /// use std::time::Instant;
@@ -65,65 +65,67 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    newest: HashMap<Arc<str>, Newest>,
-    /// Whether entries say when their processes started.
-    tells_starts: bool,
+    newest: HashMap<Arc<str>, NewestEntry>,
+    /// Whether entries have start times.
+    has_start_times: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Newest {
+struct NewestEntry {
     started_ms: Option<u64>,
     heartbeat: u64,
     is_leaving: bool,
-    seen: Instant,
+    last_seen: Instant,
 }
 
 impl Listing {
-    /// Takes in an entry, and returns the upstream if it is the newest of its name.
+    /// Accepts an entry and returns the upstream, if the entry is the newest of its name.
     ///
     /// # Errors
     ///
-    /// [`EntryFault`] if it does not count.
+    /// [`EntryFault`] if the entry is outdated or has no start time.
     pub fn admit(&mut self, entry: UpstreamEntry, now: Instant) -> Result<Upstream, EntryFault> {
         let UpstreamEntry {
             mut upstream,
             heartbeat,
         } = entry;
-        self.tells_starts |= upstream.started_ms.is_some();
-        if self.tells_starts && upstream.started_ms.is_none() {
+        self.has_start_times |= upstream.started_ms.is_some();
+        if self.has_start_times && upstream.started_ms.is_none() {
             return Err(EntryFault::NoStart);
         }
         let known = self.newest.get(&upstream.name);
         let mut is_leaving = !upstream.takes_work();
         if let Some(known) = known {
             known.check(&upstream, heartbeat)?;
-            // Whoever leaves ends; it never takes work again.
+            // A leaving process never takes work again.
             is_leaving |= known.is_leaving && known.started_ms == upstream.started_ms;
         }
         if is_leaving && upstream.takes_work() {
             upstream.state = UpstreamState::Draining { remaining: None };
         }
-        let newest = Newest {
+        let newest = NewestEntry {
             started_ms: upstream.started_ms,
             heartbeat,
             is_leaving,
-            seen: now,
+            last_seen: now,
         };
         self.newest.insert(Arc::clone(&upstream.name), newest);
         Ok(upstream)
     }
 
-    /// Forgets names that are not listed and were not seen for a minute.
+    /// Drops names that are not listed and have not been seen for a minute.
     pub fn forget_old(&mut self, is_listed: impl Fn(&str) -> bool, now: Instant) {
-        self.newest
-            .retain(|name, newest| is_listed(name) || now.duration_since(newest.seen) < NAME_LIFE);
+        self.newest.retain(|name, newest| {
+            is_listed(name) || now.duration_since(newest.last_seen) < NAME_TTL
+        });
     }
 }
 
-impl Newest {
-    /// Whether an entry of the same name is newer, or as new.
+impl NewestEntry {
+    /// Rejects an entry of the same name that is older.
     ///
-    /// Where starts are not told, each start has a name of its own, and heartbeats need no check.
+    /// Where entries have no start times, each process has a name of its own, and heartbeats are
+    /// not compared.
     fn check(&self, upstream: &Upstream, heartbeat: u64) -> Result<(), EntryFault> {
         if upstream.started_ms < self.started_ms {
             return Err(EntryFault::OlderStart);
--- a/crates/relay/src/ownership_watch.rs
+++ b/crates/relay/src/ownership_watch.rs
@@ -1,4 +1,4 @@
-//! Whether engines are owned as they should be.
+//! Detects engines whose owners are missing or unevenly distributed.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -9,49 +9,50 @@
 
 use crate::{NodeRecord, Upstream};
 
-/// How long something must be wrong before it is told: owners change within a second when nodes or engines come and go.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// How long a problem must last before it is reported: ownership moves within a second when nodes
+/// or engines come and go.
+const REPORT_DELAY: Duration = Duration::from_secs(2);
 
-/// How many times its part a node may own.
-const MOST_PARTS: usize = 2;
+/// How many times its fair share a node may own.
+const MAX_FAIR_SHARES: usize = 2;
 
-/// What is wrong with the owners of engines, as one node sees it.
+/// A problem with the ownership of engines, as one node sees it.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash)]
 pub enum OwnershipConcern {
-    /// The node is not listed, so it can own nothing and the others ask nothing of it.
+    /// The node is not listed, so it can own no engine and other nodes send it no requests.
     #[display("not_listed")]
     NotListed,
-    /// Its failure domain has an engine or more for each of its nodes, and it owns none.
+    /// The node owns no engine, although its failure domain has at least as many engines as nodes.
     #[display("owns_none")]
     OwnsNone,
-    /// A node owns more than twice its part. All loads of these engines wait for it.
+    /// A node owns more than twice its fair share. All loads on these engines wait for it.
     #[display("owns_too_many")]
     OwnsTooMany(NodeId),
 }
 
-/// What is known of nodes, engines and owners at one time.
+/// A snapshot of nodes, engines and owners.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnersNow<'a> {
-    /// The node that looks.
+    /// The observing node.
     pub node: &'a NodeId,
-    /// Nodes that are listed.
+    /// Listed nodes.
     pub nodes: &'a [NodeRecord],
     /// Engines that take work.
     pub engines: &'a [&'a Upstream],
-    /// Who owns which.
+    /// The owner of each owned engine.
     pub owners: &'a HashMap<UpstreamId, NodeId>,
 }
 
-/// A concern that began or ended.
+/// A problem that began or ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConcernChange {
-    /// It has lasted for a while.
+    /// It has lasted long enough to be reported.
     Began(OwnershipConcern),
-    /// It is over.
+    /// It was reported and is over.
     Ended(OwnershipConcern),
 }
 
-/// Looks time and again whether engines are owned as they should be.
+/// Checks periodically whether the ownership of engines is as it should be.
 ///
 /// ```
 /// use std::collections::HashMap;
@@ -59,42 +60,45 @@
 /// use nutmegsail_relay::{ConcernChange, OwnersNow, OwnershipConcern, OwnershipWatch};
 /// let (mut watch, now) = (OwnershipWatch::default(), Instant::now());
 /// let (node, owners) = ("n1".into(), HashMap::new());
-/// let seen = OwnersNow { node: &node, nodes: &[], engines: &[], owners: &owners };
-/// assert_eq!(watch.look(seen, now), []);
+/// let snapshot = OwnersNow { node: &node, nodes: &[], engines: &[], owners: &owners };
+/// assert_eq!(watch.look(snapshot, now), []);
 /// let later = now + Duration::from_secs(3);
-/// assert_eq!(watch.look(seen, later), [ConcernChange::Began(OwnershipConcern::NotListed)]);
+/// assert_eq!(watch.look(snapshot, later), [ConcernChange::Began(OwnershipConcern::NotListed)]);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct OwnershipWatch {
-    /// Since when each concern has lasted, and whether it was told.
-    concerns: HashMap<OwnershipConcern, Lasting>,
+    /// Current problems: since when each has lasted, and whether it was reported.
+    concerns: HashMap<OwnershipConcern, OngoingConcern>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Lasting {
+struct OngoingConcern {
     since: Instant,
-    is_told: bool,
+    is_reported: bool,
 }
 
 impl OwnershipWatch {
-    /// Looks at `seen`, and returns what is to be told.
-    pub fn look(&mut self, seen: OwnersNow<'_>, now: Instant) -> Vec<ConcernChange> {
-        let concerns = seen.concerns();
+    /// Checks a snapshot and returns the changes to report.
+    pub fn look(&mut self, snapshot: OwnersNow<'_>, now: Instant) -> Vec<ConcernChange> {
+        let concerns = snapshot.concerns();
         let mut changes = Vec::new();
-        self.concerns.retain(|concern, lasting| {
-            let goes_on = concerns.contains(concern);
-            if !goes_on && lasting.is_told {
+        self.concerns.retain(|concern, ongoing| {
+            let continues = concerns.contains(concern);
+            if !continues && ongoing.is_reported {
                 changes.push(ConcernChange::Ended(concern.clone()));
             }
-            goes_on
+            continues
         });
         for concern in concerns {
-            let lasting = self.concerns.entry(concern.clone()).or_insert(Lasting {
-                since: now,
-                is_told: false,
-            });
-            let is_due = now.duration_since(lasting.since) > PATIENCE;
-            if is_due && !std::mem::replace(&mut lasting.is_told, true) {
+            let ongoing = self
+                .concerns
+                .entry(concern.clone())
+                .or_insert(OngoingConcern {
+                    since: now,
+                    is_reported: false,
+                });
+            let is_due = now.duration_since(ongoing.since) > REPORT_DELAY;
+            if is_due && !std::mem::replace(&mut ongoing.is_reported, true) {
                 changes.push(ConcernChange::Began(concern));
             }
         }
@@ -120,7 +124,7 @@
     }
 }
 
-/// Engines and nodes by failure domain, and engines by owner.
+/// Numbers of engines and nodes by failure domain, and of engines by owner.
 struct Counts<'a> {
     engines_in: HashMap<&'a FailureDomain, usize>,
     nodes_in: HashMap<&'a FailureDomain, usize>,
@@ -129,14 +133,14 @@
 }
 
 impl<'a> Counts<'a> {
-    fn of(seen: &OwnersNow<'a>) -> Self {
-        let domains = seen.engines.iter().map(|engine| &engine.failure_domain);
-        let owners = seen.engines.iter();
+    fn of(snapshot: &OwnersNow<'a>) -> Self {
+        let domains = snapshot.engines.iter().map(|engine| &engine.failure_domain);
+        let owners = snapshot.engines.iter();
         Self {
             engines_in: count(domains),
-            nodes_in: count(seen.nodes.iter().map(|record| &record.failure_domain)),
-            owned: count(owners.filter_map(|engine| seen.owners.get(&engine.id))),
-            nodes: seen.nodes.len(),
+            nodes_in: count(snapshot.nodes.iter().map(|record| &record.failure_domain)),
+            owned: count(owners.filter_map(|engine| snapshot.owners.get(&engine.id))),
+            nodes: snapshot.nodes.len(),
         }
     }
 
@@ -152,19 +156,20 @@
     }
 
     fn owns_too_many(&self, record: &NodeRecord) -> bool {
-        self.owned(record) > self.part(record) * MOST_PARTS
+        self.owned(record) > self.fair_share(record) * MAX_FAIR_SHARES
     }
 
-    /// How many engines fall to a node, rounded up: its part of those of its failure domain, and of those that stand
-    /// where no node is.
-    fn part(&self, record: &NodeRecord) -> usize {
+    /// The fair share of a node, rounded up: of the engines in its failure domain, and of those in
+    /// failure domains without nodes.
+    fn fair_share(&self, record: &NodeRecord) -> usize {
         let domain = &record.failure_domain;
         let engines = self.engines_in.get(domain).copied().unwrap_or(0);
         let nodes = self.nodes_in.get(domain).copied().unwrap_or(1);
-        let alone = self.engines_in.iter();
-        let alone = alone.filter(|(domain, _)| !self.nodes_in.contains_key(*domain));
-        let alone: usize = alone.map(|(_, engines)| engines).sum();
-        (engines.div_ceil(nodes) + alone.div_ceil(self.nodes)).max(1)
+        let in_empty_domains = self.engines_in.iter();
+        let in_empty_domains =
+            in_empty_domains.filter(|(domain, _)| !self.nodes_in.contains_key(*domain));
+        let in_empty_domains: usize = in_empty_domains.map(|(_, engines)| engines).sum();
+        (engines.div_ceil(nodes) + in_empty_domains.div_ceil(self.nodes)).max(1)
     }
 }
 
--- a/crates/relay/src/retry_budget.rs
+++ b/crates/relay/src/retry_budget.rs
@@ -1,30 +1,30 @@
-//! How often this node may send a request once more.
+//! Limits how often this node retries requests.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// The bounds of [`RetryBudget`].
+/// The limits of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetRules {
-    /// Further sends that each first send allows, over all nodes.
+    /// Retries allowed per first attempt, over all nodes.
     pub ratio: f64,
-    /// Further sends that are allowed besides, in one window, over all nodes.
+    /// Retries allowed in addition in each window, over all nodes.
     pub slack: f64,
     /// The window.
     pub window: Duration,
 }
 
-/// The part of the fleet's budget that nodes leave unused, so that two windows that slide apart
-/// and sends still on their way do not add up to more than the whole.
+/// Share of the fleet's budget that nodes use. The remainder is a margin, so that windows that are not
+/// aligned, and attempts in flight, do not add up to more than the whole.
 const USED_SHARE: f64 = 0.6;
 
-/// Steps that the window is counted in.
+/// Number of steps that the window is counted in.
 const STEPS: u32 = 10;
 
-/// Counts sends of one service at one node.
+/// Retry budget of one service at one node.
 ///
-/// Each node takes a static share of the slack, so no call is needed to agree on it, and a node
-/// that is cut off keeps within it. The ratio needs no sharing: it goes with the node's own sends.
+/// Each node gets a fixed share of the slack, so nodes need not coordinate, and one that is cut off
+/// stays within its share. The ratio needs no sharing: it applies to the node's own first attempts.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     rules: RetryBudgetRules,
@@ -34,12 +34,14 @@
 #[derive(Clone, Copy, Debug)]
 struct Step {
     began: Instant,
-    first: u32,
-    further: u32,
+    /// First attempts.
+    first_attempts: u32,
+    /// Retries.
+    retries: u32,
 }
 
 impl RetryBudget {
-    /// A budget in which nothing was spent.
+    /// Creates an unused budget.
     pub fn new(rules: RetryBudgetRules) -> Self {
         Self {
             rules,
@@ -47,26 +49,26 @@
         }
     }
 
-    /// Counts a request's first send.
+    /// Counts a request's first attempt.
     pub fn count_first(&mut self, now: Instant) {
-        self.step(now).first += 1;
+        self.step(now).first_attempts += 1;
     }
 
-    /// Whether a further send fits the budget, for one of `nodes` nodes.
+    /// Whether the budget allows a retry, at one of `nodes` nodes.
     pub fn has_further(&mut self, nodes: usize, now: Instant) -> bool {
         self.step(now);
-        let first: u32 = self.steps.iter().map(|step| step.first).sum();
-        let further: u32 = self.steps.iter().map(|step| step.further).sum();
+        let first_attempts: u32 = self.steps.iter().map(|step| step.first_attempts).sum();
+        let retries: u32 = self.steps.iter().map(|step| step.retries).sum();
         let slack = self.rules.slack / nodes.max(1) as f64;
-        let allowed = USED_SHARE * (self.rules.ratio * f64::from(first) + slack);
-        f64::from(further) + 1.0 <= allowed
+        let allowed = USED_SHARE * (self.rules.ratio * f64::from(first_attempts) + slack);
+        f64::from(retries) + 1.0 <= allowed
     }
 
-    /// Counts a further send of a request if the budget has room for it.
+    /// Counts a retry if the budget allows it. Returns whether it does.
     pub fn take_further(&mut self, nodes: usize, now: Instant) -> bool {
         let has_room = self.has_further(nodes, now);
         if has_room {
-            self.step(now).further += 1;
+            self.step(now).retries += 1;
         }
         has_room
     }
@@ -80,12 +82,12 @@
         {
             self.steps.pop_front();
         }
-        let is_current = |step: &Step| now.duration_since(step.began) < window / STEPS;
-        if !self.steps.back().is_some_and(is_current) {
+        let is_current_step = |step: &Step| now.duration_since(step.began) < window / STEPS;
+        if !self.steps.back().is_some_and(is_current_step) {
             self.steps.push_back(Step {
                 began: now,
-                first: 0,
-                further: 0,
+                first_attempts: 0,
+                retries: 0,
             });
         }
         let last = self.steps.len() - 1;
--- a/crates/relay/src/return_time.rs
+++ b/crates/relay/src/return_time.rs
@@ -1,21 +1,23 @@
-//! When callers are asked to return.
+//! When refused callers are told to return.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt as _};
 
-/// The time over which callers return, as a part of the time that they wait.
+/// The interval over which returning callers are spread, as a share of the wait.
 const SPREAD_SHARE: f64 = 0.5;
 
-/// The least time over which they return.
-const LEAST_SPREAD: Duration = Duration::from_millis(250);
+/// Lower bound on that interval.
+const MIN_SPREAD: Duration = Duration::from_millis(250);
 
-/// Ranks that are told apart.
-const RANKS: u8 = 5;
+/// Number of priorities that are distinguished. Higher numbers are treated like the last of them.
+const PRIORITIES: u8 = 5;
 
-/// When the caller of a request of `rank` is asked to return, if it can be served after `wait` at the earliest.
+/// Returns when a caller with a request of priority `rank` should return, if it can be served after
+/// `wait` at the earliest.
 ///
-/// Spread, so that those who were refused together don't return together; the most urgent, of rank 0, come first.
+/// Callers are spread at random, so that those refused together do not return together. The most
+/// urgent, of priority 0, return first.
 ///
 /// ```
 /// use std::time::Duration;
@@ -26,7 +28,7 @@
 /// assert!(wait <= urgent && urgent < routine);
 /// ```
 pub fn return_after(wait: Duration, rank: u8, random: &mut dyn Rng) -> Duration {
-    let spread = wait.mul_f64(SPREAD_SHARE).max(LEAST_SPREAD);
-    let place = f64::from(rank.min(RANKS - 1)) + random.random::<f64>();
-    wait + spread.mul_f64(place / f64::from(RANKS))
+    let spread = wait.mul_f64(SPREAD_SHARE).max(MIN_SPREAD);
+    let place = f64::from(rank.min(PRIORITIES - 1)) + random.random::<f64>();
+    wait + spread.mul_f64(place / f64::from(PRIORITIES))
 }
--- a/crates/relay/src/stated_patience.rs
+++ b/crates/relay/src/stated_patience.rs
@@ -1,25 +1,25 @@
-//! Which callers have waited before, told by the time that they say they wait.
+//! Infers how long a returning caller has waited from the timeout that it states.
 
 use std::time::Duration;
 
-/// Requests of the same patience after which it is known well.
-const WELL_KNOWN: u32 = 16;
+/// Upper bound on the votes for the usual timeout, reached after as many requests that state it.
+const MAX_VOTES: u32 = 16;
 
-/// The patience that the callers of a route state as a rule.
+/// The timeout that callers of a route usually state.
 ///
-/// A caller that was refused and returns states what is left of its patience, so the difference is how long
-/// it has waited. The most frequent value counts, not the largest: one caller with endless patience must
-/// not make all others look late.
+/// A caller that was refused and returns states the time it has left, so the difference to the
+/// usual timeout is how long it has waited. The usual timeout is the most frequent one, not the
+/// largest: one caller with an unlimited timeout must not make all others look late.
 ///
 /// ```
 /// use std::time::Duration;
 /// use nutmegsail_relay::StatedPatience;
 /// let seconds = Duration::from_secs;
-/// let mut patience = StatedPatience::default();
-/// assert_eq!(patience.waited(seconds(3)), Duration::ZERO);
-/// assert_eq!(patience.waited(seconds(3)), Duration::ZERO);
-/// assert_eq!(patience.waited(seconds(2)), seconds(1));
-/// assert_eq!(patience.waited(seconds(60)), Duration::ZERO);
+/// let mut usual = StatedPatience::default();
+/// assert_eq!(usual.waited(seconds(3)), Duration::ZERO);
+/// assert_eq!(usual.waited(seconds(3)), Duration::ZERO);
+/// assert_eq!(usual.waited(seconds(2)), seconds(1));
+/// assert_eq!(usual.waited(seconds(60)), Duration::ZERO);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StatedPatience {
@@ -28,16 +28,16 @@
 }
 
 impl StatedPatience {
-    /// How long a caller has waited before that states `patience`.
-    pub fn waited(&mut self, patience: Duration) -> Duration {
-        // The majority vote of Boyer and Moore.
-        if patience == self.usual {
-            self.votes = (self.votes + 1).min(WELL_KNOWN);
+    /// Returns how long a caller that states `timeout` has waited so far.
+    pub fn waited(&mut self, timeout: Duration) -> Duration {
+        // Boyer-Moore majority vote.
+        if timeout == self.usual {
+            self.votes = (self.votes + 1).min(MAX_VOTES);
         } else if self.votes == 0 {
-            (self.usual, self.votes) = (patience, 1);
+            (self.usual, self.votes) = (timeout, 1);
         } else {
             self.votes -= 1;
         }
-        self.usual.saturating_sub(patience)
+        self.usual.saturating_sub(timeout)
     }
 }
--- a/crates/relay/src/suspects.rs
+++ b/crates/relay/src/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that upstreams ended under.
+//! Requests suspected of crashing upstreams.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -9,61 +9,68 @@
 
 use crate::RequestDigest;
 
-/// How many upstreams may end under a request before it is sent to no other one. Fewer would refuse callers whose
-/// upstreams happened to crash twice; each one more costs all that runs on another upstream.
+/// How many upstreams may end while running a request before it is sent to no further one. A lower
+/// limit would refuse callers whose upstreams happened to crash twice; with a higher one, each
+/// further crash also takes down everything else that runs on that upstream.
 pub const STRIKES_LIMIT: usize = 3;
 
-/// How long an end is held against a request. Whoever repeats it later than that starts anew.
-const STRIKE_LIFE: Duration = Duration::from_secs(600);
+/// How long a strike counts against a request. A request repeated later than that starts without
+/// strikes.
+const STRIKE_TTL: Duration = Duration::from_secs(600);
 
-/// How long a request that was answered whole counts as such, against ends of before that other nodes still tell of.
-const CLEARED_LIFE: Duration = Duration::from_secs(60);
+/// How long a request that was answered in full stays cleared, so that strikes from before, which
+/// other nodes still send, are ignored.
+const CLEARED_TTL: Duration = Duration::from_secs(60);
 
-/// How long a node's word is relied on that it has a request at an upstream.
-const TRIAL_LIFE: Duration = Duration::from_secs(3);
+/// How long another node's count of the copies it has at upstreams is valid.
+const TRIAL_TTL: Duration = Duration::from_secs(3);
 
-/// How many ends make a request a suspect at every node. Most that were under one end crash nothing.
-const WIDE_STRIKES: usize = 2;
+/// Number of strikes from which updates on a request go to all nodes. Most requests with one strike
+/// crash nothing.
+const BROADCAST_STRIKES: usize = 2;
 
-/// How often a change is told, as single messages are lost.
-const TELL_ROUNDS: u8 = 2;
+/// How often a change is sent, because single messages can be lost.
+const SEND_COUNT: u8 = 2;
 
-/// How often, and for how long, a node tells again of the one end that it saw: the others may be out of touch.
-const RETELL_INTERVAL: Duration = Duration::from_secs(2);
-const RETELL_SPAN: Duration = Duration::from_secs(30);
+/// How often, and for how long, a node repeats a single strike that it saw itself: the nodes that
+/// collect strikes may be unreachable at first.
+const RESEND_INTERVAL: Duration = Duration::from_secs(2);
+const RESEND_PERIOD: Duration = Duration::from_secs(30);
 
-/// The most requests that are remembered. Beyond it those with the fewest ends are forgotten first, an eighth at a time.
-const RECORDS_LIMIT: usize = 512;
+/// Most requests that are remembered. Beyond it, an eighth is dropped at a time, those with the
+/// fewest strikes first.
+const MAX_RECORDS: usize = 512;
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Suspicion {
-    /// It may.
+    /// It may be sent.
     None,
-    /// Not yet: so many of it are at upstreams that it could end more than the limit.
+    /// Not yet: so many copies are at upstreams that their crashes could exceed the limit.
     OnTrial,
-    /// No: that many upstreams ended under it.
+    /// No: the limit is reached.
     Crashes,
 }
 
-/// Who is told of a request.
+/// Which nodes receive an update about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Audience {
-    /// One node of each failure domain, chosen by the request, where what several nodes saw comes together.
+    /// One node of each failure domain, chosen by hash of the request, which collects what other
+    /// nodes saw.
     Homes,
     /// All nodes.
     All,
 }
 
-/// What a node tells others of one request. Ages are in milliseconds.
+/// An update about one request that nodes send to each other. Ages are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectTold {
     digest: RequestDigest,
-    /// Upstreams that ended, by a hash of their ids, and how long ago.
+    /// Upstreams that ended, by hash of their ids, and how long ago.
     strikes: Vec<(u64, u32)>,
-    /// How long ago it was answered whole.
+    /// How long ago the request was answered in full.
     cleared: Option<u32>,
-    /// How many of it the sender has at upstreams.
+    /// How many copies the sender has at upstreams.
     trials: u32,
 }
 
@@ -74,11 +81,12 @@
     }
 }
 
-/// The ends of upstreams that are held against requests, as one node knows them.
+/// Strikes against requests, as one node knows them.
 ///
-/// A request stands for all that have its content, whoever sends them, through whichever node. All that were
-/// beginning when their upstream ended are struck; what crashed it is among them, and comes again with the next one.
-/// A whole answer clears.
+/// A request stands for all copies with the same content, whichever caller sends them through
+/// whichever node. When an upstream ends, every request that was starting there gets a strike. The
+/// one that crashed it is among them, and gets another with the next upstream that it crashes. A
+/// full answer clears a request.
 ///
 /// ```
 /// use std::time::Instant;
@@ -101,19 +109,21 @@
 
 #[derive(Clone, Debug, Default)]
 struct Record {
-    /// One for each upstream; no more than the limit.
+    /// One for each upstream, at most [`STRIKES_LIMIT`].
     strikes: Vec<Strike>,
     cleared: Option<Instant>,
-    /// How many this node has at upstreams.
+    /// How many copies this node has at upstreams.
     own_trials: u32,
-    trials_elsewhere: HashMap<NodeId, (u32, Instant)>,
-    /// Whether all nodes are told of it.
-    is_wide: bool,
-    /// Whether this node saw an end itself.
+    /// How many copies other nodes have at upstreams, and when each update arrived.
+    trials_of_others: HashMap<NodeId, (u32, Instant)>,
+    /// Whether updates on the request go to all nodes.
+    is_broadcast: bool,
+    /// Whether this node saw one of the upstreams end.
     is_own: bool,
-    /// How often it is to be told yet, and when it was told last.
-    rounds: u8,
-    told: Option<Instant>,
+    /// How many more times an update is to be sent.
+    sends_left: u8,
+    /// When an update on the request was last sent.
+    last_sent: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -123,13 +133,13 @@
 }
 
 impl Strike {
-    fn is_held(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) < STRIKE_LIFE
+    fn is_valid(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.at) < STRIKE_TTL
     }
 }
 
 impl Suspects {
-    /// Holds the end of `upstream` against a request.
+    /// Adds a strike to a request because `upstream` ended.
     pub fn strike(&mut self, digest: RequestDigest, upstream: &UpstreamId, now: Instant) {
         let strike = Strike {
             upstream: xxh3_64(upstream.as_bytes()),
@@ -138,19 +148,19 @@
         let record = self.records.entry(digest).or_default();
         if record.add(strike, now) {
             record.is_own = true;
-            record.rounds = TELL_ROUNDS;
+            record.sends_left = SEND_COUNT;
         }
-        self.keep_to_limit(now);
+        self.enforce_limit(now);
     }
 
-    /// Takes in that a request was answered whole.
+    /// Clears a request that was answered in full.
     pub fn clear(&mut self, digest: &RequestDigest, now: Instant) {
         let Some(record) = self.records.get_mut(digest) else {
             return;
         };
         if !record.strikes.is_empty() {
             record.clear(now);
-            record.rounds = TELL_ROUNDS;
+            record.sends_left = SEND_COUNT;
         }
     }
 
@@ -162,31 +172,34 @@
         let strikes = record.strikes(now).count();
         match strikes + record.trials(now) {
             _ if strikes >= STRIKES_LIMIT => Suspicion::Crashes,
-            at_stake if strikes > 0 && at_stake >= STRIKES_LIMIT => Suspicion::OnTrial,
+            possible_strikes if strikes > 0 && possible_strikes >= STRIKES_LIMIT => {
+                Suspicion::OnTrial
+            }
             _ => Suspicion::None,
         }
     }
 
-    /// Counts a request as sent if upstreams ended under it, and says whether it did.
+    /// Counts a copy as sent if the request has strikes. Returns whether it does.
     pub fn begin_trial(&mut self, digest: &RequestDigest, now: Instant) -> bool {
         let record = self.records.get_mut(digest);
         let Some(record) = record.filter(|record| record.strikes(now).next().is_some()) else {
             return false;
         };
         record.own_trials += 1;
-        record.tell_trials();
+        record.schedule_trial_update();
         true
     }
 
-    /// Takes in that a request that was counted by [`Suspects::begin_trial`] has ended, or runs on without harm.
+    /// Uncounts a copy counted by [`Suspects::begin_trial`], which has ended or run long enough to
+    /// be harmless.
     pub fn end_trial(&mut self, digest: &RequestDigest) {
         if let Some(record) = self.records.get_mut(digest) {
             record.own_trials = record.own_trials.saturating_sub(1);
-            record.tell_trials();
+            record.schedule_trial_update();
         }
     }
 
-    /// How long ago each end was that is held against a request.
+    /// The age of each strike against a request.
     pub fn ages(&self, digest: &RequestDigest, now: Instant) -> Vec<Duration> {
         let record = self.records.get(digest);
         let strikes = record.into_iter().flat_map(|record| record.strikes(now));
@@ -195,81 +208,83 @@
             .collect()
     }
 
-    /// How many requests are refused, and how many upstreams ended under at least once.
+    /// Numbers of requests that are refused and of requests with at least one strike.
     pub fn counts(&self, now: Instant) -> (usize, usize) {
         let strikes = self.records.values();
         let strikes = strikes.map(|record| record.strikes(now).count());
-        strikes.fold((0, 0), |(refused, struck), strikes| {
+        strikes.fold((0, 0), |(refused, suspected), strikes| {
             let refused = refused + usize::from(strikes >= STRIKES_LIMIT);
-            (refused, struck + usize::from(strikes > 0))
+            (refused, suspected + usize::from(strikes > 0))
         })
     }
 
-    /// What is to be told now.
+    /// Returns the updates to send now, with the nodes to send each to.
     pub fn news(&mut self, now: Instant) -> Vec<(Audience, SuspectTold)> {
         self.forget_old(now);
         let due = self.records.iter_mut();
-        let due = due.filter(|(_, record)| record.is_to_be_told(now));
+        let due = due.filter(|(_, record)| record.is_send_due(now));
         due.map(|(digest, record)| {
-            record.rounds = record.rounds.saturating_sub(1);
-            record.told = Some(now);
-            let audience = match record.is_wide {
+            record.sends_left = record.sends_left.saturating_sub(1);
+            record.last_sent = Some(now);
+            let audience = match record.is_broadcast {
                 true => Audience::All,
                 false => Audience::Homes,
             };
-            (audience, record.to_tell(*digest, now))
+            (audience, record.to_update(*digest, now))
         })
         .collect()
     }
 
-    /// Up to `most` suspects that nodes are told of again and again, as some start or come into touch late. Those
-    /// under which the most upstreams ended come first, and then the newest.
+    /// Returns updates on up to `most` requests known to all nodes. They are sent repeatedly,
+    /// because nodes start or become reachable late. Requests with the most strikes come first,
+    /// then the most recent.
     pub fn standing(&self, most: usize, now: Instant) -> Vec<SuspectTold> {
-        let mut struck: Vec<_> = self
+        let mut suspected: Vec<_> = self
             .records
             .iter()
-            .filter(|(_, record)| record.is_wide)
+            .filter(|(_, record)| record.is_broadcast)
             .filter_map(|(digest, record)| {
                 let newest = record.strikes(now).map(|strike| strike.at).max()?;
                 Some((record.strikes(now).count(), newest, *digest, record))
             })
             .collect();
-        struck.sort_by_key(|(strikes, newest, digest, _)| (*strikes, *newest, *digest));
-        let told = struck.into_iter().rev().take(most);
-        told.map(|(_, _, digest, record)| record.to_tell(digest, now))
+        suspected.sort_by_key(|(strikes, newest, digest, _)| (*strikes, *newest, *digest));
+        let updated = suspected.into_iter().rev().take(most);
+        updated
+            .map(|(_, _, digest, record)| record.to_update(digest, now))
             .collect()
     }
 
-    /// Takes in what another node told.
-    pub fn take(&mut self, from: &NodeId, told: &SuspectTold, now: Instant) {
-        let record = self.records.entry(told.digest).or_default();
-        if let Some(cleared) = told.cleared.and_then(|age_ms| before(now, age_ms)) {
+    /// Applies an update from another node.
+    pub fn take(&mut self, from: &NodeId, update: &SuspectTold, now: Instant) {
+        let record = self.records.entry(update.digest).or_default();
+        if let Some(cleared) = update.cleared.and_then(|age_ms| before(now, age_ms)) {
             record.clear(cleared);
         }
-        for (upstream, age_ms) in &told.strikes {
+        for (upstream, age_ms) in &update.strikes {
             let at = before(now, *age_ms).unwrap_or(now);
             let upstream = *upstream;
             record.add(Strike { upstream, at }, now);
         }
-        if record.is_wide && record.strikes(now).count() > told.strikes.len() {
-            // Nobody may know all of it but this node.
-            record.rounds = TELL_ROUNDS;
+        if record.is_broadcast && record.strikes(now).count() > update.strikes.len() {
+            // This node may be the only one that knows all the strikes.
+            record.sends_left = SEND_COUNT;
         }
-        let trials = (told.trials, now);
-        record.trials_elsewhere.insert(from.clone(), trials);
-        self.keep_to_limit(now);
+        let trials = (update.trials, now);
+        record.trials_of_others.insert(from.clone(), trials);
+        self.enforce_limit(now);
     }
 
     fn forget_old(&mut self, now: Instant) {
         self.records.retain(|_, record| record.is_needed(now));
     }
 
-    fn keep_to_limit(&mut self, now: Instant) {
-        if self.records.len() <= RECORDS_LIMIT {
+    fn enforce_limit(&mut self, now: Instant) {
+        if self.records.len() <= MAX_RECORDS {
             return;
         }
         self.forget_old(now);
-        if self.records.len() <= RECORDS_LIMIT {
+        if self.records.len() <= MAX_RECORDS {
             return;
         }
         let records = self.records.iter();
@@ -280,7 +295,7 @@
             })
             .collect();
         ranked.sort_unstable();
-        let surplus = self.records.len() - RECORDS_LIMIT * 7 / 8;
+        let surplus = self.records.len() - MAX_RECORDS * 7 / 8;
         for (_, _, digest) in &ranked[..surplus] {
             self.records.remove(digest);
         }
@@ -288,32 +303,33 @@
 }
 
 impl Record {
-    /// Adds an end that is not known yet, and says whether it did.
+    /// Adds a strike unless it is known or no longer counts. Returns whether it was added.
     fn add(&mut self, strike: Strike, now: Instant) -> bool {
-        self.strikes.retain(|strike| strike.is_held(now));
-        let is_past = self.cleared.is_some_and(|cleared| strike.at <= cleared);
+        self.strikes.retain(|strike| strike.is_valid(now));
+        let is_outdated = self.cleared.is_some_and(|cleared| strike.at <= cleared);
         let mut known = self.strikes.iter();
         let is_known = known.any(|known| known.upstream == strike.upstream);
-        if is_past || is_known || self.strikes.len() >= STRIKES_LIMIT {
+        if is_outdated || is_known || self.strikes.len() >= STRIKES_LIMIT {
             return false;
         }
         self.strikes.push(strike);
-        self.is_wide |= self.strikes.len() >= WIDE_STRIKES;
+        self.is_broadcast |= self.strikes.len() >= BROADCAST_STRIKES;
         true
     }
 
-    fn tell_trials(&mut self) {
-        if self.is_wide {
-            self.rounds = TELL_ROUNDS;
+    fn schedule_trial_update(&mut self) {
+        if self.is_broadcast {
+            self.sends_left = SEND_COUNT;
         }
     }
 
-    fn is_to_be_told(&self, now: Instant) -> bool {
-        let is_due = |told: Instant| now.saturating_duration_since(told) >= RETELL_INTERVAL;
+    fn is_send_due(&self, now: Instant) -> bool {
+        let is_due = |sent: Instant| now.saturating_duration_since(sent) >= RESEND_INTERVAL;
         let mut strikes = self.strikes(now);
-        let is_new = strikes.any(|strike| now.saturating_duration_since(strike.at) < RETELL_SPAN);
-        let is_again = self.is_own && !self.is_wide && is_new && self.told.is_none_or(is_due);
-        self.rounds > 0 || is_again
+        let is_new = strikes.any(|strike| now.saturating_duration_since(strike.at) < RESEND_PERIOD);
+        let is_resend_due =
+            self.is_own && !self.is_broadcast && is_new && self.last_sent.is_none_or(is_due);
+        self.sends_left > 0 || is_resend_due
     }
 
     fn clear(&mut self, at: Instant) {
@@ -323,14 +339,14 @@
 
     fn strikes(&self, now: Instant) -> impl Iterator<Item = &Strike> {
         let strikes = self.strikes.iter();
-        strikes.filter(move |strike| strike.is_held(now))
+        strikes.filter(move |strike| strike.is_valid(now))
     }
 
-    /// How many are at upstreams, as far as is known.
+    /// How many copies are known to be at upstreams.
     fn trials(&self, now: Instant) -> usize {
-        let elsewhere = self.trials_elsewhere.values();
+        let elsewhere = self.trials_of_others.values();
         let elsewhere = elsewhere
-            .filter(|(_, told)| now.saturating_duration_since(*told) < TRIAL_LIFE)
+            .filter(|(_, received_at)| now.saturating_duration_since(*received_at) < TRIAL_TTL)
             .map(|(trials, _)| *trials);
         (self.own_trials + elsewhere.sum::<u32>()) as usize
     }
@@ -338,11 +354,14 @@
     fn is_needed(&self, now: Instant) -> bool {
         let is_cleared = self
             .cleared
-            .is_some_and(|cleared| now.saturating_duration_since(cleared) < CLEARED_LIFE);
-        is_cleared || self.rounds > 0 || self.own_trials > 0 || self.strikes(now).next().is_some()
+            .is_some_and(|cleared| now.saturating_duration_since(cleared) < CLEARED_TTL);
+        is_cleared
+            || self.sends_left > 0
+            || self.own_trials > 0
+            || self.strikes(now).next().is_some()
     }
 
-    fn to_tell(&self, digest: RequestDigest, now: Instant) -> SuspectTold {
+    fn to_update(&self, digest: RequestDigest, now: Instant) -> SuspectTold {
         let age_ms = |at: Instant| {
             let age = now.saturating_duration_since(at);
             u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
--- a/crates/relay/tests/era_watch.rs
+++ b/crates/relay/tests/era_watch.rs
@@ -1,4 +1,4 @@
-//! What a node that starts makes of the store's era.
+//! How a starting node handles the store's era.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 const SETTLING: Duration = Duration::from_secs(7);
 
-/// When the node hears of the store first.
+/// When the node first reads the store.
 const START: Duration = Duration::from_secs(100);
 
 const ERA: StoreEra = StoreEra(2);
@@ -24,7 +24,7 @@
     }
 }
 
-fn starting() -> EraWatch {
+fn starting_node() -> EraWatch {
     let mut watch = EraWatch::new(SETTLING, false);
     assert_eq!(watch.see(Some(ERA), START), None);
     watch
@@ -38,25 +38,29 @@
     }
 }
 
-// Guards against a starting node that goes by an older configuration, or an older version, than the others do.
+// Guards against a starting node that applies an older configuration, or an older model version,
+// than other nodes do.
 #[rstest]
 #[case::configuration(text(4, 9))]
 #[case::version(text(5, 8))]
-fn older_text_than_others_have_is_held_back(#[case] older: TextKnown) {
-    let mut watch = starting();
+fn text_older_than_other_nodes_have_is_held_back(#[case] older: TextKnown) {
+    let mut watch = starting_node();
     assert!(!watch.goes_by(older, ms(0)));
     watch.take_told(told(0, text(5, 9)), ms(100));
     assert!(!watch.goes_by(older, ms(60_000)));
     assert!(watch.is_behind(older));
     assert_eq!(watch.told(older, ms(60_000)), None);
     assert!(watch.goes_by(text(5, 9), ms(60_100)));
-    assert!(watch.goes_by(older, ms(60_200)), "it was released");
+    assert!(
+        watch.goes_by(older, ms(60_200)),
+        "applied text stays applied"
+    );
 }
 
-// Guards against one node's word that is older than the next one's.
+// Guards against relying on the first update when a later one names more recent text.
 #[test]
-fn further_nodes_are_heard_for_a_moment() {
-    let mut watch = starting();
+fn updates_from_further_nodes_are_awaited() {
+    let mut watch = starting_node();
     watch.take_told(told(0, text(4, 0)), ms(100));
     assert!(!watch.goes_by(text(4, 0), ms(150)));
     watch.take_told(told(0, text(5, 0)), ms(200));
@@ -64,8 +68,8 @@
 }
 
 #[test]
-fn a_node_that_hears_nobody_goes_by_what_the_store_shows() {
-    let mut watch = starting();
+fn a_node_without_updates_applies_the_text_in_the_store() {
+    let mut watch = starting_node();
     assert!(!watch.goes_by(text(1, 0), ms(2_999)));
     assert!(watch.goes_by(text(1, 0), ms(3_000)));
 }
@@ -73,8 +77,8 @@
 #[rstest]
 #[case::no_era(None, false, None)]
 #[case::marked(Some(ERA), false, Some(ERA))]
-#[case::begins_with_the_system(Some(ERA), true, None)]
-fn nobody_has_to_be_heard(
+#[case::first_start(Some(ERA), true, None)]
+fn no_update_is_needed(
     #[case] era: Option<StoreEra>,
     #[case] is_first_start: bool,
     #[case] mark: Option<StoreEra>,
@@ -88,25 +92,25 @@
     assert!(watch.goes_by(text(1, 0), START));
 }
 
-// Guards against a mark of an earlier era, which the copy holds.
+// Guards against trusting a mark of an earlier era that came with the older copy.
 #[test]
-fn an_earlier_mark_says_nothing() {
-    let mut watch = starting();
+fn a_mark_of_an_earlier_era_is_ignored() {
+    let mut watch = starting_node();
     watch.take_mark(StoreEra(1));
     assert!(!watch.is_settled(ms(0)) && !watch.goes_by(text(1, 0), ms(0)));
 }
 
 #[test]
-fn anothers_word_settles_an_era_that_is_long_in_force() {
-    let mut watch = starting();
+fn an_update_settles_an_era_that_is_long_in_force() {
+    let mut watch = starting_node();
     assert!(watch.awaits_word(ms(0)) && !watch.is_settled(ms(0)));
     watch.take_told(told(7_100, text(1, 0)), ms(100));
     assert!(!watch.awaits_word(ms(100)) && watch.is_settled(ms(100)));
 }
 
 #[test]
-fn a_later_era_that_another_node_knows_is_asked_for() {
-    let mut watch = starting();
+fn a_later_era_known_to_another_node_causes_a_read_of_the_store() {
+    let mut watch = starting_node();
     let later = EraTold {
         era: StoreEra(3),
         ..told(9_000, text(1, 0))
@@ -116,14 +120,15 @@
     assert_eq!(
         watch.era(),
         Some(ERA),
-        "the store itself has not told of it"
+        "the store itself has not reported it"
     );
 }
 
-// Guards against a mark that lets nodes start on operators' text that is still to be written again.
+// Guards against a mark that lets starting nodes apply operators' text that still has to be written
+// again.
 #[test]
-fn the_mark_waits_for_claims_of_before_and_for_the_text() {
-    let mut watch = starting();
+fn the_mark_waits_for_earlier_claims_and_for_the_text() {
+    let mut watch = starting_node();
     assert!(watch.goes_by(text(1, 0), ms(3_000)));
     assert!(watch.see(Some(StoreEra(3)), ms(4_000)).is_some());
     assert_eq!(watch.mark_due(false, ms(10_999)), None);
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -1,6 +1,6 @@
-//! Upstreams that say that they leave, whatever lists and other nodes say.
+//! Upstreams that announce that they are leaving, with outdated lists and updates from other nodes.
 
-#![allow(clippy::unwrap_used, reason = "a test that has nothing fails")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 mod common;
 
@@ -20,20 +20,21 @@
 
 const GRACE: Duration = Duration::from_millis(1_000);
 
-/// How long what another node told, or a later list, takes to be gone by.
+/// How long it takes until an update from another node or a later list applies.
 const TICK: Duration = Duration::from_millis(100);
 
 const UPSTREAMS: usize = 4;
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// An answer of the present process says so.
-    Word(usize),
-    /// Another node says so.
-    Told(usize),
+    /// The current process announces in an answer that it is leaving.
+    Announced(usize),
+    /// An update from another node says that it is leaving.
+    PeerUpdate(usize),
     /// The process ends and another one starts under its name.
     Restart(usize),
-    /// A list is read, of any age: the state of each upstream, if it is in it, and whether it shows the process before.
+    /// A list of any age is read. For each upstream in it: whether it is ready, and whether the
+    /// entry is of the previous process.
     List(Vec<Option<(bool, bool)>>),
     Ask,
 }
@@ -41,22 +42,22 @@
 fn event() -> impl Strategy<Value = Event> {
     let entry = prop::option::weighted(0.8, (any::<bool>(), any::<bool>()));
     prop_oneof![
-        1 => (0..UPSTREAMS).prop_map(Event::Word),
-        1 => (0..UPSTREAMS).prop_map(Event::Told),
+        1 => (0..UPSTREAMS).prop_map(Event::Announced),
+        1 => (0..UPSTREAMS).prop_map(Event::PeerUpdate),
         1 => (0..UPSTREAMS).prop_map(Event::Restart),
         3 => prop::collection::vec(entry, UPSTREAMS).prop_map(Event::List),
         6 => Just(Event::Ask),
     ]
 }
 
-/// One node with what it knows.
+/// A node's dispatcher and notices, with a set of upstreams.
 struct World {
     dispatcher: Dispatcher,
     notices: Notices,
     starts: [u64; UPSTREAMS],
     listed: Vec<Upstream>,
-    /// When each process that leaves is to get nothing more.
-    spared_from: HashMap<UpstreamId, Instant>,
+    /// When each leaving process must stop getting requests.
+    no_requests_from: HashMap<UpstreamId, Instant>,
     now: Instant,
     is_engine: bool,
 }
@@ -70,7 +71,7 @@
             notices: Notices::default(),
             starts: [1; UPSTREAMS],
             listed: Vec::new(),
-            spared_from: HashMap::new(),
+            no_requests_from: HashMap::new(),
             now: Instant::now(),
             is_engine,
         };
@@ -78,8 +79,8 @@
         world
     }
 
-    fn upstream(&self, place: usize, started: u64) -> Upstream {
-        let name = format!("u{place}");
+    fn upstream(&self, index: usize, started: u64) -> Upstream {
+        let name = format!("u{index}");
         let upstream = match self.is_engine {
             true => engine(&name, &["a1"]),
             false => plain(&name),
@@ -93,21 +94,21 @@
 
     fn list(&mut self, entries: &[Option<(bool, bool)>]) {
         let entries = entries.iter().enumerate();
-        let listed = entries.filter_map(|(place, entry)| {
-            let (is_ready, is_before) = (*entry)?;
-            let started = self.starts[place] - u64::from(is_before && self.starts[place] > 1);
+        let listed = entries.filter_map(|(index, entry)| {
+            let (is_ready, is_previous) = (*entry)?;
+            let started = self.starts[index] - u64::from(is_previous && self.starts[index] > 1);
             let state = match is_ready {
                 true => UpstreamState::Ready,
                 false => UpstreamState::Draining { remaining: None },
             };
-            let upstream = self.upstream(place, started);
+            let upstream = self.upstream(index, started);
             Some(Upstream { state, ..upstream })
         });
         self.listed = listed.collect();
         self.publish();
     }
 
-    /// Has the traffic thread go by the list and by what is known besides.
+    /// Applies the list and the notices to the dispatcher, as a traffic thread does.
     fn publish(&mut self) {
         let known = self.listed.iter().cloned().map(|upstream| {
             Arc::new(match self.notices.is_leaving(&upstream.id) {
@@ -119,22 +120,22 @@
         self.dispatcher.set_upstreams(&known, self.now);
     }
 
-    fn play(&mut self, event: &Event) -> Result<(), TestCaseError> {
+    fn apply(&mut self, event: &Event) -> Result<(), TestCaseError> {
         match event {
-            Event::Word(place) => {
-                let id = self.upstream(*place, self.starts[*place]).id;
+            Event::Announced(index) => {
+                let id = self.upstream(*index, self.starts[*index]).id;
                 self.dispatcher.note_leaving(&id, self.now);
                 self.notices.note_leaving(&id, self.now);
-                self.spared_from.entry(id).or_insert(self.now + GRACE);
+                self.no_requests_from.entry(id).or_insert(self.now + GRACE);
             }
-            Event::Told(place) => {
-                let id = self.upstream(*place, self.starts[*place]).id;
+            Event::PeerUpdate(index) => {
+                let id = self.upstream(*index, self.starts[*index]).id;
                 self.notices.note_leaving(&id, self.now);
                 self.now += TICK;
                 self.publish();
-                self.spared_from.entry(id).or_insert(self.now);
+                self.no_requests_from.entry(id).or_insert(self.now);
             }
-            Event::Restart(place) => self.starts[*place] += 1,
+            Event::Restart(index) => self.starts[*index] += 1,
             Event::List(entries) => self.list(entries),
             Event::Ask => self.ask()?,
         }
@@ -155,25 +156,29 @@
         let mut random = ChaCha8Rng::seed_from_u64(1);
         let stays =
             |upstream: &&Upstream| upstream.takes_work() && !self.notices.is_leaving(&upstream.id);
-        let has_other = self.listed.iter().any(|upstream| stays(&upstream));
+        let has_staying = self.listed.iter().any(|upstream| stays(&upstream));
         match self.dispatcher.choose(&need, self.now, &mut random) {
             Ok(choice) => {
                 let id = &choice.upstream.id;
-                let spared = self.spared_from.get(id);
-                prop_assert!(spared.is_none_or(|from| self.now < *from), "{} leaves", id);
+                let deadline = self.no_requests_from.get(id);
                 prop_assert!(
-                    !has_other || !choice.is_leaving,
-                    "{} leaves, others don't",
+                    deadline.is_none_or(|from| self.now < *from),
+                    "{} is leaving",
+                    id
+                );
+                prop_assert!(
+                    !has_staying || !choice.is_leaving,
+                    "{} is leaving, others are not",
                     id
                 );
                 let is_listed = |listed: &Upstream| listed.id == *id && listed.takes_work();
                 prop_assert!(
                     self.listed.iter().any(is_listed),
-                    "{} is not to be used",
+                    "{} is not listed as ready",
                     id
                 );
             }
-            Err(_) => prop_assert!(!has_other, "others take work"),
+            Err(_) => prop_assert!(!has_staying, "others take work"),
         }
         Ok(())
     }
@@ -187,25 +192,30 @@
         ..ProptestConfig::default()
     })]
 
-    // Guards against a process that is sent to past its bound after it said that it leaves, whatever is read or told since.
+    // Guards against sending requests to a leaving process after its grace period, whatever is read
+    // or received later.
     #[test]
-    fn a_process_that_leaves_gets_nothing_past_its_bound(
+    fn a_leaving_process_gets_no_requests_after_its_grace_period(
         events in prop::collection::vec((event(), 0u64..700), 1..60),
         is_engine in any::<bool>(),
     ) {
         let mut world = World::new(is_engine);
         for (event, pause_ms) in events {
             world.now += Duration::from_millis(pause_ms);
-            world.play(&event)?;
+            world.apply(&event)?;
         }
     }
 }
 
-// Guards against a choice that was made before the word came and is sent after the bound.
+// Guards against sending a request after the grace period to an upstream that was chosen before it
+// announced that it is leaving.
 #[rstest]
-#[case::within_the_grace(Duration::from_millis(900), true)]
-#[case::past_it(Duration::from_millis(1_000), false)]
-fn what_was_chosen_is_looked_at_again(#[case] after: Duration, #[case] may_send: bool) {
+#[case::within_the_grace_period(Duration::from_millis(900), true)]
+#[case::after_the_grace_period(Duration::from_millis(1_000), false)]
+fn a_chosen_upstream_is_checked_again_before_sending(
+    #[case] after: Duration,
+    #[case] may_send: bool,
+) {
     let mut world = World::new(false);
     let id = world.upstream(0, 1).id;
     let now = world.now;
