--- a/crates/relay-node/src/control/base_models.rs
+++ b/crates/relay-node/src/control/base_models.rs
@@ -1,4 +1,4 @@
-//! Has engines of ours hold the base models that are asked for.
+//! Plans which base models the owned engines hold, and carries out the changes.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,35 +18,35 @@
 use super::knowledge::Knowledge;
 use crate::{OrderAnswer, OrderStep};
 
-/// How often it is planned anew: as often as owners tell what engines hold.
+/// How often the plan is updated: as often as owners report what their engines hold.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The time between two reports while a base model waits to leave; each is charged for.
+/// The time between two reports while a base model waits to be unloaded. Each report is billed.
 const LEAVING_INTERVAL: Duration = Duration::from_millis(80);
 
-/// How long a base model may take to leave: the longest answers that run there.
+/// How long an unload may take: as long as the longest responses that use the model.
 const LEAVING_LIMIT: Duration = Duration::from_secs(15);
 
-/// How long adapters on their way may hold up a change: two loads in turn.
+/// How long pending adapter loads may delay a change: two loads one after the other.
 const COMING_LIMIT: Duration = Duration::from_millis(1_500);
 
-/// The part of the weight store's rate that is used, as loads of two owners may begin before either
-/// hears of the other's.
+/// The share of the weight store's rate that is used, since two owners may start loads before
+/// either learns of the other's.
 const STORE_SHARE: f64 = 0.7;
 
-/// Reads the reports of engines of ours of which too little is known.
+/// Reads the reports of owned engines whose state is uncertain.
 pub(crate) async fn read_doubtful(knowledge: &Knowledge) {
     let owned: Vec<Rc<OwnedEngine>> = knowledge.owned.borrow().values().cloned().collect();
     for engine in owned {
-        // An engine whose count of orders is in doubt, or that waits for an adapter to go, is offered
-        // no loads, and only loads would read its report otherwise.
+        // An engine whose order sequence number is unknown, or that is waiting to unload an
+        // adapter, is given no loads, and nothing else would read its report.
         if engine.order_seq().is_none() || engine.leaving_count() > 0 {
             knowledge.read_report(&engine).await;
         }
     }
 }
 
-/// Plans and changes what engines of ours hold, for ever.
+/// Plans and starts changes of base models, forever.
 pub(crate) async fn run(knowledge: Rc<Knowledge>) {
     let mut ticks = interval(PLAN_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -91,7 +91,7 @@
     }
 }
 
-/// Where a service has one model, only an engine without it needs a plan.
+/// If a service has only one model, a plan is needed only for engines that don't hold it.
 fn needs_plan(knowledge: &Knowledge, spec: &EngineSpec, engines: &[&Arc<Upstream>]) -> bool {
     let mut own = engines
         .iter()
@@ -125,7 +125,7 @@
         };
     }
     let Some(told) = knowledge.hosted(&engine.id) else {
-        // Its owner is silent or unknown: what it holds counts, and nothing is asked of it.
+        // The owner is silent or unknown: the listed holdings count, but no change is planned here.
         let models = engine.holdings.models.iter().map(|held| HostedModel {
             name: Arc::clone(&held.name),
             adapters: held.adapters.len(),
@@ -154,7 +154,7 @@
     }
 }
 
-/// Loads from the weight store that may be under way at once, so that no more begin than it allows.
+/// The number of loads from the weight store that may be in progress at once within its rate limit.
 fn store_loads(spec: &EngineSpec) -> usize {
     let longest = spec.models.iter().map(|model| model.load).max();
     let at_once = spec.loads_per_s.map_or(1.0, |per_s| {
@@ -163,8 +163,8 @@
     (at_once as usize).max(1)
 }
 
-/// For how long a load counts as one from the weight store: until it is done, and so long that with
-/// [`store_loads`] at once the rate is kept.
+/// How long a load counts as using the weight store: at least until it finishes, and long enough
+/// that [`store_loads`] at once keep to the rate limit.
 pub(crate) fn store_use(spec: &EngineSpec) -> Duration {
     let longest = spec.models.iter().map(|model| model.load).max();
     let longest = longest.unwrap_or_default();
@@ -197,10 +197,10 @@
     follow_loads(knowledge, engine);
 }
 
-/// Drops what makes way, waits until it has left, and orders the load.
+/// Unloads the models that are to be replaced, waits until they are gone, and orders the load.
 ///
-/// An order without an answer may be carried out later. Nothing more is ordered then until a report
-/// tells, and the next plan goes by that.
+/// An order without an answer may still be executed later. No further order is sent until a report
+/// shows its outcome, and the next plan starts from there.
 async fn try_carry_out(
     knowledge: &Knowledge,
     engine: &OwnedEngine,
@@ -256,7 +256,8 @@
     }
 }
 
-/// Waits until no adapter is on its way: one that arrives would find its base model gone.
+/// Waits until no adapter is being loaded, since its base model might be unloaded before it is
+/// ready.
 async fn wait_for_adapters(engine: &OwnedEngine) -> Result<(), ChangeFailure> {
     let since = Instant::now();
     while engine.coming_count() > 0 {
@@ -268,7 +269,8 @@
     Ok(())
 }
 
-/// Whether the new model fits beside what stays. An engine that is ordered to hold more crashes.
+/// Whether the new model fits beside those that stay. An engine that is ordered to hold more than
+/// fits crashes.
 fn fits(spec: &EngineSpec, held: &Holdings, change: &ModelChange) -> bool {
     let stays = held
         .models
--- a/crates/relay-node/src/control/change_failure.rs
+++ b/crates/relay-node/src/control/change_failure.rs
@@ -1,35 +1,36 @@
-//! Why an engine did not come to hold another base model.
+//! Why a change of an engine's base models failed.
 
 use derive_more::Display;
 
-/// Why an engine did not come to hold another base model. The next plan goes by what is known then.
+/// Why a change of an engine's base models failed. The next plan starts from the state that is
+/// known then.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub(crate) enum ChangeFailure {
-    /// It is no longer listed.
+    /// The engine is no longer listed.
     #[display("the engine is gone")]
     EngineGone,
-    /// Adapters would arrive and find their base model gone.
+    /// Adapters are being loaded whose base model might be unloaded before they are ready.
     #[display("adapters are on their way")]
     AdaptersComing,
-    /// Its report could not be read.
+    /// The engine's report could not be read.
     #[display("its report could not be read")]
     NoReport,
-    /// It carries out another order.
+    /// The engine is executing another order.
     #[display("it carries out another order")]
     Busy,
-    /// What it holds leaves no room for the change, or is what the change was to bring.
+    /// The engine's holdings leave no room for the new model, or already include it.
     #[display("it holds something else than was known")]
     OtherHoldings,
-    /// The ownership is too new, or could not be confirmed.
+    /// The ownership is too new or could not be confirmed.
     #[display("orders are not permitted now")]
     NotPermitted,
-    /// It refused an order.
+    /// The engine refused an order.
     #[display("it refused the order")]
     Refused,
-    /// An order may or may not have been accepted.
+    /// It is unknown whether an order was accepted.
     #[display("the order had no answer")]
     NoAnswer,
-    /// Requests for what makes way run on.
+    /// Requests for a model to be unloaded have not ended in time.
     #[display("what makes way is still in use")]
     StillInUse,
 }
--- a/crates/relay-node/src/control/change_log.rs
+++ b/crates/relay-node/src/control/change_log.rs
@@ -1,4 +1,4 @@
-//! The last changes of the store, kept for the nodes that this node reads them for.
+//! The latest changes in the store, kept for the nodes that this node reads the store for.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -10,41 +10,41 @@
 
 use crate::clock::boot_time;
 
-/// Changes that are kept. A reader passes them on within a second; some 70 a second are news with
-/// 140 engines.
+/// The number of changes that are kept. A reader passes them on within a second; with 140 engines
+/// there are some 70 relevant ones a second.
 const CHANGES_LIMIT: usize = 2_048;
 
-/// How old the store's last answer may be. While nothing changes, a reader's watches end every 1.1 s; a
-/// leaving upstream must get nothing new after 2 s, of which a node that finds its reader behind
-/// needs one call.
+/// The maximum age of the store's last answer for it to be passed on. While nothing changes, a
+/// reader's watch ends every 1.1 s. A leaving upstream must get no new requests after 2 s, and a
+/// node that finds its reader behind needs one call of its own within that time.
 const FRESH_FOR: Duration = Duration::from_millis(1_400);
 
-/// What a reader tells.
+/// A reader's answer to another node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ReadChanges {
     /// The changes, oldest first.
     pub(crate) changes: Vec<Change>,
-    /// The revision that they reach to.
+    /// The revision up to which the changes are complete.
     pub(crate) revision: Revision,
     /// How long ago the store answered, in milliseconds.
     pub(crate) answered_ms: u32,
-    /// How long ago it was asked, in milliseconds.
+    /// How long ago the store was asked, in milliseconds.
     pub(crate) asked_ms: u32,
-    /// How long the reader held the ask, in milliseconds.
+    /// How long the reader held the request, in milliseconds.
     pub(crate) held_ms: u32,
 }
 
-/// When the store was read last, by the clock that counts suspension.
+/// When the store was last read, by the clock that also counts while the machine is suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReadAt {
-    /// When it was asked. What it told was true at some time since.
+    /// When the store was asked. Its answer was true at some time after this.
     pub(crate) asked: Duration,
-    /// When its answer came.
+    /// When its answer arrived.
     pub(crate) answered: Duration,
 }
 
 impl ReadAt {
-    /// A read that was asked for at `asked` and answered just now.
+    /// A read that was started at `asked` and answered just now.
     pub(crate) fn since(asked: Duration) -> Self {
         Self {
             asked,
@@ -53,35 +53,35 @@
     }
 }
 
-/// Why a reader has no changes to tell.
+/// Why a reader cannot serve the changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NotRead {
-    /// The store did not answer it lately.
+    /// The store has not answered the reader lately.
     Behind,
-    /// Changes after the revision that was asked for are not kept any more.
+    /// Some changes after the requested revision were already dropped.
     Forgotten,
 }
 
-/// The last changes of the store.
+/// The latest changes in the store.
 #[derive(Debug, Default)]
 pub(crate) struct ChangeLog {
     state: RefCell<State>,
-    /// Told when the store has answered, or failed to.
+    /// Notified when a call to the store has succeeded or failed.
     pub(crate) answered: Notify,
 }
 
 #[derive(Debug, Default)]
 struct State {
     changes: VecDeque<Change>,
-    /// All changes after this one are kept.
+    /// All changes after this revision are kept.
     floor: Revision,
     revision: Revision,
-    /// When the store was read last; nothing while it is lost.
+    /// When the store was last read; `None` while it does not answer.
     read_at: Option<ReadAt>,
 }
 
 impl ChangeLog {
-    /// Begins anew after a read of everything at `revision`.
+    /// Starts over after all keys were read at `revision`.
     pub(crate) fn restart(&self, revision: Revision, read_at: ReadAt) {
         *self.state.borrow_mut() = State {
             floor: revision,
@@ -91,7 +91,7 @@
         };
     }
 
-    /// Takes in the changes up to `changes.revision`, read at `read_at`.
+    /// Appends the changes up to `changes.revision`, read at `read_at`.
     pub(crate) fn push(&self, changes: &Changes, read_at: ReadAt) {
         let mut state = self.state.borrow_mut();
         state.changes.extend(changes.changes.iter().cloned());
@@ -106,20 +106,20 @@
         self.answered.notify_waiters();
     }
 
-    /// Takes in that the store did not answer.
+    /// Records that the store did not answer.
     pub(crate) fn lost(&self) {
         self.state.borrow_mut().read_at = None;
         self.answered.notify_waiters();
     }
 
-    /// How long the store's last answer is fresh yet; nothing if it is not.
+    /// How much longer the store's last answer may be passed on; `None` if it is too old.
     pub(crate) fn fresh_for(&self) -> Option<Duration> {
         let read_at = self.state.borrow().read_at?;
         let age = boot_time().saturating_sub(read_at.answered);
         FRESH_FOR.checked_sub(age)
     }
 
-    /// The changes after `after`, for an ask that came at `came`.
+    /// The changes after `after`, for a request that arrived at `came`.
     pub(crate) fn after(&self, after: Revision, came: Duration) -> Result<ReadChanges, NotRead> {
         self.fresh_for().ok_or(NotRead::Behind)?;
         let state = self.state.borrow();
--- a/crates/relay-node/src/control/change_log/tests.rs
+++ b/crates/relay-node/src/control/change_log/tests.rs
@@ -1,4 +1,4 @@
-//! What a reader tells, and when it has nothing to tell.
+//! Which changes a reader serves, and when it refuses to.
 
 use std::time::Duration;
 
@@ -50,8 +50,9 @@
     );
 }
 
-// A node read everything before its reader did, or the reader forgot old changes. Told only what the
-// reader has, the node would miss what lies between, a leaving upstream for instance.
+// A node may have read the store before its reader did, or the reader may have dropped old changes.
+// If the reader served only what it has, the node would miss the changes in between, for instance
+// that an upstream is leaving.
 #[test]
 fn a_gap_is_never_passed_over() {
     assert_eq!(
@@ -66,7 +67,8 @@
     );
 }
 
-// The reader is cut off from the store while its nodes are not. They would go on with what it knew.
+// If the reader is cut off from the store but not from its nodes, they must not go on with its old
+// state.
 #[test]
 fn a_reader_that_the_store_does_not_answer_tells_nothing() {
     let lost = log();
--- a/crates/relay-node/src/control/claims.rs
+++ b/crates/relay-node/src/control/claims.rs
@@ -1,4 +1,4 @@
-//! Claims engines at the store, by compare-and-swap.
+//! Claims engines in the store, by compare-and-swap.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -18,14 +18,15 @@
 use super::owners::{owner_key, to_json};
 use crate::clock::boot_time;
 
-/// Claims that go into one transaction; the store takes 32 entries.
+/// Claims per transaction. Each takes two entries, and the store accepts 32.
 const CLAIMS_PER_TXN: usize = 15;
 
-/// Writes claims.
+/// Writes claims to the store.
 pub(crate) async fn claim(knowledge: &Knowledge, claims: &[(UpstreamId, Revision)]) {
     for claims in claims.chunks(CLAIMS_PER_TXN) {
         if commit_claims(knowledge, claims).await.is_err() && claims.len() > 1 {
-            // One claim that another node took first fails all; the others are tried alone.
+            // One claim that another node won fails the whole transaction, so retry each claim
+            // alone.
             for one in claims.chunks(1) {
                 let _ = commit_claims(knowledge, one).await;
             }
@@ -33,8 +34,8 @@
     }
 }
 
-/// Engines that an earlier process of this node owned. Nobody else may have them, so they are
-/// claimed at once after a restart.
+/// Engines that an earlier process of this node owned. No other node may claim them, so this node
+/// claims them again right after a restart.
 pub(crate) fn own_before(knowledge: &Knowledge) -> Vec<(UpstreamId, Revision)> {
     let node = &knowledge.settings.node;
     let owners = knowledge.owners.borrow();
@@ -54,8 +55,9 @@
     let nodes: Vec<NodeRecord> = knowledge.nodes.borrow().values().cloned().collect();
     let owners = owners_of(knowledge, &engines);
     let me = &knowledge.settings.node;
-    // The next process of an engine goes to the owner of the one before, if that still lives: it
-    // may order at once, where any other node would have to wait until its orders have arrived.
+    // If an engine restarts, the owner of its previous process claims it again, if that owner is
+    // alive. It may send orders at once; any other node would first have to wait until the owner's
+    // orders have arrived.
     let (again, engines): (Vec<&Upstream>, Vec<&Upstream>) = engines
         .into_iter()
         .partition(|engine| has_living_last_owner(knowledge, engine, &owners));
@@ -68,7 +70,7 @@
     claims
 }
 
-/// The engines that take work.
+/// The engines that accept requests.
 pub(super) fn engines_in_use(knowledge: &Knowledge) -> Vec<Arc<Upstream>> {
     let has_engines = |name| {
         let service = knowledge.service(name);
@@ -82,7 +84,7 @@
         .collect()
 }
 
-/// Who owns each of `engines`, as far as somebody does.
+/// The owners of those of `engines` that have one.
 pub(super) fn owners_of(
     knowledge: &Knowledge,
     engines: &[&Upstream],
@@ -105,7 +107,7 @@
     !owners.contains_key(&engine.id) && last.is_some_and(is_living)
 }
 
-/// A claim of an engine that is written over the key of `before`.
+/// A claim that replaces the owner key at revision `before`.
 struct Claim<'a> {
     engine: &'a UpstreamId,
     before: Revision,
@@ -163,8 +165,8 @@
             if error == KeyValueError::Ambiguous {
                 log_event!(knowledge.log, Event::WriteAmbiguous, "claims" => claims.len());
             }
-            // What was written in spite of the error shows up in the watch as a claim of an
-            // earlier process of this node, and is claimed anew.
+            // If the claim was written despite the error, the watch shows it as one of an earlier
+            // process of this node, and it is made again.
             Err(error)
         }
     }
@@ -211,7 +213,8 @@
     );
 }
 
-/// Whose orders may be on their way to an engine that is claimed over the key of `before`.
+/// Who may still have orders in transit to an engine whose owner key at revision `before` is
+/// replaced.
 fn predecessor(knowledge: &Knowledge, engine: &UpstreamId, before: Revision) -> Predecessor {
     if !knowledge.eras.is_settled() {
         return Predecessor::Another;
@@ -227,8 +230,8 @@
     }
 }
 
-/// Whether no other node can have orders on their way to the engine: this node owned the one at its
-/// address last, or nobody did for as long as orders may be on their way.
+/// Whether no other node can have orders in transit to the engine: this node was the last owner at
+/// its address, or there was no owner for as long as orders may be in transit.
 fn has_no_other_owner(knowledge: &Knowledge, engine: &UpstreamId) -> bool {
     let Some(upstream) = knowledge.upstream(engine) else {
         return false;
@@ -239,7 +242,7 @@
     }
 }
 
-/// Drops engines that left the list; their keys go with the lease.
+/// Drops engines that are no longer listed. Their owner keys expire with the lease.
 pub(crate) fn forget_gone(knowledge: &Knowledge) {
     let upstreams = knowledge.upstreams.borrow();
     let mut owned = knowledge.owned.borrow_mut();
--- a/crates/relay-node/src/control/confirmation.rs
+++ b/crates/relay-node/src/control/confirmation.rs
@@ -1,4 +1,4 @@
-//! Confirms at the store that the node still owns its engines.
+//! Confirms with the store that this node still owns its engines.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -11,24 +11,24 @@
 use super::owners::{lose, owner_key};
 use crate::clock::boot_time;
 
-/// The age at which a confirmation is renewed, well before it ends.
+/// The age at which a confirmation is renewed, well before it expires.
 const CONFIRM_AFTER: Duration = Duration::from_millis(1_800);
 
-/// How long after an order more are expected.
+/// How long after an order further orders are expected.
 const ORDERS_EXPECTED: Duration = Duration::from_secs(5);
 
-/// How long the store is left alone after a confirmation failed.
+/// How long after a failed confirmation the store is not asked again.
 const CONFIRM_RETRY: Duration = Duration::from_millis(400);
 
-/// Engines that one transaction confirms; the store takes 32 entries.
+/// Engines that one transaction confirms; the store accepts 32 entries.
 const CONFIRMS_PER_TXN: usize = 32;
 
 impl Knowledge {
-    /// Takes in that all changes until some time after `asked` were seen. What is still owned then was
-    /// this node's at that time, without a call for it.
+    /// Records that this node has seen all changes up to some time after `asked`, which confirms
+    /// the engines that it still owns without another call.
     ///
-    /// An engine counts from when the watch has shown the key that was written for it: a removal that
-    /// the watch passed before this node knew of its own claim would be missed.
+    /// This counts only for engines whose owner key the watch has delivered: a removal that the
+    /// watch delivered before this node knew of its own claim would otherwise be missed.
     pub(crate) fn confirm_seen(&self, asked: Duration) {
         let owned = self.owned.borrow();
         for engine in owned.values().filter(|engine| engine.is_watched.get()) {
@@ -37,10 +37,10 @@
     }
 }
 
-/// Confirms at the store that this node still owns its engines: one call for all of them.
+/// Confirms with the store that this node still owns its engines, for all of them at once.
 ///
-/// After a failure the store is left alone for a moment. While it is away, each of the loads that
-/// wait would otherwise hang on a call of its own, and their callers with them.
+/// After a failure the store is not called for [`CONFIRM_RETRY`]. Otherwise, during an outage, each
+/// waiting load and its callers would wait for a call of their own to time out.
 pub(crate) async fn confirm(knowledge: &Knowledge) {
     let _one_at_a_time = knowledge.confirming.lock().await;
     let failed = knowledge.confirm_failed.get();
@@ -60,7 +60,7 @@
     }
 }
 
-/// Whether an engine's ownership was confirmed a while ago; another load may just have done it.
+/// Whether any engine's confirmation is due for renewal; another load may have just renewed it.
 fn needs_confirmation(knowledge: &Knowledge) -> bool {
     let owned = knowledge.owned.borrow();
     let now = boot_time();
@@ -70,8 +70,8 @@
     ages.any(|age| age > CONFIRM_AFTER)
 }
 
-/// Confirms ahead of time while loads are ordered, so that orders can go on for some seconds
-/// whenever the store goes away.
+/// Renews confirmations early while loads are being ordered, so that orders can go on for some
+/// seconds when the store becomes unavailable.
 pub(crate) async fn confirm_ahead(knowledge: &Knowledge) {
     let last_order = knowledge.last_order.get();
     if last_order.is_some_and(|at| at.elapsed() < ORDERS_EXPECTED) {
--- a/crates/relay-node/src/control/engine.rs
+++ b/crates/relay-node/src/control/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that this node owns.
+//! The state that an owner keeps for one of its engines.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,61 +14,64 @@
 use super::exchange::EngineUseTold;
 use crate::EngineState;
 
-/// Whether a load was taken as done before a report showed it.
+/// Whether requests were sent to a pending load's engine before a report confirmed the load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Reliance {
-    /// It was not.
+    /// No request was sent.
     #[default]
     None,
-    /// Requests were sent for it.
+    /// Requests were sent.
     Relied,
-    /// One of them came back unserved.
+    /// The engine returned one of those requests because the load had not finished.
     TooEarly,
 }
 
-/// An adapter or model on its way to an engine.
+/// An adapter or base model whose load was ordered and not yet reported as finished.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Coming {
     pub(crate) model: ModelRef,
     pub(crate) version: Option<u64>,
     pub(crate) load: LoadKind,
-    /// Loads that were under way over all engines when it was ordered, itself included.
+    /// Loads from the weight store in progress over all engines when this one was ordered,
+    /// including this one.
     pub(crate) under_way: f64,
-    /// When the order was accepted.
+    /// When the engine accepted the order.
     pub(crate) since: Instant,
-    /// The engine's count of orders with this one.
+    /// The engine's order sequence number after accepting this order.
     pub(crate) order_seq: u64,
-    /// Whether requests were sent for it before a report showed it, and whether one came back unserved.
+    /// Whether requests were sent before a report confirmed the load, and whether one was returned
+    /// unserved.
     pub(crate) reliance: Reliance,
 }
 
-/// What an owner keeps of its engine.
+/// An engine that this node owns.
 #[derive(Debug)]
 pub(crate) struct OwnedEngine {
     pub(crate) id: UpstreamId,
     pub(crate) ownership: RefCell<Ownership>,
-    /// What all nodes ask it for.
+    /// Demand for the engine's adapters from all nodes.
     pub(crate) demand: RefCell<EngineDemand>,
-    /// Whether the watch has shown the key that this node wrote. From then on it shows its removal too.
+    /// Whether the store watch has delivered the owner key that this node wrote. Only after that
+    /// does the watch also deliver the key's removal.
     pub(crate) is_watched: Cell<bool>,
-    /// Held over the orders that bring one adapter in, so that the room is not given away twice.
+    /// Held while an adapter is ordered, so that two loads don't claim the same free adapter slot.
     pub(crate) orders: Mutex<()>,
-    /// Tells those who wait that the holdings changed.
+    /// Notifies waiting loads that the holdings or the queue changed.
     pub(crate) changed: Notify,
-    /// Whether a task follows the loads under way.
+    /// Whether a task is polling reports until the pending loads finish.
     pub(crate) is_followed: Cell<bool>,
-    /// The change of its base models under way.
+    /// The base model change in progress.
     pub(super) change: RefCell<Option<ModelChange>>,
     /// When a base model was last ordered from the weight store.
     pub(super) store_used: Cell<Option<Instant>>,
-    /// Adapters that it could take when that was last counted.
+    /// The number of adapters that could be loaded, as last computed.
     room: Cell<u8>,
-    /// Loads that wait for their order.
+    /// Loads that wait to be ordered.
     queue: RefCell<LoadQueue>,
     pub(super) state: RefCell<State>,
 }
 
-/// A load's place among those that wait for their order.
+/// A load's entry in the queue; dropping it removes the load from the queue.
 pub(crate) struct QueuePlace<'a> {
     engine: &'a OwnedEngine,
     pub(crate) ticket: LoadTicket,
@@ -82,7 +85,8 @@
 }
 
 impl Coming {
-    /// Whether it is an adapter that comes from the weight store. Base models have a rate of their own.
+    /// Whether this is an adapter load from the weight store. Loads of base models have a separate
+    /// rate limit.
     pub(crate) fn is_transfer(&self) -> bool {
         self.load == LoadKind::FromStore && self.model.adapter.is_some()
     }
@@ -90,19 +94,20 @@
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct State {
-    /// Orders that it has accepted; nothing until its report was read.
+    /// The number of orders that the engine has accepted; `None` until a report was read, or after
+    /// an order without an answer.
     order_seq: Option<u64>,
     pub(super) holdings: Holdings,
-    /// Rises with each change of the holdings; 0 until they were read.
+    /// Version number of the holdings, incremented with each change; 0 until they were read.
     change: u64,
     pub(super) coming: Vec<Coming>,
-    /// Adapters that came or went lately.
+    /// Adapters that were recently loaded or unloaded.
     moved: Vec<(AdapterMove, Instant)>,
-    /// Adapters that go when their requests have ended.
+    /// Models that the engine unloads once their requests have ended.
     pub(super) leaving: Vec<ModelRef>,
-    /// Until when it takes no orders, as far as is known.
+    /// The engine refused an order and gets no further ones until this time.
     blocked_until: Option<Instant>,
-    /// What other nodes have there.
+    /// What each other node has in flight at the engine.
     elsewhere: HashMap<NodeId, UseElsewhere>,
 }
 
@@ -115,9 +120,10 @@
         self.moved.push((moved, Instant::now()));
     }
 
-    /// Takes in adapters on their way that this process did not order: an earlier process of the
-    /// node did, or an order whose answer was lost. They fill places that look free, and an engine
-    /// that is ordered to hold more than fits crashes with all its requests.
+    /// Adds loads that the report shows and this process did not order: they were ordered by an
+    /// earlier process of this node, or by an order whose answer was lost. Without them their
+    /// adapter slots would look free, and an engine that is ordered to hold more than fits crashes
+    /// with all its requests.
     fn adopt_coming(&mut self, report: &EngineState) {
         for model in &report.coming {
             if !self.coming.iter().any(|known| known.model == *model) {
@@ -135,7 +141,7 @@
     }
 }
 
-/// What another node has at an engine.
+/// What another node has in flight at an engine.
 #[derive(Clone, Debug)]
 struct UseElsewhere {
     in_flight: u32,
@@ -155,15 +161,15 @@
     }
 }
 
-/// How long an engine that refused an order is left alone: an adapter in use that is to go blocks
-/// all further orders until its last request ends, some seconds.
+/// How long an engine that refused an order gets no further one. While it waits to unload an
+/// adapter in use it refuses all orders, until the adapter's last request ends some seconds later.
 const BLOCKED_SPAN: Duration = Duration::from_millis(250);
 
-/// How long a move of an adapter is told: ten exchanges in the own failure domain and two with
-/// others, so that a lost datagram does not matter.
+/// How long a load or unload is repeated in status messages: ten of them within the failure domain
+/// and two to other domains, so that a lost datagram does not matter.
 const MOVE_TOLD: Duration = Duration::from_millis(1_000);
 
-/// How long what another node told counts. It tells again ten times in this span.
+/// How long another node's usage report is valid. A node sends ten reports in this time.
 const USE_LIFE: Duration = Duration::from_millis(1_000);
 
 impl OwnedEngine {
@@ -184,28 +190,28 @@
         }
     }
 
-    /// Orders that it has accepted, if that is known.
+    /// The number of orders that the engine has accepted, if known.
     pub(crate) fn order_seq(&self) -> Option<u64> {
         self.state.borrow().order_seq
     }
 
-    /// What it holds.
+    /// The models and adapters that the engine holds.
     pub(crate) fn holdings(&self) -> Holdings {
         self.state.borrow().holdings.clone()
     }
 
-    /// The number of the last change of the holdings; 0 if they were never read.
+    /// Version number of the holdings; 0 if they were never read.
     pub(crate) fn change(&self) -> u64 {
         self.state.borrow().change
     }
 
-    /// What it holds, if the last change is another than `known`.
+    /// The holdings, if their version number differs from `known`.
     pub(crate) fn holdings_since(&self, known: u64) -> Option<Holdings> {
         let state = self.state.borrow();
         (state.change != known).then(|| state.holdings.clone())
     }
 
-    /// Adapters on their way.
+    /// Models and adapters that are being loaded.
     pub(crate) fn coming(&self) -> Vec<ModelRef> {
         let state = self.state.borrow();
         state
@@ -215,7 +221,7 @@
             .collect()
     }
 
-    /// Has `load` wait for its order, until its place is dropped.
+    /// Queues `load` until the returned entry is dropped.
     pub(crate) fn queue(&self, load: WaitingLoad) -> Result<QueuePlace<'_>, LoadRefusal> {
         let ticket = self.queue.borrow_mut().join(load)?;
         Ok(QueuePlace {
@@ -224,7 +230,7 @@
         })
     }
 
-    /// What the load of `ticket` is to do now.
+    /// Decides what the queued load of `ticket` does next.
     pub(crate) fn turn(
         &self,
         ticket: LoadTicket,
@@ -235,26 +241,27 @@
         queue.turn(ticket, contents, store, Instant::now())
     }
 
-    /// How many adapters are on their way.
+    /// The number of pending loads.
     pub(crate) fn coming_count(&self) -> u32 {
         u32::try_from(self.state.borrow().coming.len()).unwrap_or(u32::MAX)
     }
 
-    /// Adapters that are on their way or wait for it.
+    /// Adapters that are being loaded or are queued.
     pub(crate) fn loads_ahead(&self) -> Vec<ModelDigest> {
         let (state, queue) = (self.state.borrow(), self.queue.borrow());
         let coming = state.coming.iter().map(|coming| &coming.model);
         coming.chain(queue.models()).map(ModelRef::digest).collect()
     }
 
-    /// The load of `model` under way.
+    /// The pending load of `model`.
     pub(crate) fn load_of(&self, model: &ModelRef) -> Option<Coming> {
         let state = self.state.borrow();
         let mut coming = state.coming.iter();
         coming.find(|coming| coming.model == *model).cloned()
     }
 
-    /// Notes what became of requests for the load of `model` under way; returns the load if that is new.
+    /// Records that requests were sent for the pending load of `model`, or that one was returned
+    /// unserved. Returns the load the first time each is recorded.
     pub(crate) fn note_reliance(&self, model: &ModelRef, reliance: Reliance) -> Option<Coming> {
         let mut state = self.state.borrow_mut();
         let mut coming = state.coming.iter_mut();
@@ -270,21 +277,20 @@
         })
     }
 
-    /// Counts the loads from the weight store that no report has shown as done, of those that `counts`
-    /// says yes to.
+    /// Counts the pending adapter loads from the weight store for which `counts` returns true.
     pub(crate) fn count_transfers(&self, counts: impl Fn(&Coming) -> bool) -> usize {
         let state = self.state.borrow();
         let from_store = state.coming.iter().filter(|coming| coming.is_transfer());
         from_store.filter(|coming| counts(coming)).count()
     }
 
-    /// Adapters that came or went a moment ago.
+    /// Adapters that were loaded or unloaded recently, and those being unloaded.
     pub(crate) fn moved_lately(&self) -> Vec<AdapterMove> {
         let state = self.state.borrow();
         let lately = state.moved.iter();
         let lately = lately.filter(|(_, at)| at.elapsed() < MOVE_TOLD);
         let lately = lately.map(|(moved, _)| *moved);
-        // The list of upstreams shows what leaves until it has gone.
+        // The list of upstreams still shows an adapter until its unload is complete.
         let leaving = state.leaving.iter().map(|model| AdapterMove {
             model: model.digest(),
             is_held: false,
@@ -292,7 +298,7 @@
         lately.chain(leaving).collect()
     }
 
-    /// When the oldest load under way was accepted.
+    /// When the oldest pending load was accepted.
     pub(crate) fn oldest_coming(&self) -> Option<Instant> {
         self.state
             .borrow()
@@ -302,18 +308,19 @@
             .min()
     }
 
-    /// Whether `model` leaves when its requests have ended.
+    /// Whether `model` is unloaded once its requests have ended.
     pub(crate) fn is_leaving(&self, model: &ModelRef) -> bool {
         self.state.borrow().leaving.contains(model)
     }
 
-    /// Whether `model` is there in `version`, or in any if none is given.
+    /// Whether the engine holds `model` in `version` or a later one, or in any version if none is
+    /// given.
     pub(crate) fn holds(&self, model: &ModelRef, version: Option<u64>) -> bool {
         let held = self.state.borrow().holdings.version_of(model);
         held.is_some_and(|held| version.is_none_or(|version| held >= version))
     }
 
-    /// Whether `model` is on its way in `version`.
+    /// Whether `model` is being loaded in `version` or a later one.
     pub(crate) fn awaits(&self, model: &ModelRef, version: Option<u64>) -> bool {
         let state = self.state.borrow();
         let is_it = |coming: &Coming| {
@@ -323,34 +330,34 @@
         state.coming.iter().any(is_it)
     }
 
-    /// Whether `model` is there in `version`, or on its way.
+    /// Whether `model` is held or being loaded in `version` or a later one.
     pub(crate) fn holds_or_awaits(&self, model: &ModelRef, version: Option<u64>) -> bool {
         self.holds(model, version) || self.awaits(model, version)
     }
 
-    /// Adapters that it could take when that was last counted.
+    /// The number of adapters that could be loaded, as last computed.
     pub(crate) fn room(&self) -> u8 {
         self.room.get()
     }
 
-    /// Takes in how many adapters it could take now.
+    /// Sets the number of adapters that could be loaded now.
     pub(crate) fn set_room(&self, room: u8) {
         self.room.set(room);
     }
 
-    /// Forgets the count of orders: an order came back without an answer.
+    /// Marks the order sequence number as unknown, after an order without a usable answer.
     pub(crate) fn doubt(&self) {
         self.state.borrow_mut().order_seq = None;
     }
 
-    /// Forgets the loads under way: the engine does not answer any more.
+    /// Drops all pending loads, because the engine no longer answers.
     pub(crate) fn give_up_coming(&self) {
         let mut state = self.state.borrow_mut();
         state.coming.clear();
         state.order_seq = None;
     }
 
-    /// Takes in that a load was accepted.
+    /// Records that the engine accepted a load.
     pub(crate) fn load_ordered(
         &self,
         model: ModelRef,
@@ -371,7 +378,7 @@
         }
     }
 
-    /// Takes in that an order was accepted, and returns the engine's count with it.
+    /// Counts an accepted order; returns the new order sequence number.
     fn ordered(&self) -> Option<u64> {
         let mut state = self.state.borrow_mut();
         let order_seq = state.order_seq? + 1;
@@ -379,7 +386,8 @@
         Some(order_seq)
     }
 
-    /// Takes in that `model` was dropped, or will be when its requests have ended.
+    /// Records that `model` was unloaded, or will be once its requests have ended if `is_gone` is
+    /// false.
     pub(crate) fn unloaded(&self, model: &ModelRef, is_gone: bool) {
         self.ordered();
         let mut state = self.state.borrow_mut();
@@ -391,18 +399,18 @@
         }
     }
 
-    /// Takes in that it refused an order for what it is doing already.
+    /// Records that the engine refused an order because it is busy with an earlier one.
     pub(crate) fn block(&self) {
         self.state.borrow_mut().blocked_until = Some(Instant::now() + BLOCKED_SPAN);
     }
 
-    /// Whether it refused an order a moment ago.
+    /// Whether the engine refused an order less than [`BLOCKED_SPAN`] ago.
     pub(crate) fn is_blocked(&self) -> bool {
         let until = self.state.borrow().blocked_until;
         until.is_some_and(|until| Instant::now() < until)
     }
 
-    /// Takes in what another node has there.
+    /// Stores another node's usage report.
     pub(crate) fn note_use(&self, node: NodeId, used: &EngineUseTold) {
         let elsewhere = UseElsewhere {
             in_flight: used.in_flight,
@@ -417,21 +425,21 @@
         state.elsewhere.insert(node, elsewhere);
     }
 
-    /// Whether another node has requests for `model` there.
+    /// Whether another node has requests for `model` in flight here.
     pub(crate) fn is_used_elsewhere(&self, model: &ModelRef) -> bool {
         let state = self.state.borrow();
         let mut others = state.elsewhere.values();
         others.any(|used| used.in_flight_for(model) > 0)
     }
 
-    /// Requests for `model` that other nodes have there.
+    /// The requests for `model` that other nodes have in flight here.
     pub(crate) fn in_flight_elsewhere(&self, model: &ModelRef) -> u32 {
         let state = self.state.borrow();
         let others = state.elsewhere.values();
         others.map(|used| used.in_flight_for(model)).sum()
     }
 
-    /// Requests and unread prompt tokens of all other nodes but `node`.
+    /// The requests and unread prompt tokens of all other nodes except `node`.
     pub(crate) fn load_of_others(&self, node: &NodeId) -> (u32, u64) {
         let state = self.state.borrow();
         let others = state
@@ -443,13 +451,14 @@
         })
     }
 
-    /// How many adapters leave when their requests have ended. They take up room until then.
+    /// The number of models waiting to be unloaded. They use memory until their requests have
+    /// ended.
     pub(crate) fn leaving_count(&self) -> usize {
         self.state.borrow().leaving.len()
     }
 
-    /// Takes in a report and returns the loads that it shows as finished. Reports lag: one from
-    /// before the last order says nothing.
+    /// Applies a report and returns the loads that it shows as finished. Reports lag, so one that
+    /// was made before the last order is ignored.
     pub(crate) fn reported(&self, report: &EngineState) -> Vec<Coming> {
         let mut state = self.state.borrow_mut();
         if state
@@ -478,7 +487,8 @@
             state.note_move(&load.model, true);
         }
         let mut holdings = report.holdings.clone();
-        // Requests that have not begun on what leaves come back unserved.
+        // The engine returns requests unserved if they have not started when their model is
+        // unloaded.
         for model in &state.leaving {
             holdings.forget(model);
         }
--- a/crates/relay-node/src/control/engine_load.rs
+++ b/crates/relay-node/src/control/engine_load.rs
@@ -1,4 +1,4 @@
-//! What an owner tells of the load of its engine.
+//! What an owner reports about the load of its engine.
 
 use std::time::Instant;
 
@@ -13,51 +13,51 @@
 /// The load of one engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EngineLoad {
-    /// Requests that run there.
+    /// Requests in flight.
     pub(crate) in_flight: u32,
-    /// Prompt tokens that were sent and whose answers have not begun.
+    /// Prompt tokens of requests whose responses have not begun.
     pub(crate) unread_tokens: u32,
-    /// Adapters on their way to it, or waiting for it.
+    /// Adapters that are being loaded or are queued.
     pub(crate) coming: Vec<ModelDigest>,
-    /// Adapters that came or went a moment ago.
+    /// Adapters that were loaded or unloaded recently.
     pub(crate) moved: Vec<AdapterMove>,
-    /// How many adapters come from the weight store and no report has shown as done.
+    /// Adapter loads from the weight store that no report has shown as finished.
     pub(crate) transfers: u32,
-    /// Adapters that it could take now.
+    /// The number of adapters that could be loaded now.
     pub(crate) room: u8,
-    /// The last change of its holdings.
+    /// The version number of the engine's holdings.
     pub(crate) change: u64,
-    /// Whether it can be given orders now.
+    /// Whether the engine can be given orders now.
     pub(crate) takes_loads: bool,
-    /// Its base models, if its service has several.
+    /// The engine's base models, if its service has several.
     pub(crate) host: Option<HostTold>,
 }
 
-/// What an owner tells of the base models of its engine.
+/// What an owner reports about its engine's base models.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct HostTold {
-    /// Those that it holds or that are on their way, with how many adapters each.
+    /// The base models that are held or being loaded, each with its number of adapters.
     pub(crate) models: Vec<(ModelDigest, u8)>,
-    /// Whether it can be given orders for base models now.
+    /// Whether the engine can be given orders for base models now.
     pub(crate) can_change: bool,
-    /// Whether a base model is to come or to leave.
+    /// Whether a base model is being loaded or unloaded.
     pub(crate) is_changing: bool,
-    /// Whether it counts against the rate of the weight store for base models.
+    /// Whether the engine counts towards the weight store's rate limit for base models.
     pub(crate) uses_store: bool,
-    /// Requests that it runs.
+    /// Requests in flight.
     pub(crate) in_flight: u32,
 }
 
 impl EngineLoad {
-    /// Whether the engine does nothing and could take anything: what is assumed of an engine of which
-    /// nothing is heard.
+    /// Whether the engine is idle and could load any adapter, which is also assumed of engines
+    /// without a report.
     pub(crate) fn is_at_rest(&self) -> bool {
         let is_idle = self.in_flight == 0 && self.unread_tokens == 0 && self.transfers == 0;
         let has_changed = !self.coming.is_empty() || !self.moved.is_empty();
         is_idle && !has_changed && self.room > 0 && self.takes_loads && self.host.is_none()
     }
 
-    /// The report of it, as it was taken just now.
+    /// Converts this load to a report made now.
     pub(crate) fn into_report(self) -> Report {
         Report {
             in_flight_of_others: self.in_flight,
@@ -71,7 +71,7 @@
     }
 }
 
-/// The load of an engine of ours without what `node` has there.
+/// The load of an owned engine without `node`'s share.
 pub(crate) fn load_without(
     knowledge: &Knowledge,
     owned: &OwnedEngine,
@@ -96,7 +96,7 @@
     }
 }
 
-/// The base models of an engine of ours, if its service has several.
+/// The base models of an owned engine, if its service has several.
 fn host_told(knowledge: &Knowledge, owned: &OwnedEngine, in_flight: u32) -> Option<HostTold> {
     let upstream = knowledge.upstream(&owned.id)?;
     let service = knowledge.service(&upstream.service)?;
@@ -118,7 +118,7 @@
     })
 }
 
-/// Adapters that an engine of ours could take now.
+/// The number of adapters that an owned engine could load now without evicting one in use.
 pub(crate) fn room(knowledge: &Knowledge, owned: &OwnedEngine) -> u8 {
     let upstream = knowledge.upstream(&owned.id);
     let service = upstream.and_then(|upstream| knowledge.service(&upstream.service));
--- a/crates/relay-node/src/control/engine_models.rs
+++ b/crates/relay-node/src/control/engine_models.rs
@@ -1,4 +1,4 @@
-//! The base models of an engine that this node owns.
+//! The base models of an owned engine.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 use super::engine::{Coming, OwnedEngine};
 
 impl OwnedEngine {
-    /// Begins a change of its base models, unless one is under way.
+    /// Starts a change of base models; returns false if one is in progress.
     pub(crate) fn begin_change(&self, change: ModelChange) -> bool {
         let mut under_way = self.change.borrow_mut();
         let is_first = under_way.is_none();
@@ -15,12 +15,13 @@
         is_first
     }
 
-    /// Ends a change of its base models.
+    /// Ends the change of base models.
     pub(crate) fn end_change(&self) {
         self.change.take();
     }
 
-    /// Whether a base model is to come or to leave. It takes no other orders meanwhile.
+    /// Whether a base model is being loaded or unloaded. The engine takes no other orders
+    /// meanwhile.
     pub(crate) fn is_changing_model(&self) -> bool {
         let state = self.state.borrow();
         let is_base = |model: &ModelRef| model.adapter.is_none();
@@ -29,7 +30,7 @@
             || state.coming.iter().any(|coming| is_base(&coming.model))
     }
 
-    /// Notes that a base model was ordered from the weight store.
+    /// Records that a base model was ordered from the weight store.
     pub(crate) fn note_store_use(&self) {
         self.store_used.set(Some(Instant::now()));
     }
@@ -40,10 +41,10 @@
         used.is_some_and(|used| used.elapsed() < span)
     }
 
-    /// The base models that it holds or that are to come, without those that leave.
+    /// The base models that are held or being loaded, without those being unloaded.
     ///
-    /// A change counts as done from its first moment: while what makes way leaves, all owners would
-    /// have further engines make the same change.
+    /// A change counts as complete from its start. Otherwise, until the old model is unloaded, all
+    /// owners would start the same change at further engines.
     pub(crate) fn hosted_models(&self) -> Vec<HostedModel> {
         let mut hosted = self.held_models();
         if let Some(change) = &*self.change.borrow() {
--- a/crates/relay-node/src/control/eras.rs
+++ b/crates/relay-node/src/control/eras.rs
@@ -1,6 +1,8 @@
-//! What this node does when the store comes back from an older copy of itself.
+//! Recovery after the store was restored from an older backup.
 //!
-//! Claims of before are gone then, or will be; they are made anew, and nothing is done on them in between.
+//! Each restore begins a new era of the store. Claims written in the previous era are missing from
+//! the backup, or will expire; engines and lenders claimed by them are claimed again, and no order
+//! is sent under the old claims.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,25 +22,26 @@
 use super::suspect_news::some_others;
 use crate::clock::boot_time;
 
-/// The mark of the last era for which all is as it was: no claim of before counts, and the operators' text is there.
+/// The key of the last era that is settled: no claim of an earlier era is in use, and the
+/// operators' configuration and model versions are complete again.
 pub(crate) const MARK_KEY: &str = "nutmegsail/era";
 
-/// How often a few nodes are told of an era that rose lately.
+/// How often a few nodes are told of a recent restore.
 const TELL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The mark as it is written.
+/// The value of the era key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Mark {
     era: StoreEra,
 }
 
-/// The store's eras, and what is open since the last one began.
+/// The store's eras, and what remains to be done since the last restore.
 #[derive(Debug)]
 pub(crate) struct Eras {
     pub(crate) watch: RefCell<EraWatch>,
-    /// Engines whose claims went with the store's history.
+    /// Owned engines whose claims were lost in a restore.
     pub(crate) lapsed: RefCell<HashMap<UpstreamId, Rc<OwnedEngine>>>,
-    /// Whether the store is to be asked at once, as another node knows of a later era.
+    /// Whether to call the store at once, because another node knows of a later era.
     is_to_ask: Cell<bool>,
     mark_revision: Cell<Revision>,
     is_held_logged: Cell<bool>,
@@ -57,34 +60,34 @@
         }
     }
 
-    /// Whether the store is to be asked at once. Told once.
+    /// Whether to call the store at once. Reading this resets it.
     pub(crate) fn is_to_ask(&self) -> bool {
         self.is_to_ask.take()
     }
 
-    /// Whether no claim of an earlier era holds any more.
+    /// Whether all claims of earlier eras have expired.
     pub(crate) fn is_settled(&self) -> bool {
         self.watch.borrow().is_settled(boot_time())
     }
 
-    /// Whether the node waits for another one's word before it claims anything.
+    /// Whether this node waits for another node's answer about the era before it claims anything.
     pub(crate) fn awaits_word(&self) -> bool {
         self.watch.borrow().awaits_word(boot_time())
     }
 
-    /// Takes in that all that the store shows comes next.
+    /// Called before all keys are read again.
     pub(crate) fn begin_whole(&self) {
         self.mark_revision.set(Revision::NONE);
     }
 }
 
 impl Knowledge {
-    /// Looks whether the store has told of a later era.
+    /// Checks whether the store has reported a later era.
     pub(crate) fn check_era(&self) {
         self.note_era(self.store.era());
     }
 
-    /// Takes in the era that the store is in.
+    /// Records the store's current era.
     pub(crate) fn note_era(&self, era: Option<StoreEra>) {
         let rise = self.eras.watch.borrow_mut().see(era, boot_time());
         if let Some(era) = era {
@@ -113,7 +116,8 @@
         );
     }
 
-    /// Drops an engine whose claim went with the store's history, as another node has claimed it or it is listed no more.
+    /// Drops an engine whose claim was lost in a restore, because another node has claimed it
+    /// since.
     pub(crate) fn forget_lapsed(&self, engine: &UpstreamId, why: &str) {
         if self.eras.lapsed.borrow_mut().remove(engine).is_some() {
             log_event!(
@@ -123,7 +127,7 @@
         }
     }
 
-    /// Takes in the store's mark.
+    /// Applies the settled era from the store.
     pub(crate) fn take_mark(&self, item: &Item) {
         self.eras.mark_revision.set(item.revision);
         match serde_json::from_slice::<Mark>(&item.value) {
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Whether the node goes by the operators' text that it knows.
+    /// Whether this node uses the operators' configuration that it has read.
     pub(crate) fn goes_by_text(&self) -> bool {
         let mut watch = self.eras.watch.borrow_mut();
         if watch.has_text() {
@@ -152,7 +156,7 @@
         goes_by
     }
 
-    /// Goes by the operators' text from now on, if nothing holds it back any more.
+    /// Starts using the operators' configuration, if nothing prevents it any more.
     pub(crate) fn look_at_text(&self) {
         let has_text = self.eras.watch.borrow().has_text();
         if !has_text && self.goes_by_text() {
@@ -160,13 +164,14 @@
         }
     }
 
-    /// What this node tells others of the store; nothing while it waits to hear from them itself.
+    /// What this node tells others about the store's era; `None` while it is itself waiting for
+    /// their answers.
     pub(crate) fn era_told(&self) -> Option<EraTold> {
         let watch = self.eras.watch.borrow();
         watch.told(self.text_known(), boot_time())
     }
 
-    /// Takes in what another node tells of the store.
+    /// Applies what another node tells about the store's era.
     pub(crate) fn take_era_told(&self, told: EraTold) {
         let is_newer = self.eras.watch.borrow_mut().take_told(told, boot_time());
         if is_newer {
@@ -174,7 +179,7 @@
         }
     }
 
-    /// Whom to ask what they know of the store.
+    /// The nodes to ask about the store's era.
     pub(super) fn era_asks(&self) -> Vec<SocketAddr> {
         match self.eras.watch.borrow().asks(boot_time()) {
             true => some_others(self),
@@ -182,7 +187,7 @@
         }
     }
 
-    /// Whom to tell now of an era that rose lately.
+    /// The nodes to tell now of a recent restore.
     pub(super) fn era_news(&self) -> Vec<SocketAddr> {
         let told = self.eras.told.get();
         let is_due = told.is_none_or(|told| told.elapsed() >= TELL_INTERVAL);
@@ -194,7 +199,7 @@
     }
 }
 
-/// Marks the era at the store once all is as it was, if this node reads the store for others.
+/// Writes the era to the store once it is settled, if this node reads the store for others.
 pub(crate) async fn mark_era(knowledge: &Knowledge) {
     let is_behind = knowledge.shown.is_behind(knowledge.configuration_version());
     let due = {
@@ -216,7 +221,7 @@
         }],
         ..Txn::default()
     };
-    // A mark that another node wrote first shows up in the watch.
+    // If another node wrote the key first, the watch delivers it.
     if let Ok(revision) = knowledge.store.commit(txn).await {
         knowledge.eras.mark_revision.set(revision);
         knowledge.eras.watch.borrow_mut().take_mark(era);
--- a/crates/relay-node/src/control/exchange.rs
+++ b/crates/relay-node/src/control/exchange.rs
@@ -1,10 +1,10 @@
-//! What nodes tell the owners of engines, and what owners tell back.
+//! Datagrams between nodes, mainly between an engine's owner and the nodes that use the engine.
 //!
-//! A node tells an engine's owner what it has there; the owner answers with what all the others
-//! have there and what the engine holds. So each node sees the queues of engines it uses some
-//! 100 ms late, an owner evicts nothing that another node uses, and the messages grow with the
-//! requests, not with the square of the nodes. They go as datagrams: losing one costs nothing, as
-//! the next says it all again.
+//! A node sends an engine's owner what it has in flight there; the owner replies with what all
+//! other nodes have in flight and what the engine holds. Each node thus knows the queues of the
+//! engines it uses with a delay of some 100 ms, an owner never evicts what another node uses, and
+//! traffic grows with the number of requests instead of the square of the number of nodes. A lost
+//! datagram does no harm, as the next one repeats the full state.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -32,17 +32,18 @@
 use crate::shared::{Asked, CopyNews, EngineNews, EngineUse};
 use crate::traffic_message::TrafficMessage;
 
-/// How often a node tells what it has at engines. A prompt is read in some 76 ms, so older news of
-/// a queue say little; shorter intervals cost datagrams.
+/// How often a node reports what it has in flight. A prompt takes some 76 ms to process, so older
+/// queue lengths are of little use; a shorter interval costs more datagrams.
 const INTERVAL: Duration = Duration::from_millis(100);
 
-/// Up to this many nodes tell every owner each time, also owners whose engines they don't use.
+/// With up to this many nodes, each node reports to every owner, even if it does not use the
+/// owner's engines.
 pub(crate) const FULL_EXCHANGE_NODES: usize = 16;
 
 /// The largest datagram that is read, in bytes.
 const DATAGRAM_BYTES: usize = 16 * 1024;
 
-/// What a node has at one engine.
+/// What a node has in flight at one engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EngineUseTold {
     pub(crate) engine: UpstreamId,
@@ -50,70 +51,71 @@
     pub(crate) unread_tokens: u64,
     /// Requests in flight for each adapter.
     pub(crate) models: Vec<(ModelRef, u32)>,
-    /// What each adapter was asked for since the last message.
+    /// Demand for each adapter since the last message.
     pub(crate) asked: Vec<(ModelRef, Asked)>,
-    /// The change of the engine's holdings that the sender knows.
+    /// The version number of the engine's holdings that the sender knows.
     known_change: u64,
 }
 
-/// What an owner tells one node of one engine.
+/// An owner's status report of one engine to one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct EngineTold {
     engine: UpstreamId,
-    /// Its load without what the node that is told has there.
+    /// The engine's load without the receiving node's own share.
     load: EngineLoad,
-    /// The last change of the engine's holdings.
+    /// The version number of the engine's holdings.
     change: u64,
-    /// The holdings, if the other node knows an earlier change.
+    /// The holdings, if the receiving node knows an older version.
     holdings: Option<Holdings>,
 }
 
 /// A datagram between nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Message {
-    /// To an owner.
+    /// Sent to an owner.
     Uses {
         from: NodeId,
         engines: Vec<EngineUseTold>,
     },
-    /// From an owner.
+    /// Sent by an owner.
     Loads {
         from: NodeId,
         engines: Vec<EngineTold>,
     },
-    /// From an owner to the node that gathers loads for its failure domain, or from that one.
+    /// Sent by an owner to the node that aggregates loads for its failure domain, or by that node.
     Gathered { from: NodeId, page: LoadPage },
-    /// From a reader to readers of other failure domains, which hear nothing else from there at times.
+    /// Sent by a reader to the readers of other failure domains, which might otherwise not hear
+    /// from its domain for a while.
     Alive { from: NodeId },
-    /// From or to a traffic thread.
+    /// Sent or received by a traffic thread.
     Traffic(TrafficMessage),
-    /// What callers ask of base models.
+    /// Demand for base models.
     Models { from: NodeId, asked: ModelsAsked },
-    /// Requests that upstreams ended under.
+    /// Requests under which upstreams ended.
     Suspects {
         from: NodeId,
         told: Vec<SuspectTold>,
-        /// Whether it answers an ask for all.
+        /// Whether this answers [`Message::SuspectsAsked`].
         is_answer: bool,
     },
-    /// Limits that upstreams name.
+    /// Rate limits that upstreams have set.
     Limits { from: NodeId, told: Vec<LimitTold> },
-    /// Upstreams that say that they leave.
+    /// Upstreams that have announced that they are leaving.
     Leaving { told: Vec<UpstreamId> },
-    /// Asks for all of them: the sender has just started, or stood still.
+    /// Asks for all suspects, after a start or a stall of the sender.
     SuspectsAsked { from: NodeId },
     /// What the sender knows of the store's era.
     Era { from: NodeId, told: EraTold },
-    /// Asks for that: the sender has just started.
+    /// Asks for [`Message::Era`], after a start of the sender.
     EraAsked { from: NodeId },
 }
 
-/// A message of a traffic thread as a datagram.
+/// Encodes a message of a traffic thread as a datagram.
 pub(crate) fn traffic_datagram(message: TrafficMessage) -> Option<Vec<u8>> {
     postcard::to_stdvec(&Message::Traffic(message)).ok()
 }
 
-/// The message of a traffic thread that a datagram holds.
+/// Decodes a datagram if it is a message for a traffic thread.
 pub(crate) fn parse_traffic_message(bytes: &[u8]) -> Option<TrafficMessage> {
     match postcard::from_bytes(bytes) {
         Ok(Message::Traffic(message)) => Some(message),
@@ -121,7 +123,7 @@
     }
 }
 
-/// Tells and listens for ever.
+/// Sends and receives datagrams forever.
 pub(crate) async fn run(knowledge: Rc<Knowledge>, socket: UdpSocket) {
     let mut ticks = interval(INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -152,7 +154,7 @@
     }
 }
 
-/// Tells each owner what this node has at its engines.
+/// Reports to each owner what this node has in flight at its engines.
 fn tell(knowledge: &Knowledge, socket: &UdpSocket) {
     let me = &knowledge.settings.node;
     let mut told: HashMap<NodeId, Vec<EngineUseTold>> = HashMap::new();
@@ -192,7 +194,7 @@
     }
 }
 
-/// Takes in what this node itself has at an engine of its own.
+/// Records what this node itself has in flight at an engine that it owns.
 fn note_own_use(knowledge: &Knowledge, owned: &OwnedEngine, used: &EngineUse) {
     let here = &knowledge.settings.failure_domain;
     note_asked(knowledge, owned, here, used.asked.iter());
@@ -207,7 +209,7 @@
     knowledge.note_change(&owned.id, owned.change());
 }
 
-/// Counts what a node of `domain` asked an engine of ours for.
+/// Adds a report of demand from a node in `domain`.
 fn note_asked<'a>(
     knowledge: &Knowledge,
     owned: &OwnedEngine,
@@ -223,7 +225,8 @@
     }
 }
 
-/// Tells the traffic thread, which knows all engines, of copies that an engine of ours needs.
+/// Passes on to the traffic thread, which knows all engines, which adapters of an owned engine need
+/// more copies.
 fn want_copies(knowledge: &Knowledge, owned: &OwnedEngine, mine: &EngineUse) {
     let Some(upstream) = knowledge.upstream(&owned.id) else {
         return;
@@ -246,11 +249,12 @@
     knowledge.shared.news.want_copies(news);
 }
 
-/// Tells the readers of other failure domains that this one is there, if this node may read for it.
+/// Sends a sign of life to the readers of other failure domains, if this node is a reader of its
+/// own.
 fn tell_alive(knowledge: &Knowledge, socket: &UdpSocket) {
     let nodes = knowledge.nodes.borrow();
     if nodes.len() <= FULL_EXCHANGE_NODES {
-        // Every node tells every owner.
+        // Every node already reports to every owner.
         return;
     }
     let readers = readers_by_domain(nodes.values());
@@ -265,7 +269,7 @@
     }
 }
 
-/// Tells of requests that upstreams ended under, and asks for them.
+/// Sends requests under which upstreams ended, and asks other nodes for theirs.
 fn tell_suspects(knowledge: &Knowledge, socket: &UdpSocket, news: &mut SuspectNews) {
     for (told, address) in news.turn(knowledge) {
         let from = knowledge.settings.node.clone();
@@ -282,7 +286,7 @@
     }
 }
 
-/// Tells of the limits that upstreams name.
+/// Sends the rate limits that upstreams have set.
 fn tell_limits(knowledge: &Knowledge, socket: &UdpSocket, news: &mut LimitNews) {
     knowledge.forget_unlisted();
     for (told, address) in news.turn(knowledge) {
@@ -291,14 +295,14 @@
     }
 }
 
-/// Tells of upstreams that say that they leave.
+/// Sends the upstreams that have announced that they are leaving.
 fn tell_leaving(knowledge: &Knowledge, socket: &UdpSocket, news: &mut LeavingNews) {
     for (told, address) in news.turn(knowledge) {
         send(socket, &Message::Leaving { told }, address);
     }
 }
 
-/// Tells of an era that rose lately, or asks for it.
+/// Tells other nodes of a recent restore of the store, or asks them for its era.
 fn tell_era(knowledge: &Knowledge, socket: &UdpSocket) {
     for address in knowledge.era_news() {
         send_era(knowledge, socket, address);
@@ -316,13 +320,13 @@
     }
 }
 
-/// Lets requests go whose turn at an upstream with a limit has come.
+/// Grants the turns that are due at rate-limited upstreams.
 fn turn_slots(knowledge: &Knowledge, socket: &UdpSocket) {
     let traffic = |message| Message::Traffic(TrafficMessage::Slots(message));
     knowledge.turn_slots(|message, to| send(socket, &traffic(message), to));
 }
 
-/// Tells what callers of this node ask of base models.
+/// Sends this node's share of the demand for base models.
 fn tell_models(knowledge: &Knowledge, socket: &UdpSocket) {
     let own = knowledge.shared.models_asked.take();
     let mut demand = knowledge.model_demand.borrow_mut();
@@ -332,12 +336,13 @@
     }
 }
 
-/// What an owner says of holdings: it tells them to whom it told others before.
+/// The holdings as an owner reports them: it omits them from a report only if they have not
+/// changed.
 fn told_by_owner(holdings: Option<Holdings>) -> HoldingsTold {
     holdings.map_or(HoldingsTold::Unchanged, HoldingsTold::Changed)
 }
 
-/// Takes in a datagram.
+/// Handles a received datagram.
 fn take(
     knowledge: &Knowledge,
     socket: &UdpSocket,
@@ -460,10 +465,11 @@
     })
 }
 
-/// Tells the loads of engines to the node that gathers them, or, on that node, to the others.
+/// Sends the loads of owned engines to the node that aggregates them; on that node, sends the
+/// aggregated loads to the others.
 fn gather(knowledge: &Knowledge, socket: &UdpSocket, board: &mut LoadBoard) {
     if knowledge.nodes.borrow().len() <= FULL_EXCHANGE_NODES {
-        // Every owner tells every node by itself.
+        // Every owner already reports to every node.
         return;
     }
     let nobody = NodeId::from("");
@@ -479,7 +485,7 @@
     }
 }
 
-/// Sends a datagram; one that cannot go now is left out, as the next says it all.
+/// Sends a datagram. If the socket is not ready it is dropped, as the next one repeats the state.
 fn send(socket: &UdpSocket, message: &Message, to: SocketAddr) {
     if let Ok(bytes) = postcard::to_stdvec(message) {
         let _ = socket.try_send_to(&bytes, to);
--- a/crates/relay-node/src/control/follow_loads.rs
+++ b/crates/relay-node/src/control/follow_loads.rs
@@ -1,4 +1,4 @@
-//! Follows the loads under way at an engine of ours by its reports.
+//! Polls an owned engine's reports until its pending loads finish.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use super::engine::OwnedEngine;
 use super::knowledge::Knowledge;
 
-/// How long after its order a load can show in a report at the earliest: reports lag some 100 ms.
+/// The earliest time after its order at which a report can show a load: reports lag some 100 ms.
 const FIRST_REPORT: Duration = Duration::from_millis(350);
 
-/// The time between two reports while loads are under way; each is charged for.
+/// The time between two reports while loads are pending. Each report is billed.
 pub(crate) const FOLLOW_INTERVAL: Duration = Duration::from_millis(60);
 
-/// How long a load may take, with others under way everywhere.
+/// How long a load may take while others are in progress at all engines.
 pub(crate) const LOAD_LIMIT: Duration = Duration::from_millis(3_000);
 
-/// Reads reports until nothing is on its way to `engine`. A second call while one runs does nothing.
+/// Reads reports until `engine` has no pending loads. Does nothing if that is already running.
 pub(crate) fn follow_loads(knowledge: Rc<Knowledge>, engine: Rc<OwnedEngine>) {
     if engine.is_followed.replace(true) {
         return;
--- a/crates/relay-node/src/control/keeper.rs
+++ b/crates/relay-node/src/control/keeper.rs
@@ -1,4 +1,4 @@
-//! Keeps the node's lease, and looks after the engines that it owns.
+//! Renews the node's lease and maintains the engines that it owns.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,24 +16,25 @@
 use super::lending::claim_lender;
 use super::owners::{NODE_PREFIX, lose, to_json};
 
-/// How long keys outlive their node. Shorter costs more renewals, longer leaves engines of a dead
-/// node without an owner.
+/// How long a node's keys outlive it. A shorter time costs more renewals, a longer one leaves the
+/// engines of a dead node without an owner for longer.
 const LEASE_TTL: Duration = Duration::from_secs(4);
 
-/// How often the lease is renewed: two renewals may be lost.
+/// How often the lease is renewed, so that two renewals in a row may fail.
 const RENEW_INTERVAL: Duration = Duration::from_millis(1_200);
 
 /// How often a node looks for engines to claim.
 const TICK: Duration = Duration::from_millis(400);
 
-/// How long after its start a node claims nothing: machines start within 0.3 s of each other, and
-/// engines are to be spread over all of them.
+/// How long after its start a node claims no new engines: machines start within 0.3 s of each
+/// other, and the engines should be spread over all of them.
 const FIRST_CLAIM_AFTER: Duration = Duration::from_millis(900);
 
-/// Keeps the node's lease and claims engines, for ever.
+/// Renews the node's lease and claims engines, forever.
 pub(crate) async fn keep(knowledge: Rc<Knowledge>) {
     let started = Instant::now();
-    // Nodes whose leases were taken away all ask for new ones; while the store is away they take turns.
+    // After the store dropped their leases, all nodes ask for new ones; while it is unavailable the
+    // pauses between tries keep them from calling it all at once.
     let mut renew_after = started;
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -70,7 +71,8 @@
     }
 }
 
-/// Renews the lease, or takes one and registers the node under it.
+/// Renews the lease, or gets a new one and registers the node under it. Returns whether the node
+/// has a lease.
 async fn renew(knowledge: &Knowledge) -> bool {
     let lease = knowledge.lease.get();
     if lease != LeaseId::default() {
@@ -87,7 +89,7 @@
             Err(_) => return false,
         }
     }
-    // The store's client logs why a call failed.
+    // The store client logs why a call failed.
     register(knowledge).await.is_ok()
 }
 
@@ -113,12 +115,12 @@
     Ok(())
 }
 
-/// Ends the lease, so that the others take over at once.
+/// Ends the lease, so that other nodes take over at once.
 pub(crate) async fn give_back(knowledge: &Knowledge) {
     let lease = knowledge.lease.replace(LeaseId::default());
     knowledge.owned.borrow_mut().clear();
     if lease != LeaseId::default() {
-        // If the call is lost, the keys go when the lease ends by itself.
+        // If this call is lost, the keys are removed when the lease expires.
         let _ = knowledge.store.end_lease(lease).await;
     }
 }
--- a/crates/relay-node/src/control/knowledge.rs
+++ b/crates/relay-node/src/control/knowledge.rs
@@ -1,4 +1,4 @@
-//! What the control thread knows, and how it publishes that to the traffic thread.
+//! The control thread's state, and how it is published to the traffic thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -31,35 +31,36 @@
 use crate::shared::{Shared, View};
 use crate::{CONNECT_TIMEOUT, Dialect, RelaySettings};
 
-/// How long what another owner told of loads and base models is used: it tells ten times in it, and a
-/// load takes a quarter of it.
+/// How long another owner's report of loads and base models is valid. Owners send ten reports in
+/// this time, and a load takes a quarter of it.
 const TRANSFERS_LIFE: Duration = Duration::from_millis(1_000);
 
-/// How long an owner's own word of its engine's load goes before what is gathered: two exchanges.
+/// How long an owner's own report of its engine's load takes precedence over aggregated ones: two
+/// exchange intervals.
 const TOLD_SPAN: Duration = Duration::from_millis(220);
 
-/// How long a read that showed a key of ours is relied on. Longer lets loads go on while the store
-/// is away, for all engines; it also holds up the next owner of a node that is gone for good, for
-/// one engine in seven, while the others take its loads.
+/// How long a read that showed an owner key of this node is relied on. A longer time lets loads go
+/// on while the store is unavailable, at all engines. It also delays the successor of a node that
+/// is gone for good, at one engine in seven, while the other engines take its loads.
 const CONFIRMATION: Duration = Duration::from_millis(4_000);
 
-/// How long the last owner of an address is remembered; its orders have long arrived by then.
+/// How long the last owner of an address is remembered; all its orders have arrived by then.
 const LAST_OWNER_LIFE: Duration = Duration::from_secs(20);
 
-/// In this time an adapter's demand counts half for its eviction. Demand moves on within some 5 s;
-/// a longer memory keeps yesterday's favourites, a shorter one forgets the tail between two of its
-/// requests.
+/// The half-life of an adapter's demand, which decides what is evicted. Demand shifts within some 5
+/// s: a longer half-life keeps adapters that are no longer in demand, a shorter one forgets rarely
+/// used adapters between two of their requests.
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(10);
 
 /// How long after a failed confirmation engines get no loads.
 const LOST_STORE_SPAN: Duration = Duration::from_millis(800);
 
-/// An engine's owner as the store shows it.
+/// An engine's owner as recorded in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Owner {
     pub(crate) node: NodeId,
     pub(crate) revision: Revision,
-    /// What its next process has to know if it waits for the owner before.
+    /// What the owner's next process has to know if the owner is still waiting for its predecessor.
     pub(crate) waits: Option<OwnerWait>,
 }
 
@@ -79,49 +80,49 @@
     pub(crate) owned: RefCell<HashMap<UpstreamId, Rc<OwnedEngine>>>,
     pub(crate) demand: RefCell<Demand>,
     pub(crate) model_demand: RefCell<ModelDemand>,
-    /// Which base models other owners told their engines to hold, and when.
+    /// The base models of other owners' engines as last reported, and when.
     hosted: RefCell<HashMap<UpstreamId, (HostTold, Instant)>>,
     pub(crate) lease: Cell<LeaseId>,
-    /// Held while ownership is confirmed, so that loads that wait share one call.
+    /// Held while ownership is confirmed, so that waiting loads share one call.
     pub(crate) confirming: tokio::sync::Mutex<()>,
-    /// When this node last gave an order.
+    /// When this node last sent an order.
     pub(crate) last_order: Cell<Option<Instant>>,
     /// When a confirmation last failed.
     pub(crate) confirm_failed: Cell<Option<Instant>>,
-    /// How long loads take lately.
+    /// The current estimate of load times.
     pub(crate) load_times: Cell<LoadTimes>,
-    /// Loads from the weight store that other owners have under way at each engine, and when they
-    /// told.
+    /// The loads from the weight store in progress at other owners' engines, and when they were
+    /// reported.
     transfers_elsewhere: RefCell<HashMap<UpstreamId, (u32, Instant)>>,
-    /// When the owner of each engine last told this node of its load.
+    /// When the owner of each engine last reported its load to this node.
     pub(crate) told_by_owner: RefCell<HashMap<UpstreamId, Instant>>,
-    /// The last change of each engine's holdings that the traffic thread was told.
+    /// The version number of each engine's holdings that the traffic thread was last given.
     changes: RefCell<HashMap<UpstreamId, u64>>,
-    /// When each failure domain was last heard.
+    /// When a node of each failure domain was last heard from.
     pub(crate) domains_heard: RefCell<DomainsHeard>,
-    /// When each node was last heard.
+    /// When each node was last heard from.
     pub(crate) heard: RefCell<HashMap<NodeId, Instant>>,
-    /// The last changes of the store, for nodes that this one reads it for.
+    /// The latest changes in the store, for nodes that this one reads it for.
     pub(crate) change_log: ChangeLog,
-    /// Nodes that read the store for others and did not answer, and when.
+    /// Nodes that read the store for others and failed to answer, and when they did.
     pub(crate) silent_readers: RefCell<HashMap<NodeId, Instant>>,
-    /// Which node owned the engine at each address last, and when it was seen so.
+    /// The last owner of the engine at each address, and when it was last seen as such.
     pub(crate) last_owners: RefCell<HashMap<SocketAddr, (NodeId, Instant)>>,
-    /// Whether other nodes are to be asked for the requests that upstreams ended under.
+    /// Whether to ask other nodes for the requests under which upstreams ended.
     pub(crate) needs_suspects: Cell<bool>,
-    /// The eras of the store.
+    /// The store's eras and the recovery after a restore.
     pub(crate) eras: Eras,
-    /// Whether engines are owned as they should be.
+    /// Watches whether engines are owned as they should be.
     pub(crate) owners_watch: RefCell<OwnershipWatch>,
-    /// The operators' text as the store shows it.
+    /// The operators' configuration and model versions as last seen in the store.
     pub(crate) shown: ShownText,
-    /// Nodes that are kept though the store does not list them.
+    /// Nodes that are kept although the store does not list them.
     pub(crate) returning: ReturningNodes,
-    /// Who lends teams' quotas.
+    /// The lenders of the teams' quotas.
     pub(crate) lending: Lending,
-    /// The slots of plain upstreams that this node hands out.
+    /// The upstream slots that this node grants.
     pub(crate) slots: Slots,
-    /// Which start of the machine the clock counts from.
+    /// The id of the machine's current boot, since which the clock counts.
     pub(crate) boot: Arc<str>,
     started: Instant,
     number: Cell<u64>,
@@ -178,7 +179,8 @@
         }
     }
 
-    /// Notes who owns the engine at each address, so that its next process finds the same owner.
+    /// Records the owner of the engine at each address, so that the engine keeps it after a
+    /// restart.
     pub(crate) fn note_last_owners(&self) {
         let now = Instant::now();
         let upstreams = self.upstreams.borrow();
@@ -191,21 +193,22 @@
         last.retain(|_, (_, seen)| now.duration_since(*seen) < LAST_OWNER_LIFE);
     }
 
-    /// The node that last owned the engine at `address`.
+    /// The last owner of the engine at `address`.
     pub(crate) fn last_owner(&self, address: &SocketAddr) -> Option<NodeId> {
         let last = self.last_owners.borrow();
         last.get(address).map(|(node, _)| node.clone())
     }
 
-    /// Whether this node has watched for long enough to know of every owner that may still have
-    /// orders on their way.
+    /// Whether this node has been watching long enough to know every owner that may still have
+    /// orders in transit.
     pub(crate) fn knows_last_owners(&self) -> bool {
         let rules = self.ownership_rules();
         self.started.elapsed() > (rules.confirmation + rules.hand_over) * 2
     }
 
-    /// Whether no engine can have an owner's orders on their way. Callers come 10 s after the first
-    /// start, and an owner that ended before holds its key for a lease, longer than the hand-over.
+    /// Whether no owner can have orders in transit to any engine. After the first start of the
+    /// system callers come only after 10 s, and the key of an owner that ended before expires with
+    /// its lease, which is longer than the hand-over time.
     pub(crate) fn is_first_claim(&self) -> bool {
         const FIRST_CLAIMS: Duration = Duration::from_secs(8);
         let is_first = self.settings.is_first_start && self.started.elapsed() < FIRST_CLAIMS;
@@ -216,7 +219,7 @@
         ownership_rules(&self.settings)
     }
 
-    /// Publishes what is known now.
+    /// Publishes the current state to the traffic thread.
     pub(crate) fn publish(&self) {
         self.refresh_quotas();
         self.measure_quotas();
@@ -248,7 +251,7 @@
         }
     }
 
-    /// Counts the engines that are listed with each base model of the configuration.
+    /// Counts the listed engines that hold each base model of the configuration.
     fn count_model_engines(&self, view: &View) {
         let mut engines: HashMap<&str, usize> = HashMap::new();
         for held in view
@@ -267,7 +270,7 @@
         }
     }
 
-    /// Whether `engine` can be given orders, as far as is known without asking the store.
+    /// Whether `engine` can be given orders, as far as is known without a call to the store.
     pub(crate) fn takes_loads(&self, engine: &OwnedEngine) -> bool {
         let permit = engine.ownership.borrow().permit(boot_time());
         let is_permitted = match permit {
@@ -287,21 +290,21 @@
             && !is_changing
     }
 
-    /// Whether any node has requests for `model` at `engine`, as far as is known.
+    /// Whether any node is known to have requests for `model` in flight at `engine`.
     pub(crate) fn is_in_use(&self, engine: &OwnedEngine, model: &ModelRef) -> bool {
         self.shared.uses.holds(&engine.id, model)
             || engine.is_used_elsewhere(model)
             || engine.is_leaving(model)
     }
 
-    /// Takes in how long ago another node of this failure domain heard each domain.
+    /// Applies another node's report of when it last heard from each failure domain.
     pub(crate) fn take_domains(&self, told: &[DomainAge]) {
         let mut domains = self.domains_heard.borrow_mut();
         domains.take(told, Instant::now());
         self.shared.news.put_domains(&domains);
     }
 
-    /// Notes that a node was heard, and its failure domain with it.
+    /// Records that a node, and with it its failure domain, was heard from.
     pub(crate) fn note_heard(&self, node: NodeId) {
         let nodes = self.nodes.borrow();
         if let Some(record) = nodes.get(&node) {
@@ -312,29 +315,30 @@
         self.heard.borrow_mut().insert(node, Instant::now());
     }
 
-    /// Loads from the weight store that are under way at an engine of ours. Reports lag, so those that
-    /// should be done count no more.
+    /// The loads from the weight store in progress at an owned engine. As reports lag, loads that
+    /// should be finished are not counted.
     pub(crate) fn transfers_at(&self, engine: &OwnedEngine) -> usize {
         let (times, now) = (self.load_times.get(), Instant::now());
         let is_under_way = |load: &Coming| load.since + times.usual(load.under_way) > now;
         engine.count_transfers(is_under_way)
     }
 
-    /// Notes how many loads another owner has under way at its engine.
+    /// Records how many loads another owner has in progress at its engine.
     pub(crate) fn note_transfers(&self, engine: &UpstreamId, transfers: u32) {
         let mut elsewhere = self.transfers_elsewhere.borrow_mut();
         elsewhere.insert(engine.clone(), (transfers, Instant::now()));
     }
 
-    /// Whether the engine's owner told this node a moment ago, which is newer than what is gathered.
+    /// Whether the engine's owner reported to this node less than [`TOLD_SPAN`] ago, which is newer
+    /// than the aggregated loads.
     pub(crate) fn is_told_by_owner(&self, engine: &UpstreamId) -> bool {
         let told = self.told_by_owner.borrow();
         let at = told.get(engine);
         at.is_some_and(|at| at.elapsed() < TOLD_SPAN)
     }
 
-    /// Loads from the weight store that are under way over all engines, as far as is known. Engines of
-    /// which nothing was heard have none, or their owner is out of reach.
+    /// The estimated number of loads from the weight store in progress over all engines. Engines
+    /// without a current report count as having none; their owner may be unreachable.
     pub(crate) fn loads_under_way(&self) -> f64 {
         let owned = self.owned.borrow();
         let own = owned.values();
@@ -346,34 +350,34 @@
         (own as f64 + f64::from(told)) * self.load_times.get().under_way_share()
     }
 
-    /// The change of an engine's holdings that the traffic thread was told; 0 if none.
+    /// The version number of an engine's holdings that the traffic thread was given; 0 if none.
     pub(crate) fn known_change(&self, engine: &UpstreamId) -> u64 {
         self.changes.borrow().get(engine).copied().unwrap_or(0)
     }
 
-    /// Notes that the traffic thread was told of a change.
+    /// Records the version number of the holdings that the traffic thread was given.
     pub(crate) fn note_change(&self, engine: &UpstreamId, change: u64) {
         self.changes.borrow_mut().insert(engine.clone(), change);
     }
 
-    /// Takes in how long loads take by another node.
+    /// Applies another node's estimate of the load time.
     pub(crate) fn take_load_time(&self, load_ms: f32) {
         let mut times = self.load_times.get();
         times.take_told(load_ms);
         self.load_times.set(times);
     }
 
-    /// The upstream of this id.
+    /// The upstream with this id.
     pub(crate) fn upstream(&self, id: &UpstreamId) -> Option<Arc<Upstream>> {
         self.upstreams.borrow().get(id).cloned()
     }
 
-    /// The engine that this node owns.
+    /// The engine with this id, if this node owns it.
     pub(crate) fn owned(&self, id: &UpstreamId) -> Option<Rc<OwnedEngine>> {
         self.owned.borrow().get(id).cloned()
     }
 
-    /// How long this node pauses after a call to the store that failed.
+    /// How long this node waits after a failed call to the store.
     pub(crate) fn store_pause(&self) -> Duration {
         let nodes = self.nodes.borrow();
         let here = &self.settings.failure_domain;
@@ -381,32 +385,32 @@
         retry_pause(near.count()).mul_f64(1.0 + rand::random::<f64>())
     }
 
-    /// Notes which base models another owner's engine holds.
+    /// Records the base models of another owner's engine.
     pub(crate) fn note_hosted(&self, engine: &UpstreamId, told: HostTold) {
         let mut hosted = self.hosted.borrow_mut();
         hosted.insert(engine.clone(), (told, Instant::now()));
     }
 
-    /// What the engine's owner told of its base models a moment ago.
+    /// The base models of another owner's engine, if reported less than [`TRANSFERS_LIFE`] ago.
     pub(crate) fn hosted(&self, engine: &UpstreamId) -> Option<HostTold> {
         let hosted = self.hosted.borrow();
         let (told, at) = hosted.get(engine)?;
         (at.elapsed() < TRANSFERS_LIFE).then(|| told.clone())
     }
 
-    /// Forgets what was told of engines that are not listed any more.
+    /// Drops the reports of engines that are no longer listed.
     pub(crate) fn forget_hosted(&self, is_listed: impl Fn(&UpstreamId) -> bool) {
         let mut hosted = self.hosted.borrow_mut();
         hosted.retain(|engine, _| is_listed(engine));
     }
 
-    /// The service of this name, as configured.
+    /// The service of this name in the current configuration.
     pub(crate) fn service(&self, name: &ServiceName) -> Option<Arc<Service>> {
         let table = self.table.borrow();
         table.as_ref()?.service(name).cloned()
     }
 
-    /// Counts requests for an adapter.
+    /// Adds requests to an adapter's demand.
     pub(crate) fn count_demand(&self, model: &ModelRef, requests: f64) {
         let mut demand = self.demand.borrow_mut();
         demand.add(model, requests, Instant::now());
--- a/crates/relay-node/src/control/leaving_news.rs
+++ b/crates/relay-node/src/control/leaving_news.rs
@@ -1,4 +1,5 @@
-//! Upstreams that say that they leave: what this node makes of it, and whom it tells.
+//! Upstreams that announce that they are leaving: how this node applies that, and which nodes it
+//! tells.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,26 +13,28 @@
 use super::suspect_news::some_others;
 use crate::OwnWord;
 
-/// How often a few nodes are told again, as some start or come into touch late.
+/// How often all leaving upstreams are sent to a few random nodes, for nodes that started or were
+/// reachable only later.
 const STANDING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often something new is told in a row, each time to other nodes. So it reaches all of a large fleet within a second.
+/// In how many intervals a new announcement is sent, each time to other random nodes, so that it
+/// reaches all nodes of a large fleet within a second.
 const NEWS_TURNS: u8 = 4;
 
-/// Upstreams in one datagram: some 30 bytes each.
+/// Upstreams per datagram, at some 30 bytes each.
 const TOLD_AT_ONCE: usize = 30;
 
-/// What this node has told others.
+/// Which announcements this node has applied and sent.
 #[derive(Debug, Default)]
 pub(crate) struct LeavingNews {
-    /// The changes that were taken in.
+    /// The number of announcements that were applied.
     seen: u64,
     turns_left: u8,
     told: Option<Instant>,
 }
 
 impl LeavingNews {
-    /// Takes in what is new, and returns what is to be told now, and to whom.
+    /// Applies new announcements, and returns the messages to send now with their addresses.
     pub(super) fn turn(&mut self, knowledge: &Knowledge) -> Vec<(Vec<UpstreamId>, SocketAddr)> {
         let leavings = knowledge.shared.notices().leavings();
         if std::mem::replace(&mut self.seen, leavings) != leavings {
@@ -55,14 +58,15 @@
 }
 
 impl Knowledge {
-    /// Whether an upstream is not about to leave, by the list or by its own word.
+    /// Whether an upstream is listed and neither the list nor the upstream itself says that it is
+    /// leaving.
     pub(crate) fn is_to_stay(&self, id: &UpstreamId) -> bool {
         let upstream = self.upstream(id);
         upstream.is_some_and(|upstream| upstream.takes_work())
             && !self.shared.notices().is_leaving(id)
     }
 
-    /// The upstream as the list shows it, with its own word that it leaves.
+    /// Adds an upstream's own announcement that it is leaving to its listed state.
     pub(crate) fn with_own_word(&self, upstream: Upstream) -> Upstream {
         match self.shared.notices().is_leaving(&upstream.id) {
             true => upstream.leaving(),
@@ -70,14 +74,14 @@
         }
     }
 
-    /// Takes in what other nodes heard of upstreams that leave.
+    /// Applies announcements that other nodes sent.
     pub(crate) fn take_leaving(&self, told: &[UpstreamId]) {
         for upstream in told {
             self.note_leaving(upstream, "node");
         }
     }
 
-    /// Takes in what an engine says of itself in an answer to its owner.
+    /// Applies what an engine says about itself in a response to its owner.
     pub(super) fn note_engine_word(&self, engine: &UpstreamId, own: OwnWord) {
         if own.is_leaving {
             self.note_leaving(engine, "engine");
@@ -88,7 +92,7 @@
         }
     }
 
-    /// Whether an upstream wants nothing from this node.
+    /// Whether an upstream has asked this node to send nothing for now.
     pub(crate) fn is_resting(&self, upstream: &UpstreamId) -> bool {
         let notices = self.shared.notices();
         notices.is_resting(upstream, Instant::now())
@@ -104,7 +108,7 @@
         }
     }
 
-    /// Goes by what upstreams that are listed have said.
+    /// Applies the announcements of listed upstreams.
     fn take_leaving_upstreams(&self) {
         for id in self.listed_leaving() {
             let mut upstreams = self.upstreams.borrow_mut();
--- a/crates/relay-node/src/control/lending.rs
+++ b/crates/relay-node/src/control/lending.rs
@@ -1,8 +1,8 @@
-//! Lends the failure domain's part of teams' quotas, if this node is the one that does.
+//! Lends out this failure domain's share of the teams' quotas, if this node is the domain's lender.
 //!
-//! The lender's key is written by compare-and-swap under the node's lease. A lender goes by a read that
-//! showed its key for [`CONFIRMATION`] only, and the next one waits as long, so no two fill the same
-//! buckets at a time.
+//! The lender's key is written by compare-and-swap under the node's lease. A lender relies on a
+//! read that showed its key for [`CONFIRMATION`] only, and its successor waits as long before it
+//! lends, so two lenders never fill the same buckets at once.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,12 +20,12 @@
 use super::owners::to_json;
 use crate::clock::boot_time;
 
-/// Keys of lenders, by failure domain.
+/// The prefix of lender keys; the failure domain follows.
 pub(crate) const LENDER_PREFIX: &str = "nutmegsail/lender/";
 
-/// How long a read that showed the lender's key is relied on. Longer keeps a failure domain without a
-/// lender for longer after one has failed; shorter ends lending in a domain that is cut off while its nodes
-/// still accept keys.
+/// How long a read that showed the lender's key is relied on. A longer time leaves a failure domain
+/// without a lender for longer after a failure; a shorter one stops lending in a domain that is cut
+/// off while its nodes still accept keys.
 const CONFIRMATION: Duration = Duration::from_millis(4_000);
 
 const RULES: OwnershipRules = OwnershipRules {
@@ -33,17 +33,19 @@
     confirmation: CONFIRMATION,
 };
 
-/// How long a failure domain waits for the node that is to lend before any other one claims.
+/// How long the preferred node has to claim the lender's key before any other node of the failure
+/// domain claims it.
 const CLAIM_PATIENCE: Duration = Duration::from_millis(1_500);
 
-/// The lenders of all failure domains, and this node's own.
+/// The lenders of all failure domains, and the state of this node's own one.
 #[derive(Debug, Default)]
 pub(crate) struct Lending {
     lenders: RefCell<HashMap<FailureDomain, Owner>>,
     own: RefCell<Option<OwnLender>>,
-    /// The version of the configuration whose quotas the lender goes by.
+    /// The configuration version whose quotas the lender uses.
     version: Cell<u64>,
-    /// Whether a lender of this failure domain was ever seen, so that a later one begins empty.
+    /// Whether this failure domain ever had a lender, in which case a new one starts with empty
+    /// buckets.
     was_seen: Cell<bool>,
     /// Since when this failure domain is known to have no lender.
     missing_since: Cell<Option<Instant>>,
@@ -53,14 +55,15 @@
 struct OwnLender {
     lender: Lender,
     ownership: Ownership,
-    /// Whether the watch has shown the key.
+    /// Whether the store watch has delivered the lender's key.
     is_watched: bool,
-    /// When its buckets begin anew, as another lender may have filled the same ones until then.
+    /// When the buckets are reset to empty, because until then another lender may have filled the
+    /// same ones.
     begins_anew_at: Option<Duration>,
 }
 
 impl Knowledge {
-    /// Takes in a lender's key.
+    /// Applies a lender's key from the store.
     pub(crate) fn take_lender(&self, domain: &str, record: &OwnerRecord, revision: Revision) {
         let domain = FailureDomain::from(domain);
         if domain == self.settings.failure_domain {
@@ -84,7 +87,7 @@
         self.lending.lenders.borrow_mut().insert(domain, owner);
     }
 
-    /// Takes in that a lender's key is gone.
+    /// Applies the removal of a lender's key.
     pub(crate) fn forget_lender(&self, domain: &str) {
         self.lending.lenders.borrow_mut().remove(domain);
         if *domain == **self.settings.failure_domain && !self.has_lapsed_lender() {
@@ -92,7 +95,7 @@
         }
     }
 
-    /// The keys of all lenders that are known.
+    /// The keys of all known lenders.
     pub(crate) fn lender_keys(&self) -> Vec<String> {
         let lenders = self.lending.lenders.borrow();
         let domains = lenders.keys();
@@ -101,7 +104,7 @@
             .collect()
     }
 
-    /// Where the lenders are, this failure domain's in front.
+    /// The addresses of the lenders, this failure domain's first.
     pub(crate) fn lender_addresses(&self) -> Vec<SocketAddr> {
         let lenders = self.lending.lenders.borrow();
         let nodes = self.nodes.borrow();
@@ -117,7 +120,8 @@
         found.into_iter().map(|(_, _, address)| address).collect()
     }
 
-    /// Takes in that all changes until some time after `asked` were seen.
+    /// Records that this node has seen all changes up to some time after `asked`, which confirms
+    /// that it is still the lender.
     pub(crate) fn confirm_lender(&self, asked: Duration) {
         let mut own = self.lending.own.borrow_mut();
         if let Some(own) = own.as_mut().filter(|own| own.is_watched) {
@@ -125,10 +129,10 @@
         }
     }
 
-    /// Brings the lender's quotas up to the configuration in force.
+    /// Applies the current configuration's quotas to the lender.
     ///
-    /// Buckets begin once this node may lend: filled in while the lender before may still lend, the same tokens
-    /// would exist twice.
+    /// The buckets start only once this node may lend. If they were filled while the previous
+    /// lender may still lend, the same tokens would exist twice.
     pub(crate) fn refresh_quotas(&self) {
         let table = self.table.borrow();
         let Some(table) = table.as_ref() else {
@@ -153,7 +157,7 @@
         }
     }
 
-    /// Brings the gauges of what is left of quotas up to date.
+    /// Updates the gauges of the remaining quotas.
     pub(crate) fn measure_quotas(&self) {
         let mut own = self.lending.own.borrow_mut();
         let levels = own.as_mut().map(|own| own.lender.levels(boot_time()));
@@ -162,7 +166,7 @@
         }
     }
 
-    /// Answers a message about quotas; what is to be sent to others goes out through `send`.
+    /// Handles a message about quotas; replies and further messages are passed to `send`.
     pub(crate) fn take_quota_message(
         &self,
         message: QuotaMessage,
@@ -172,7 +176,7 @@
         self.refresh_quotas();
         let mut own = self.lending.own.borrow_mut();
         let now = boot_time();
-        // Whoever asked and hears nothing asks another lender.
+        // A node that gets no answer asks another lender.
         let Some(own) = own.as_mut().filter(|own| own.may_lend(now)) else {
             return;
         };
@@ -211,7 +215,8 @@
         lenders.filter(|address| *address != me).collect()
     }
 
-    /// Takes in that the lender's claim is gone with the store's history. Returns whether there was one.
+    /// Records that the lender's claim was lost when the store was restored from a backup. Returns
+    /// whether this node was the lender.
     pub(crate) fn lapse_lender(&self, now: Duration) -> bool {
         let mut own = self.lending.own.borrow_mut();
         if let Some(own) = own.as_mut() {
@@ -232,14 +237,15 @@
         }
     }
 
-    /// Whether a team of the configuration has a quota.
+    /// Whether any team in the configuration has a quota.
     fn has_quotas(&self) -> bool {
         let table = self.table.borrow();
         let teams = table.as_ref().and_then(|table| table.teams());
         teams.is_some_and(|teams| !teams.quotas().is_empty())
     }
 
-    /// The node that is to lend: the last one of the failure domain, as the first ones read the store.
+    /// Whether this node should be the lender: the failure domain's last node by id, as the first
+    /// ones already read the store for the others.
     fn is_to_lend(&self) -> bool {
         let nodes = self.nodes.borrow();
         let here = &self.settings.failure_domain;
@@ -248,8 +254,8 @@
         last.is_some_and(|last| last.node == self.settings.node)
     }
 
-    /// The revision to write the lender's key over, if this node is to claim it now. What an earlier process of
-    /// this node had is claimed at once, anything else only if it `may_be_new`.
+    /// The revision at which this node is to claim the lender's key now, if at all. A key of an
+    /// earlier process of this node is claimed again at once, any other only if `may_be_new`.
     fn lender_to_claim(&self, may_be_new: bool) -> Option<Revision> {
         let lenders = self.lending.lenders.borrow();
         let lender = lenders.get(&self.settings.failure_domain);
@@ -273,7 +279,7 @@
 }
 
 impl OwnLender {
-    /// Takes in that the key was written anew after it went with the store's history.
+    /// Records that the key, lost when the store was restored, was written again.
     fn retake(&mut self, revision: Revision, asked_at: Duration, now: Duration) {
         self.ownership = self.ownership.retaken(*revision, RULES, asked_at, now);
         self.begins_anew_at = self.ownership.begins_anew_at(now);
@@ -284,7 +290,7 @@
     }
 }
 
-/// Claims the lender's key where it is this node's turn.
+/// Claims the lender's key if this node should be the lender.
 pub(crate) async fn claim_lender(knowledge: &Knowledge, may_be_new: bool) {
     let is_lender = knowledge.lending.own.borrow().is_some();
     if (is_lender && !knowledge.has_lapsed_lender()) || !knowledge.has_quotas() {
@@ -315,7 +321,8 @@
         ..Txn::default()
     };
     let asked_at = boot_time();
-    // What was written in spite of an error shows up in the watch as an earlier process's, and is claimed anew.
+    // If the claim was written despite an error, the watch shows it as one of an earlier process of
+    // this node, and it is made again.
     if let Ok(revision) = knowledge.store.commit(txn).await {
         let owner = Owner {
             node: record.node,
@@ -360,7 +367,7 @@
     );
 }
 
-/// How buckets begin: full only if no lender can have filled them before.
+/// Buckets start full only if no earlier lender can have filled them.
 fn first_fill(knowledge: &Knowledge, before: Revision) -> FirstFill {
     let was_seen = knowledge.lending.was_seen.get();
     match before == Revision::NONE && knowledge.is_first_claim() && !was_seen {
@@ -369,7 +376,7 @@
     }
 }
 
-/// Which lender may still lend when the key is written over that of `before`.
+/// Which lender may still lend when the key at revision `before` is replaced.
 fn predecessor(knowledge: &Knowledge, before: Revision, first_fill: FirstFill) -> Predecessor {
     if first_fill == FirstFill::Full {
         return Predecessor::None;
--- a/crates/relay-node/src/control/limit_news.rs
+++ b/crates/relay-node/src/control/limit_news.rs
@@ -1,4 +1,4 @@
-//! Tells other nodes of the limits that upstreams name.
+//! Spreads the rate limits that upstreams set among the nodes.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,25 +9,27 @@
 use super::knowledge::Knowledge;
 use super::suspect_news::{others, some_others};
 
-/// Limits in one datagram: some 40 bytes each.
+/// Limits per datagram, at some 40 bytes each.
 const TOLD_AT_ONCE: usize = 20;
 
-/// How often a few nodes are told of all limits, as some start or come into touch late.
+/// How often all limits are sent to a few random nodes, for nodes that started or were reachable
+/// only later.
 const STANDING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What this node has told others.
+/// Which changes of limits this node has sent.
 #[derive(Debug, Default)]
 pub(crate) struct LimitNews {
-    /// The changes that were told.
+    /// The number of changes that were sent.
     changes: u64,
     own_changes: u64,
     told: Option<Instant>,
 }
 
 impl LimitNews {
-    /// What is to be told now, and to whom.
+    /// The messages to send now, with their addresses.
     ///
-    /// Whoever learns of a limit first tells the node that hands out turns, which tells all.
+    /// The node that learns of a limit first sends it to the node that grants the upstream's turns,
+    /// which sends it to all others.
     pub(super) fn turn(&mut self, knowledge: &Knowledge) -> Vec<(Vec<LimitTold>, SocketAddr)> {
         let now = Instant::now();
         let limits = knowledge.shared.limits();
@@ -37,7 +39,7 @@
         let has_changed = std::mem::replace(&mut self.changes, changes) != changes;
         let is_own = std::mem::replace(&mut self.own_changes, own_changes) != own_changes;
         if has_changed {
-            // The nodes that hand out turns follow from what is known.
+            // Which node grants turns depends on the limits.
             knowledge.publish();
         }
         let mut messages = Vec::new();
@@ -47,7 +49,7 @@
             let to = match handing.get(&limit.upstream) {
                 Some(node) if *node == me => others(knowledge),
                 Some(node) if is_own => vec![*node],
-                // An end leaves nobody who hands out turns.
+                // Once a limit has ended, no node grants turns for it.
                 None if is_own => others(knowledge),
                 _ => Vec::new(),
             };
@@ -67,7 +69,7 @@
 }
 
 impl Knowledge {
-    /// Takes in what another node told of limits.
+    /// Applies limits that another node sent.
     pub(crate) fn take_limits(&self, told: &[LimitTold]) {
         let (mut limits, now) = (self.shared.limits(), Instant::now());
         for told in told
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Forgets what upstreams said that are not listed any more.
+    /// Drops the limits and notices of upstreams that are no longer listed.
     pub(crate) fn forget_unlisted(&self) {
         let now = Instant::now();
         let is_listed = |upstream: &UpstreamId| self.upstream(upstream).is_some();
--- a/crates/relay-node/src/control/load_board.rs
+++ b/crates/relay-node/src/control/load_board.rs
@@ -1,9 +1,11 @@
-//! The loads of all engines, gathered by one node of each failure domain for the others.
+//! Aggregation of the loads of all engines by one node per failure domain.
 //!
-//! In a large fleet a node uses few engines at a time and hears from their owners only. Of all others
-//! it would know nothing, take them for idle and queue behind what others sent there. If every owner
-//! told every node, messages would grow with the square of the nodes. So owners tell the node that also reads the
-//! store for their failure domain, and that one tells the others, and the other domains less often.
+//! In a large fleet a node uses few engines at a time and hears only from their owners. Without
+//! reports of the other engines it would take them for idle, and its requests would queue behind
+//! those of other nodes. If every owner sent its reports to every node, traffic would grow with the
+//! square of the number of nodes. Owners therefore send them to the node that also reads the store
+//! for their failure domain. It passes them on to the other nodes of its domain, and less often to
+//! the other domains.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,10 +22,10 @@
 use super::knowledge::Knowledge;
 use crate::shared::EngineNews;
 
-/// How long a load is passed on: an owner that fell silent tells ten times in it.
+/// How long a load is passed on after it was reported; an owner sends ten reports in this time.
 const LOAD_LIFE: Duration = Duration::from_millis(1_000);
 
-/// Stands for an engine's id, as messages are to be short.
+/// A short hash that replaces an engine's id in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 struct EngineDigest(u32);
@@ -34,13 +36,13 @@
     }
 }
 
-/// Loads of some engines.
+/// The loads of some engines.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LoadPage {
     loads: Vec<(EngineDigest, EngineLoad)>,
-    /// When the sender heard each failure domain, told to its own.
+    /// When the sender last heard from each failure domain; sent only within its own domain.
     domains: Vec<DomainAge>,
-    /// How long loads take, in milliseconds, if the sender has learned it.
+    /// The sender's estimate of the load time in milliseconds, if it has learned one.
     pub(super) load_ms: Option<f32>,
 }
 
@@ -54,18 +56,18 @@
     }
 }
 
-/// A load with the time at which it came.
+/// A load and when it was received.
 #[derive(Clone, Debug)]
 struct Gathered {
     load: EngineLoad,
     came: Instant,
-    /// Whether it was told by an owner of this failure domain, or by this node.
+    /// Whether the load came from an owner of this failure domain, this node included.
     is_near: bool,
-    /// Whether it came since the last turn.
+    /// Whether the load was received since the last interval.
     is_new: bool,
 }
 
-/// What was gathered.
+/// The loads that this node has received and passes on.
 #[derive(Debug, Default)]
 pub(crate) struct LoadBoard {
     loads: HashMap<EngineDigest, Gathered>,
@@ -74,7 +76,8 @@
 }
 
 impl LoadBoard {
-    /// What is to be sent now, and where to, with the loads of this node's own engines.
+    /// The messages to send now, with their addresses, including the loads of this node's `own`
+    /// engines.
     pub(crate) fn turn(
         &mut self,
         knowledge: &Knowledge,
@@ -87,7 +90,7 @@
         let Some((_, gatherer)) = knowledge.reader() else {
             return self.pass_on(knowledge, own);
         };
-        // Only a node that gathers keeps what it was told.
+        // Only an aggregating node keeps the loads that it received.
         self.loads.clear();
         match own.is_empty() {
             true => Vec::new(),
@@ -152,7 +155,7 @@
         self.loads.insert(engine, gathered);
     }
 
-    /// The loads of `engines` that `is_in` names.
+    /// The loads of those of `engines` for which `is_in` returns true.
     fn page(&self, engines: &[EngineDigest], is_in: impl Fn(&Gathered) -> bool) -> LoadPage {
         let loads = engines.iter().filter_map(|engine| {
             let gathered = self.loads.get(engine)?;
@@ -161,7 +164,7 @@
         LoadPage::of(loads.collect())
     }
 
-    /// Takes in loads that an owner or a gatherer told.
+    /// Applies loads that an owner or an aggregating node sent.
     pub(crate) fn take(&mut self, knowledge: &Knowledge, page: LoadPage) {
         knowledge.take_domains(&page.domains);
         if let Some(load_ms) = page.load_ms {
@@ -186,7 +189,7 @@
     }
 }
 
-/// Tells the traffic thread of a load, unless the engine's owner itself tells this node.
+/// Passes a load on to the traffic thread, unless the engine's owner reports to this node itself.
 fn take_load(knowledge: &Knowledge, engine: &UpstreamId, load: EngineLoad) {
     if knowledge.owned(engine).is_some() || knowledge.is_told_by_owner(engine) {
         return;
@@ -195,13 +198,13 @@
     if let Some(host) = load.host.clone() {
         knowledge.note_hosted(engine, host);
     }
-    // Holdings are not passed on, but the number of their last change is.
+    // Aggregated messages contain the holdings' version number, but not the holdings.
     let is_known = load.change > 0 && load.change == knowledge.known_change(engine);
     let holdings = match is_known {
         true => HoldingsTold::Unchanged,
         false => HoldingsTold::Untold,
     };
-    // The page has what this node has there as well.
+    // The aggregated load includes this node's own requests; subtract them.
     let mine = knowledge.shared.uses.peek(engine);
     let mut report = load.into_report();
     report.in_flight_of_others = report.in_flight_of_others.saturating_sub(mine.0);
--- a/crates/relay-node/src/control/loader.rs
+++ b/crates/relay-node/src/control/loader.rs
@@ -1,4 +1,4 @@
-//! Brings adapters into engines, here or through the engine's owner.
+//! Loads adapters that the traffic thread asks for, directly or through the engine's owner.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,36 +20,37 @@
 use super::peers::LoadAsk;
 use crate::shared::{Loaded, Want, Wanted};
 
-/// Engines whose expected waits differ by less than this many loads take an adapter equally well. A finer
-/// step would have nodes with different news choose different engines, and load one adapter twice.
+/// Engines whose expected waits differ by less than this many load times rank equal. With a smaller
+/// step, nodes whose state differs slightly would choose different engines and load one adapter
+/// twice.
 const ABOUT_AS_SOON_LOADS: f64 = 1.2;
 
-/// Engines that are asked for one adapter.
+/// The number of engines tried for one adapter.
 const ENGINES_TRIED: usize = 4;
 
-/// How long an owner that does not answer the exchange counts as reachable: five exchanges, so a
-/// few lost datagrams don't matter, and an owner behind a partition soon gets no more asks.
+/// How long after its last message an owner counts as reachable: five exchange intervals, so that a
+/// few lost datagrams don't matter but an owner behind a partition soon gets no more requests.
 const HEARD_SPAN: Duration = Duration::from_millis(500);
 
-/// How long an owner may take to answer an ask: longer than a load may take there. Given up
-/// earlier, the load would go on all the same, and another engine would load it too.
+/// Timeout for a load request to an owner, longer than a load may take there. After an earlier
+/// timeout the load would still go on, and a second engine would load the adapter too.
 const ASK_LIMIT: Duration = Duration::from_millis(3_200);
 
-/// The time between two copies of one adapter. A copy takes 250 ms, and its effect on the queues
-/// shows some time after.
+/// The minimum time between two copies of one adapter. A copy takes 250 ms, and its effect on the
+/// queues shows some time later.
 const COPY_INTERVAL: Duration = Duration::from_millis(600);
 
 type Waiting = HashMap<Wanted, Vec<oneshot::Sender<Loaded>>>;
 
-/// Brings adapters into engines.
+/// Loads adapters into engines on behalf of the traffic thread.
 pub(crate) struct Loader {
     pub(crate) knowledge: Rc<Knowledge>,
     waiting: RefCell<Waiting>,
-    /// When copies of each adapter were last begun.
+    /// When copies of each adapter were last started.
     last_copies: RefCell<HashMap<ModelRef, Instant>>,
 }
 
-/// Serves asks of the traffic thread for ever.
+/// Serves load requests of the traffic thread until its channel closes.
 pub(crate) async fn serve(loader: Rc<Loader>, mut wants: mpsc::Receiver<Want>) {
     while let Some(want) = wants.recv().await {
         loader.take(want);
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Starts to bring what is wanted, or joins those who wait for the same.
+    /// Starts a load, or joins one for the same adapter that is in progress.
     fn take(self: &Rc<Self>, want: Want) {
         if want.copies > 1 || want.ready.is_closed() {
             return self.bring_copies(want);
@@ -83,13 +84,13 @@
             let loaded = this.bring(&want.wanted, want.engines).await;
             let waiting = this.waiting.borrow_mut().remove(&key);
             for ready in waiting.into_iter().flatten() {
-                // Whoever gave up meanwhile needs no answer.
+                // The receiver may have given up.
                 let _ = ready.send(loaded.clone());
             }
         });
     }
 
-    /// Starts to bring copies that nobody waits for.
+    /// Starts loading copies that no request waits for.
     fn bring_copies(self: &Rc<Self>, want: Want) {
         let mut last_copies = self.last_copies.borrow_mut();
         last_copies.retain(|_, at| at.elapsed() < COPY_INTERVAL);
@@ -124,7 +125,7 @@
                         "version" => wanted.version, "why" => failure.to_string()
                     );
                     if is_left {
-                        // The weight store is as busy for every other engine.
+                        // The weight store is shared, so no other engine could load it sooner.
                         return None;
                     }
                 }
@@ -133,11 +134,11 @@
         None
     }
 
-    /// Engines with an owner, the one that is to take `model` in front.
+    /// Engines with a reachable owner, best first.
     ///
-    /// Two nodes may miss one adapter at the same time, long before either hears of the other's
-    /// load. Among engines that would answer about as soon, the order comes from a hash that is the
-    /// same everywhere, so both ask one owner, who loads it once.
+    /// Two nodes may miss the same adapter at the same time, before either learns of the other's
+    /// load. Engines with about the same expected wait are therefore ordered by a hash that all
+    /// nodes compute alike, so that both nodes ask the same owner, which loads the adapter once.
     fn ranked(&self, model: &ModelRef, mut engines: Vec<LoadPlace>) -> Vec<LoadPlace> {
         engines.retain(|place| self.is_reachable(&place.engine));
         let least_ms = engines.iter().map(|place| place.wait_ms);
@@ -152,12 +153,13 @@
         engines
     }
 
-    /// Whether the engine's owner is known.
+    /// Whether this node owns the engine or can reach its owner.
     fn is_reachable(&self, engine: &UpstreamId) -> bool {
         let owners = self.knowledge.owners.borrow();
         let nodes = self.knowledge.nodes.borrow();
         let heard = self.knowledge.heard.borrow();
-        // In a large fleet only owners of engines in use are heard; the others may still answer.
+        // In a large fleet a node hears only from owners of engines that it uses; the others may
+        // still answer.
         let tells_all = nodes.len() <= FULL_EXCHANGE_NODES;
         let is_heard = |node: &NodeId| heard.get(node).is_some_and(|at| at.elapsed() < HEARD_SPAN);
         let is_known = |owner: &Owner| {
--- a/crates/relay-node/src/control/mod.rs
+++ b/crates/relay-node/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control thread: what it knows, and the loops that keep it up to date.
+//! The control thread: its state, and the tasks that keep it up to date.
 
 mod base_models;
 mod change_failure;
@@ -59,23 +59,23 @@
 use upstreams_watch::UpstreamsFollower;
 use watch::Follower;
 
-/// What the control thread is made of.
+/// What the control thread is started with.
 pub(crate) struct ControlParts {
     pub(crate) settings: RelaySettings,
     pub(crate) store: Arc<dyn KeyValue>,
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) shared: Arc<Shared>,
     pub(crate) wants: mpsc::Receiver<Want>,
-    /// Where other nodes ask for loads.
+    /// Accepts load requests and reads of store changes from other nodes.
     pub(crate) nodes: TcpListener,
-    /// Where other nodes tell what they use.
+    /// Exchanges datagrams with other nodes.
     pub(crate) datagrams: UdpSocket,
-    /// Ends the control thread.
+    /// Stops the control thread.
     pub(crate) stop: CancellationToken,
     pub(crate) log: Logger,
 }
 
-/// Runs every loop until the thread is told to stop, and gives back what the node holds.
+/// Runs all tasks until the thread is stopped, then releases the node's lease.
 pub(crate) async fn run(parts: ControlParts) {
     let knowledge = Rc::new(Knowledge::new(&parts));
     let loader = Rc::new(Loader::new(Rc::clone(&knowledge)));
@@ -100,7 +100,7 @@
     watch::follow(&knowledge, &followers).await;
 }
 
-/// How often the control thread looks whether it ran all the time.
+/// How often the control thread checks whether it was stalled.
 const STALL_INTERVAL: Duration = Duration::from_millis(250);
 
 async fn watch_stalls(knowledge: Rc<Knowledge>) {
--- a/crates/relay-node/src/control/model_demand.rs
+++ b/crates/relay-node/src/control/model_demand.rs
@@ -1,10 +1,10 @@
-//! What callers ask of each base model, summed over all nodes.
+//! The demand for each base model, summed over all nodes.
 //!
-//! A node sees only its own callers, and an engine's owner only requests for what the engine holds. A
-//! model that no engine holds would be asked for everywhere and known nowhere. So each node tells the
-//! node that reads the store for its failure domain; that one tells the sum to its domain and to the
-//! readers of the others. A node's messages do not grow with the fleet, and nothing is told of services
-//! with one model.
+//! A node sees only its own callers' requests, and an engine's owner only those for models that the
+//! engine holds, so no node would see the total demand for a model that no engine holds. Each node
+//! therefore sends its demand to the node that reads the store for its failure domain; that reader
+//! sends the sum to its domain and to the readers of the other domains. The number of messages that
+//! a node sends does not grow with the fleet. Nothing is sent for services with a single model.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,39 +16,39 @@
 
 use super::knowledge::Knowledge;
 
-/// In this time what was asked counts half. Some requests of a model that is seldom asked fall into it,
-/// and a model that callers turn to shows within a second.
+/// The half-life of demand: long enough to cover some requests for a rarely used model, short
+/// enough that a model newly in demand shows within a second.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// Whose callers asked.
+/// Whose demand a message contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Scope {
-    /// Those of one node, told to the reader of its failure domain.
+    /// That of one node, sent to the reader of its failure domain.
     Node,
-    /// Those of one failure domain, told to the readers of the others.
+    /// That of one failure domain, sent to the readers of the others.
     Domain,
-    /// Those of all nodes, told by a reader to its failure domain.
+    /// That of all nodes, sent by a reader to its failure domain.
     Fleet,
 }
 
-/// What was asked since the last message.
+/// Demand since the last message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ModelsAsked {
     scope: Scope,
-    /// For how long the requests for each model take up an engine, in milliseconds.
+    /// Engine time taken up by the requests for each model, in milliseconds.
     models: Vec<(ModelDigest, f32)>,
 }
 
 type Sums = HashMap<ModelDigest, f32>;
 
-/// What callers ask of each base model.
+/// The demand for each base model.
 #[derive(Debug)]
 pub(crate) struct ModelDemand {
-    /// Of all nodes, as far as was told, in milliseconds of engines.
+    /// Demand from all nodes as far as reported, in milliseconds of engine time.
     demand: Demand<ModelDigest>,
-    /// Of this failure domain, not told yet.
+    /// Demand from this failure domain that was not sent yet.
     near: Sums,
-    /// Of the other failure domains, not told yet.
+    /// Demand from the other failure domains that was not sent yet.
     far: Sums,
 }
 
@@ -63,12 +63,13 @@
 }
 
 impl ModelDemand {
-    /// The work that there is for a model, in engines.
+    /// The number of engines that the demand for a model keeps busy.
     pub(crate) fn work(&self, model: ModelDigest, now: Instant) -> f64 {
         self.demand.rate_per_s(&model, now) / 1_000.0
     }
 
-    /// What is to be told now, and where to, with what callers of this node asked.
+    /// The messages to send now, with their addresses, including `own` demand from this node's
+    /// callers.
     pub(crate) fn turn(
         &mut self,
         knowledge: &Knowledge,
@@ -107,14 +108,14 @@
             .map(|address| (asked(Scope::Fleet, &all), address))
             .collect();
         if !near.is_empty() {
-            // Only the one that reads keeps what it is told.
+            // Sent to all candidate readers, as only the active one keeps it.
             let readers = readers_by_domain(far).into_values().flatten();
             sends.extend(readers.map(|node| (asked(Scope::Domain, &near), node.address)));
         }
         sends
     }
 
-    /// Takes in what a node of `domain` told a node of `here`.
+    /// Applies a message from a node in `domain`, received in the domain `here`.
     pub(crate) fn take(
         &mut self,
         here: &FailureDomain,
@@ -125,7 +126,7 @@
             Scope::Node if domain == here => add(&mut self.near, &asked.models),
             Scope::Domain if domain != here => add(&mut self.far, &asked.models),
             Scope::Fleet if domain == here => self.count(&asked.models),
-            // The sender took this node for one of another failure domain.
+            // The sender has a wrong failure domain on record for this node.
             Scope::Node | Scope::Domain | Scope::Fleet => {}
         }
     }
--- a/crates/relay-node/src/control/operators_watch.rs
+++ b/crates/relay-node/src/control/operators_watch.rs
@@ -1,4 +1,4 @@
-//! Follows what operators write: the configuration and named versions.
+//! Watches the keys that operators write: the configuration and the model versions.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use super::knowledge::Knowledge;
 use super::watch::Follower;
 
-/// Takes in what operators write.
+/// Applies changes of the configuration and of model versions.
 pub(crate) struct OperatorsFollower(pub(crate) Rc<Knowledge>);
 
 impl OperatorsFollower {
@@ -39,8 +39,8 @@
         };
         self.0.shown.note_configuration(table.version);
         let mut known = self.0.table.borrow_mut();
-        // A read that lags, or a copy of the store that was restored, shows an older version. What
-        // was accepted must not revert, so it never takes effect.
+        // A lagging read or a restore of the store from a backup may show an older version. A
+        // configuration that was accepted must not be reverted, so the older one is ignored.
         if known
             .as_ref()
             .is_some_and(|known| table.version < known.version)
--- a/crates/relay-node/src/control/orders.rs
+++ b/crates/relay-node/src/control/orders.rs
@@ -1,4 +1,4 @@
-//! Calls to engines: reports and orders.
+//! Calls to engines: reading reports and sending orders.
 
 use std::time::{Duration, Instant};
 
@@ -17,15 +17,16 @@
 use crate::clock::boot_time;
 use crate::{EngineCall, EngineState, Order, OrderAnswer, OrderStep};
 
-/// How long a report or an order may take. They are answered in some milliseconds; an order without
-/// an answer may be carried out later, which its expected count of orders makes harmless.
+/// Timeout for a report or an order, which are usually answered within milliseconds. An engine may
+/// still execute an order after the timeout; the expected sequence number keeps it from being
+/// executed out of order.
 const CALL_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The largest body of such an answer, in bytes.
+/// The largest accepted response body, in bytes.
 const BODY_LIMIT_BYTES: usize = 1024 * 1024;
 
 impl Knowledge {
-    /// Makes one call; nothing if no whole answer came in `limit`.
+    /// Sends a request; returns `None` if no complete response arrives within `limit`.
     pub(crate) async fn call(
         &self,
         address: &str,
@@ -42,7 +43,7 @@
         timeout(limit, exchange).await.ok().flatten()
     }
 
-    /// Reads an engine's report and takes it in.
+    /// Reads an engine's report and applies it.
     pub(crate) async fn read_report(&self, engine: &OwnedEngine) -> Option<EngineState> {
         let upstream = self.upstream(&engine.id)?;
         if self.is_resting(&engine.id) {
@@ -55,7 +56,7 @@
             .dialect
             .read_own_word(answer.status(), answer.headers());
         if answer.status() == StatusCode::MISDIRECTED_REQUEST {
-            // It ended and another process has its address; what that one holds is not its own.
+            // The engine's process ended and another one uses its address, with other holdings.
             self.forget_engine(&engine.id);
             return None;
         }
@@ -75,7 +76,7 @@
         };
         let is_same = report.started_ms.is_none() || report.started_ms == upstream.started_ms;
         if !is_same {
-            // It has started again under its name; what this one holds is not the other's.
+            // The engine was restarted under the same name, with other holdings.
             self.forget_engine(&engine.id);
             return None;
         }
@@ -101,15 +102,15 @@
         self.publish();
     }
 
-    /// Takes in how long a load took until a report showed it.
+    /// Updates the load time estimate with the time from the order to the report that confirmed it.
     fn note_load_time(&self, load: &Coming) {
         let mut times = self.load_times.get();
         times.note(load.since.elapsed(), self.under_way_for(load));
         self.load_times.set(times);
     }
 
-    /// Takes in that requests were sent for an adapter whose load should be done, or that one of them came
-    /// back unserved.
+    /// Records that requests were sent for an adapter whose load should be finished, or that one
+    /// was returned unserved, and updates the load time estimate.
     pub(crate) fn note_reliance(&self, engine: &OwnedEngine, model: &ModelRef, reliance: Reliance) {
         let Some(load) = engine.note_reliance(model, reliance) else {
             return;
@@ -126,12 +127,13 @@
         self.load_times.set(times);
     }
 
-    /// Loads from the weight store under way over all engines while `load` was.
+    /// The average number of loads from the weight store in progress over all engines during
+    /// `load`.
     fn under_way_for(&self, load: &Coming) -> f64 {
         (load.under_way + self.loads_under_way()) / 2.0
     }
 
-    /// When `load` should be done.
+    /// When `load` is expected to be finished.
     pub(crate) fn expected_at(&self, load: &Coming) -> Instant {
         load.since
             + match load.load {
@@ -140,9 +142,10 @@
             }
     }
 
-    /// The fencing token with which `engine` may be given orders now.
+    /// The fencing token for orders to `engine`, if this node may send any now.
     ///
-    /// The store can take the key away unseen, so what was confirmed a while ago is read again.
+    /// The store may have removed the owner key without this node noticing, so an old confirmation
+    /// is renewed first.
     pub(crate) async fn permit(&self, engine: &OwnedEngine) -> Option<u64> {
         if !self.is_to_stay(&engine.id) || self.is_resting(&engine.id) {
             return None;
@@ -160,7 +163,8 @@
         }
     }
 
-    /// Gives an engine one order. Nothing if it may or may not have been accepted.
+    /// Sends one order to an engine. Returns `None` if it is unknown whether the engine accepted
+    /// it.
     pub(crate) async fn order(
         &self,
         engine: &OwnedEngine,
--- a/crates/relay-node/src/control/owner_concerns.rs
+++ b/crates/relay-node/src/control/owner_concerns.rs
@@ -1,4 +1,4 @@
-//! Tells of engines that are owned otherwise than they should be.
+//! Reports engines that are not owned as they should be.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -10,7 +10,7 @@
 use super::knowledge::Knowledge;
 
 impl Knowledge {
-    /// Looks at the owners of engines, and tells what has been wrong for a while.
+    /// Checks the owners of engines, and reports problems that have lasted for a while.
     pub(crate) fn look_at_owners(&self) {
         let engines = engines_in_use(self);
         let engines: Vec<_> = engines.iter().map(|engine| &**engine).collect();
--- a/crates/relay-node/src/control/owner_loads.rs
+++ b/crates/relay-node/src/control/owner_loads.rs
@@ -1,4 +1,4 @@
-//! Brings adapters into engines that this node owns.
+//! Loads adapters into engines that this node owns.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -15,22 +15,22 @@
 use crate::shared::Wanted;
 use crate::{OrderAnswer, OrderStep};
 
-/// Adapters that an engine accepts on their way from the weight store. Fewer are ordered at once; the rest is
-/// for those that are done and that no report has shown yet.
+/// Adapter loads from the weight store that an engine accepts at once. Fewer are ordered at a time;
+/// the remainder covers loads that have finished but are not yet reported.
 const TRANSFERS_LIMIT: usize = 4;
 
-/// How often a load looks whether it may begin, beside each change of its engine: news of requests in use
-/// come every 100 ms.
+/// How often a queued load checks whether it may start, in addition to each change at its engine.
+/// Other nodes report their requests every 100 ms.
 const TURN_INTERVAL: Duration = Duration::from_millis(30);
 
-/// How often orders for one load are tried that come back without an answer.
+/// How many orders are sent for one load if they get no answer.
 const ORDERS_TRIED: usize = 3;
 
-/// Brings an adapter into an engine that this node owns; returns once it is there.
+/// Loads an adapter into an engine that this node owns; returns once it is loaded.
 ///
-/// A load that took its usual time is taken as finished before a report shows it: reports lag by
-/// up to a third of the shortest latency objective, and an engine that needs longer turns the
-/// request away unrun.
+/// A load is assumed to be finished after its usual time, before a report confirms it: reports lag
+/// by up to a third of the shortest latency objective. An engine that needs longer returns the
+/// request without running it.
 pub(crate) async fn load_here(
     knowledge: &Rc<Knowledge>,
     engine: &Rc<OwnedEngine>,
@@ -78,7 +78,7 @@
     Ok(engine.holdings())
 }
 
-/// A load that waits at an engine of ours until it is ordered.
+/// Orders one load at an owned engine when its turn comes.
 struct WaitingOrder<'a> {
     knowledge: &'a Knowledge,
     engine: &'a OwnedEngine,
@@ -86,10 +86,10 @@
 }
 
 impl WaitingOrder<'_> {
-    /// Orders `load` in its turn.
+    /// Queues `load` and orders it in its turn.
     async fn begin(&self, load: &WaitingLoad) -> Result<(), LoadFailure> {
         if self.engine.is_changing_model() {
-            // Its base models come and go; it takes no other orders meanwhile.
+            // The engine takes no other orders while its base models change.
             return Err(LoadFailure::Blocked);
         }
         let place = self.engine.queue(load.clone())?;
@@ -101,7 +101,8 @@
                 return Ok(());
             }
             let fence = self.ready_for_orders(load).await?;
-            // What the engine reported meanwhile may have turned the decision.
+            // Decide again, as the engine's state may have changed while this task waited for the
+            // lock.
             let plan = match self.turn(place.ticket)? {
                 LoadTurn::Order(plan) => plan,
                 LoadTurn::NotNeeded => return Ok(()),
@@ -132,7 +133,7 @@
         }
     }
 
-    /// What the load is to do by what is known now.
+    /// Decides what the load does next, by the current state.
     fn turn(&self, ticket: LoadTicket) -> Result<LoadTurn, LoadFailure> {
         let (knowledge, engine) = (self.knowledge, self.engine);
         let upstream = knowledge.upstream(&engine.id);
@@ -163,14 +164,15 @@
         Ok(engine.turn(ticket, &contents, &store))
     }
 
-    /// Makes sure that the engine may be given orders and that its count of orders is known.
+    /// Checks that the engine may be given orders and that its order sequence number is known;
+    /// returns the fencing token.
     async fn ready_for_orders(&self, load: &WaitingLoad) -> Result<u64, LoadFailure> {
         let (knowledge, engine) = (self.knowledge, self.engine);
         if engine.is_blocked() {
             return Err(LoadFailure::Blocked);
         }
         if knowledge.is_in_use(engine, &load.model) {
-            // A version that is replaced waits for its requests, and with it all further orders.
+            // Replacing a version in use blocks all further orders until its requests have ended.
             return Err(LoadFailure::OlderInUse);
         }
         let fence = knowledge.permit(engine).await;
@@ -182,7 +184,8 @@
         }
         match engine.leaving_count() {
             0 => Ok(fence),
-            // It takes no other order until an adapter in use has gone.
+            // The engine takes no other order until the adapter's requests have ended and it is
+            // unloaded.
             _ => Err(LoadFailure::Blocked),
         }
     }
@@ -210,7 +213,8 @@
                 (OrderAnswer::Done, LoadStep::Load(..)) => engine.doubt(),
                 (OrderAnswer::Done, LoadStep::Unload(victim)) => engine.unloaded(&victim, true),
                 (OrderAnswer::Accepted, LoadStep::Unload(victim)) => {
-                    // Another node uses it: it goes later, so its room is not free yet.
+                    // Another node uses the adapter, so it is unloaded later and its slot is not
+                    // free yet.
                     engine.unloaded(&victim, false);
                     return Err(LoadFailure::Blocked);
                 }
@@ -227,7 +231,7 @@
     }
 }
 
-/// What `engine` holds, with an adapter that is taken to be there.
+/// The holdings of `engine` with the adapter added that is assumed to be loaded.
 fn presumed(engine: &OwnedEngine, wanted: &Wanted) -> Result<Holdings, LoadFailure> {
     let mut holdings = engine.holdings();
     let mut models = holdings.models.iter_mut();
--- a/crates/relay-node/src/control/owner_record.rs
+++ b/crates/relay-node/src/control/owner_record.rs
@@ -1,4 +1,4 @@
-//! An owner's key as it is written.
+//! The stored value of an owner's key.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,30 +11,32 @@
 use super::knowledge::Knowledge;
 use crate::clock::boot_time;
 
-/// How long a claim may be on its way to the store.
+/// The longest time that a claim may take to reach the store.
 const CLAIM_TRAVEL: Duration = Duration::from_secs(2);
 
-/// An owner's key as it is written.
+/// The stored value of an owner's or lender's key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct OwnerRecord {
     pub(crate) node: NodeId,
-    /// The lease of the process that wrote it, which tells two processes of a node apart.
+    /// The lease of the process that wrote the key, which differs between two processes of one
+    /// node.
     pub(crate) lease: LeaseId,
-    /// What its next process has to know if this one waits for the owner before.
+    /// What the next process has to know if this one is still waiting for its predecessor.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) waits: Option<OwnerWait>,
 }
 
-/// Until when an owner waits, by a clock that goes on from one process of a machine to the next.
+/// Until when an owner waits for its predecessor, by a clock that continues across processes on one
+/// machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct OwnerWait {
-    /// Which start of the machine the clock counts from.
+    /// The id of the machine's boot since which the clock counts.
     boot: Arc<str>,
     until_ms: u64,
 }
 
 impl OwnerWait {
-    /// What a process that takes over from `predecessor` has to tell its next one.
+    /// What a process that takes over from `predecessor` leaves for its own successor.
     pub(super) fn for_next(
         knowledge: &Knowledge,
         predecessor: Predecessor,
@@ -53,7 +55,8 @@
     }
 }
 
-/// Whose orders may be on their way when an earlier process of this node had the key and told `waits`.
+/// Who may still have orders in transit if an earlier process of this node held the key and left
+/// `waits`.
 pub(super) fn predecessor_of_own(knowledge: &Knowledge, waits: Option<&OwnerWait>) -> Predecessor {
     match waits {
         None => Predecessor::None,
--- a/crates/relay-node/src/control/owners.rs
+++ b/crates/relay-node/src/control/owners.rs
@@ -1,4 +1,4 @@
-//! Which nodes there are and which of them owns which engine, as the store shows it.
+//! Watches the store's keys of nodes, engine owners and lenders.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 use super::owner_record::OwnerRecord;
 use super::watch::Follower;
 
-/// Keys that nodes write.
+/// The prefix of all keys that nodes write.
 const PREFIX: &str = "nutmegsail/";
 pub(crate) const NODE_PREFIX: &str = "nutmegsail/node/";
 const OWNER_PREFIX: &str = "nutmegsail/owner/";
@@ -26,11 +26,11 @@
 }
 
 pub(crate) fn to_json(value: &impl Serialize) -> Bytes {
-    // Names, numbers and addresses always serialise.
+    // Structs of names, numbers and addresses always serialize.
     Bytes::from(serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// Takes in nodes and owners.
+/// Applies changes of node, owner, lender and era keys.
 pub(crate) struct OwnersFollower(pub(crate) Rc<Knowledge>);
 
 impl OwnersFollower {
@@ -134,9 +134,10 @@
     }
 }
 
-/// Gives up an engine without telling the store.
+/// Stops owning an engine, without a call to the store.
 pub(crate) fn lose(knowledge: &Knowledge, engine: &UpstreamId, why: &str) {
-    // What went with the store's history is claimed anew.
+    // If the store was restored from a backup, this moves the engine to those that are claimed
+    // again.
     knowledge.check_era();
     if knowledge.owned.borrow_mut().remove(engine).is_some() {
         log_event!(
--- a/crates/relay-node/src/control/peers.rs
+++ b/crates/relay-node/src/control/peers.rs
@@ -1,8 +1,8 @@
-//! Asks between nodes: an engine's owner loads for the others, and a node that reads the store tells
-//! the others what changed.
+//! HTTP requests between nodes: loads that an engine's owner carries out for other nodes, and store
+//! changes that a node reads for others.
 //!
-//! An ask has an answer that its sender waits for, and the sender must know when none will come, so
-//! it goes over kept HTTP connections like all other calls.
+//! These requests have responses that the sender waits for, and it must notice when none will come,
+//! so they use pooled HTTP connections like all other calls.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -30,13 +30,13 @@
 use super::reading::CHANGES_PATH;
 use crate::shared::Wanted;
 
-/// The path of asks for loads.
+/// The path of load requests.
 const LOADS_PATH: &str = "/loads";
 
-/// The largest ask, in bytes.
+/// The largest accepted request body, in bytes.
 const ASK_LIMIT_BYTES: usize = 64 * 1024;
 
-/// Asks an engine's owner to bring an adapter into it.
+/// Asks an engine's owner to load an adapter into it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LoadAsk {
     pub(crate) engine: UpstreamId,
@@ -46,7 +46,7 @@
 }
 
 impl LoadAsk {
-    /// Sends the ask; returns what the engine holds once the adapter is there.
+    /// Sends the request; returns the engine's holdings once the adapter is loaded.
     pub(crate) async fn send(
         &self,
         knowledge: &Knowledge,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Serves other nodes for ever.
+/// Serves other nodes forever.
 pub(crate) async fn serve(listener: TcpListener, loader: Rc<Loader>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -83,7 +83,8 @@
         let loader = Rc::clone(&loader);
         let service = service_fn(move |request| answer(Rc::clone(&loader), request));
         spawn_local(async move {
-            // An error is a node that went away; it asks again on another connection.
+            // An error means that the other node went away; it will ask again on another
+            // connection.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
--- a/crates/relay-node/src/control/reading.rs
+++ b/crates/relay-node/src/control/reading.rs
@@ -1,4 +1,4 @@
-//! Where this node hears of the store's changes: the store itself, or a node that reads it.
+//! Reads the store's changes from another node that reads the store for its failure domain.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -16,26 +16,26 @@
 use super::knowledge::Knowledge;
 use crate::clock::boot_time;
 
-/// The path at which a node tells the changes after the revision that follows, as era and number.
+/// The path at which a node serves the store's changes after a revision, given as era and number.
 pub(crate) const CHANGES_PATH: &str = "/changes/";
 
-/// How long a reader holds an ask until the store has answered it: longer than it pauses between
-/// two watches, and short enough that it is then asked again while it is fresh.
+/// How long a reader holds a request until the store answers: longer than its pause between two
+/// watches, and short enough that the next request comes while the answer is fresh.
 const HOLD: Duration = Duration::from_millis(750);
 
-/// How long a node waits for its reader at most.
+/// The longest time that a node waits for its reader.
 const READER_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How old what a node knows may grow while it waits for its reader. It then reads the store itself,
-/// within the 2 s in which a leaving upstream may still get work.
+/// How old a node's state may become while it waits for its reader. The node then reads the store
+/// itself, within the 2 s during which a leaving upstream may still get requests.
 const KNOWN_FOR: Duration = Duration::from_millis(1_700);
 
-/// How long a reader that did not answer, or was behind, is not asked.
+/// How long a reader that did not answer, or was behind, is skipped.
 const SILENT_FOR: Duration = Duration::from_millis(3_000);
 
 impl Knowledge {
-    /// The changes after `after` from the node that reads the store for this one; nothing if the
-    /// store is to be read itself.
+    /// Reads the changes after `after` from this node's reader. Returns `None` if this node has to
+    /// read the store itself.
     pub(crate) async fn changes_by_reader(
         &self,
         after: Revision,
@@ -59,8 +59,8 @@
             changes: read.changes,
             revision: read.revision,
         };
-        // Ages are counted back from the ask and the time for which the reader says it held it: what
-        // held up the ask or its answer on the way makes this read look older, never younger.
+        // The ages are subtracted from the time of the request plus the time that the reader says
+        // it held it. A delay on the way thus makes this read look older than it is, never newer.
         let ms = |ms: u32| Duration::from_millis(u64::from(ms));
         let before = |age_ms: u32| (asked + ms(read.held_ms)).saturating_sub(ms(age_ms));
         let read_at = ReadAt {
@@ -70,7 +70,7 @@
         Some((changes, read_at))
     }
 
-    /// The node that reads the store for this one; nothing if this node does.
+    /// The node that reads the store for this one; `None` if this node reads it itself.
     pub(crate) fn reader(&self) -> Option<(NodeId, SocketAddr)> {
         let mut silent = self.silent_readers.borrow_mut();
         silent.retain(|_, at| at.elapsed() < SILENT_FOR);
@@ -99,15 +99,15 @@
         let answer = self.call(&address, request, limit).await?;
         let is_told = answer.status() == StatusCode::OK;
         let read: ReadChanges = is_told.then(|| postcard::from_bytes(answer.body()).ok())??;
-        // Behind what is known here already, it has read the store before this node did.
+        // A reader whose revision is older than `after` has read the store before this node did.
         (read.revision >= after).then_some(read)
     }
 
-    /// Tells another node the changes after the revision that ends `path`.
+    /// Serves the changes after the revision in `path` to another node.
     pub(crate) async fn tell_changes(&self, path: &str) -> Result<Bytes, StatusCode> {
         let after = position(path).ok_or(StatusCode::BAD_REQUEST)?;
         let came = boot_time();
-        // Answered once the store has answered, so that the other need not ask more often.
+        // Respond only once the store has answered, so that the other node need not ask more often.
         let hold = self.change_log.fresh_for().unwrap_or(HOLD).min(HOLD);
         let _ = timeout(hold, self.change_log.answered.notified()).await;
         let read = self
@@ -122,7 +122,7 @@
     }
 }
 
-/// The revision that a path names.
+/// Parses the revision in a path.
 fn position(path: &str) -> Option<Revision> {
     let (era, number) = path.strip_prefix(CHANGES_PATH)?.split_once('/')?;
     Some(Revision::of(
--- a/crates/relay-node/src/control/returning_nodes.rs
+++ b/crates/relay-node/src/control/returning_nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes that the store lists no more after it came back from a copy, and that are listed anew in a moment.
+//! Nodes missing from the store after a restore from a backup, which usually register again soon.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -8,24 +8,24 @@
 
 use super::knowledge::Knowledge;
 
-/// How long nodes may take to be listed anew: three renewals of leases.
+/// How long nodes have to register again: three lease renewals.
 const RETURN_TIME: Duration = Duration::from_millis(3_600);
 
-/// Nodes that are kept though the store does not list them.
+/// Nodes that are kept although the store does not list them.
 #[derive(Debug, Default)]
 pub(crate) struct ReturningNodes {
-    /// When the store came back from a copy.
+    /// When the store was last restored from a backup.
     restored: Cell<Option<Instant>>,
     missing: RefCell<HashMap<NodeId, Instant>>,
 }
 
 impl ReturningNodes {
-    /// Takes in that the store came back from a copy.
+    /// Records that the store was restored from a backup.
     pub(crate) fn note_restored(&self) {
         self.restored.set(Some(Instant::now()));
     }
 
-    /// Takes in that a node is not listed any more. Returns whether it is kept.
+    /// Records that a node is no longer listed. Returns whether it is kept for now.
     pub(crate) fn note_missing(&self, node: &NodeId) -> bool {
         let restored = self.restored.get();
         let is_kept = restored.is_some_and(|restored| restored.elapsed() < RETURN_TIME);
@@ -36,14 +36,14 @@
         is_kept
     }
 
-    /// Takes in that a node is listed.
+    /// Records that a node is listed.
     pub(crate) fn note_listed(&self, node: &NodeId) {
         self.missing.borrow_mut().remove(node);
     }
 }
 
 impl Knowledge {
-    /// Drops nodes that were not listed anew in time.
+    /// Drops nodes that have not registered again in time.
     pub(crate) fn forget_missing_nodes(&self) {
         let mut missing = self.returning.missing.borrow_mut();
         missing.retain(|node, since| {
--- a/crates/relay-node/src/control/shown_text.rs
+++ b/crates/relay-node/src/control/shown_text.rs
@@ -1,4 +1,5 @@
-//! What the store shows of the operators' text, next to what this node knows.
+//! The operators' configuration and model versions as the store shows them, compared with what this
+//! node knows.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -7,28 +8,29 @@
 
 use super::knowledge::Knowledge;
 
-/// The operators' text as the store shows it.
+/// The operators' configuration and model versions as the store shows them. They may be older than
+/// what this node knows after the store was restored from a backup.
 #[derive(Debug, Default)]
 pub(crate) struct ShownText {
     configuration: Cell<u64>,
-    /// Models of which the store shows an older version than this node knows, or none.
+    /// Models for which the store shows an older version than this node knows, or none.
     behind: RefCell<HashSet<ModelRef>>,
 }
 
 impl ShownText {
-    /// Takes in that all that the store shows comes next.
+    /// Called before all keys are read again.
     pub(crate) fn begin_whole(&self, known: &Versions) {
         self.configuration.set(0);
         let known = known.latest().map(|(model, _)| model.clone());
         *self.behind.borrow_mut() = known.collect();
     }
 
-    /// Takes in the version of the configuration that the store shows.
+    /// Records the version of the configuration that the store shows.
     pub(crate) fn note_configuration(&self, version: u64) {
         self.configuration.set(version);
     }
 
-    /// Takes in a version that the store shows of `model`, of which `known` is known.
+    /// Records the version of `model` that the store shows; this node knows version `known`.
     pub(crate) fn note_version(&self, model: &ModelRef, version: u64, known: u64) {
         let mut behind = self.behind.borrow_mut();
         match version < known {
@@ -37,14 +39,16 @@
         };
     }
 
-    /// Whether it is older than a configuration of `known_version`, or than the versions that are known.
+    /// Whether the store shows an older configuration than `known_version`, or an older version of
+    /// any model.
     pub(crate) fn is_behind(&self, known_version: u64) -> bool {
         self.configuration.get() < known_version || !self.behind.borrow().is_empty()
     }
 }
 
 impl Knowledge {
-    /// How much of the operators' text this node knows.
+    /// The configuration and model versions that this node knows, as a summary to compare with
+    /// other nodes.
     pub(crate) fn text_known(&self) -> TextKnown {
         let versions = self.versions.borrow();
         TextKnown {
--- a/crates/relay-node/src/control/slots.rs
+++ b/crates/relay-node/src/control/slots.rs
@@ -1,4 +1,5 @@
-//! Hands out the slots of plain upstreams, and the turns at upstreams that name a limit, that fall to this node.
+//! Grants the slots of plain upstreams, and the turns at rate-limited upstreams, that this node is
+//! responsible for.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,30 +14,32 @@
 use super::knowledge::Knowledge;
 use crate::traffic_message::{SlotAskId, SlotMessage};
 
-/// Upstreams whose slots are remembered while nobody asks for them.
+/// Above this many gates, idle ones are dropped.
 const IDLE_GATES: usize = 256;
 
 type Gates = HashMap<UpstreamId, SlotGate<(SocketAddr, SlotAskId)>>;
 
-/// The slots that an engine has for this: it keeps its own queue, and only its limit counts.
+/// The slots of an engine's gate: the engine has a queue of its own, so only its rate limit applies
+/// here.
 const UNLIMITED_SLOTS: u32 = u32::MAX;
 
-/// The slots of plain upstreams, and the turns at those with a limit.
+/// The slots and rate limits that nodes grant for upstreams.
 #[derive(Debug, Default)]
 pub(crate) struct Slots {
-    /// The gates of the upstreams that other nodes ask this one for.
+    /// The gates of upstreams for which other nodes ask this one.
     gates: RefCell<Gates>,
-    /// Which node hands out the slots of each plain upstream.
+    /// The node that grants the slots of each plain upstream.
     nodes: RefCell<Arc<HashMap<UpstreamId, SocketAddr>>>,
-    /// The nodes that this was worked out from.
+    /// The nodes from which `nodes` was computed.
     known: RefCell<HashMap<NodeId, NodeRecord>>,
 }
 
 impl Knowledge {
-    /// Which node hands out the slots of each plain upstream, and the turns at each that names a limit.
+    /// The node that grants the slots of each plain upstream and the turns at each rate-limited
+    /// one.
     ///
-    /// Chosen by hash, so nodes that know the same ask the same one without a word. Where they differ for
-    /// a moment, two nodes hand out the same slots, and the upstream's own queue takes the rest.
+    /// Nodes are chosen by hash, so nodes with the same list choose alike without a message. While
+    /// their lists differ, two nodes may grant the same slots, and the upstream queues the excess.
     pub(crate) fn slot_nodes(&self) -> Arc<HashMap<UpstreamId, SocketAddr>> {
         let upstreams = self.upstreams.borrow();
         let nodes = self.nodes.borrow();
@@ -52,8 +55,8 @@
             upstream.takes_work() && (is_limited || self.is_plain(upstream))
         });
         let found = gated.filter_map(|upstream| {
-            // Hashing every node for every upstream at each change of the store would cost a large fleet more than
-            // the slots are worth.
+            // In a large fleet, hashing every node for every upstream at each change in the store
+            // would cost more than the slots are worth.
             let known = before.get(&upstream.id).filter(|_| !are_new).copied();
             let node = || slot_node(upstream, nodes.values()).map(|node| node.address);
             Some((upstream.id.clone(), known.or_else(node)?))
@@ -69,14 +72,14 @@
         service.is_some_and(|service| service.engine.is_none())
     }
 
-    /// Lets requests go whose turn at an upstream with a limit has come; what is to be sent goes out through `send`.
+    /// Grants the turns that are due at rate-limited upstreams; the grants are passed to `send`.
     pub(crate) fn turn_slots(&self, send: impl Fn(SlotMessage, SocketAddr)) {
         let (mut gates, now) = (self.slots.gates.borrow_mut(), Instant::now());
         let limits = self.shared.limits();
         for (upstream, gate) in gates.iter_mut() {
             let per_s = limits.per_s(upstream);
             if per_s.is_none() && !gate.is_limited() {
-                // Slots are handed on as they are given back.
+                // Without a rate limit, slots are granted when others are released.
                 continue;
             }
             gate.set_rate(per_s, now);
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Answers a message about slots; what is to be sent goes out through `send`.
+    /// Handles a message about slots; replies are passed to `send`.
     pub(crate) fn take_slot_message(
         &self,
         message: SlotMessage,
@@ -159,7 +162,8 @@
     }
 }
 
-/// The node of the upstream's failure domain with the highest hash; any node where there is none.
+/// The node with the highest hash in the upstream's failure domain, or in any other if that one has
+/// no nodes.
 fn slot_node<'a>(
     upstream: &Upstream,
     nodes: impl Iterator<Item = &'a NodeRecord>,
--- a/crates/relay-node/src/control/suspect_news.rs
+++ b/crates/relay-node/src/control/suspect_news.rs
@@ -1,4 +1,4 @@
-//! Tells other nodes of requests that upstreams ended under.
+//! Spreads the requests under which upstreams ended (suspects) among the nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,28 +10,28 @@
 
 use super::knowledge::Knowledge;
 
-/// Requests in one datagram: some 80 bytes each.
+/// Suspects per datagram, at some 80 bytes each.
 const TOLD_AT_ONCE: usize = 12;
 
-/// How often nodes are told again of all suspects. Within a few times every node hears of them, also one whose failure
-/// domain was cut off.
+/// How often suspects are sent again to a few random nodes. After a few times every node has them,
+/// including those of a failure domain that was cut off.
 const STANDING_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Nodes of the own failure domain, and as many of others, that are told then.
+/// How many nodes of the own failure domain, and as many of others, get them each time.
 const STANDING_NODES: usize = 2;
 
-/// The most that a node is told that asks for everything.
+/// The most suspects that are sent to a node that asks for all.
 const TOLD_WHEN_ASKED: usize = 120;
 
-/// What this node has told others and asked them.
+/// When this node last sent its suspects.
 #[derive(Debug, Default)]
 pub(crate) struct SuspectNews {
-    /// When it told last of all that it knows.
+    /// When it last sent suspects again.
     told: Option<Instant>,
 }
 
 impl SuspectNews {
-    /// Whom to ask for all that they know, until one has answered.
+    /// The nodes to ask for their suspects, until one has answered.
     pub(super) fn asks(&self, knowledge: &Knowledge) -> Vec<SocketAddr> {
         match knowledge.needs_suspects.get() {
             true => some_others(knowledge),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// What is to be told now, and to whom.
+    /// The messages to send now, with their addresses.
     pub(super) fn turn(&mut self, knowledge: &Knowledge) -> Vec<(Vec<SuspectTold>, SocketAddr)> {
         let now = Instant::now();
         let mut suspects = knowledge.shared.suspects();
@@ -65,7 +65,7 @@
 }
 
 impl Knowledge {
-    /// Takes in what another node told of requests that upstreams ended under.
+    /// Applies suspects that another node sent.
     pub(crate) fn take_suspects(&self, from: &NodeId, told: &[SuspectTold]) {
         let (mut suspects, now) = (self.shared.suspects(), Instant::now());
         for told in told {
@@ -74,7 +74,7 @@
     }
 }
 
-/// All that this node knows of requests that upstreams ended under, in parts; an empty one if there are none.
+/// This node's suspects in datagram-sized parts; a single empty part if there are none.
 pub(super) fn all_suspects(knowledge: &Knowledge) -> Vec<Vec<SuspectTold>> {
     let suspects = knowledge.shared.suspects();
     let all = suspects.standing(TOLD_WHEN_ASKED, Instant::now());
@@ -86,7 +86,7 @@
     }
 }
 
-/// News by the nodes that they go to, in parts that fit a datagram.
+/// Groups new suspects by the nodes to send them to, in datagram-sized parts.
 fn by_address(
     knowledge: &Knowledge,
     news: Vec<(Audience, SuspectTold)>,
@@ -109,14 +109,14 @@
     parts.collect()
 }
 
-/// All other nodes.
+/// The addresses of all other nodes.
 pub(super) fn others(knowledge: &Knowledge) -> Vec<SocketAddr> {
     let nodes = knowledge.nodes.borrow();
     let others = nodes.values().filter(|node| !is_self(knowledge, node));
     others.map(|node| node.address).collect()
 }
 
-/// A few nodes of the own failure domain, and of others, drawn anew each time.
+/// The addresses of a few random nodes of the own failure domain and of others.
 pub(super) fn some_others(knowledge: &Knowledge) -> Vec<SocketAddr> {
     let nodes = knowledge.nodes.borrow();
     let here = &knowledge.settings.failure_domain;
--- a/crates/relay-node/src/control/upstreams_watch.rs
+++ b/crates/relay-node/src/control/upstreams_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the list of upstreams.
+//! Watches the list of upstreams.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -16,22 +16,22 @@
 use super::knowledge::Knowledge;
 use super::watch::Follower;
 
-/// How long an upstream whose entry went while the store was away is kept after its return.
-/// Entries lapse with the store and are back within some 2 s if the upstream lives.
+/// How long an upstream is kept whose entry disappeared around an outage of the store. Entries
+/// expire while the store is unavailable, and return within some 2 s if the upstream is alive.
 const RETURN_TIME: Duration = Duration::from_millis(2_300);
 
-/// Entries that cannot be used and are remembered, so that each is logged once.
+/// The number of unusable entries that are remembered, so that each is logged once.
 const REJECTED_LIMIT: usize = 256;
 
-/// Takes in the list of upstreams.
+/// Applies changes of the list of upstreams.
 pub(crate) struct UpstreamsFollower {
     knowledge: Rc<Knowledge>,
     listing: RefCell<Listing>,
-    /// The revisions of entries that cannot be used, by key.
+    /// The revisions of unusable entries, by key.
     rejected: RefCell<HashMap<Arc<str>, Revision>>,
-    /// When the store last did not answer.
+    /// When the store last failed to answer.
     lost_at: Cell<Option<Instant>>,
-    /// Upstreams whose entries went around an outage, with the time from which they count as gone.
+    /// Upstreams whose entries disappeared around an outage, and when they are dropped.
     missing: Rc<RefCell<HashMap<UpstreamId, Instant>>>,
 }
 
@@ -51,7 +51,8 @@
         let entry = match knowledge.dialect.decode_upstream(&item.key, &item.value) {
             Ok(entry) => entry,
             Err(error) => {
-                // It names no upstream, so what its key named before is not listed any more.
+                // The entry names no upstream, so the one that its key named before is no longer
+                // listed.
                 self.remove_name(self.name_of(&item.key).unwrap_or_default());
                 return self.reject(item, &error.problem);
             }
@@ -86,7 +87,7 @@
         upstreams.insert(upstream.id.clone(), Arc::new(upstream));
     }
 
-    /// Says once that an entry cannot be used.
+    /// Logs an unusable entry, once for each revision.
     fn reject(&self, item: &Item, problem: &str) {
         let mut rejected = self.rejected.borrow_mut();
         if rejected.len() >= REJECTED_LIMIT {
@@ -107,7 +108,8 @@
         }
     }
 
-    /// Takes in that an entry is gone. Around an outage of the store it may only have lapsed.
+    /// Handles the removal of an entry. Around an outage of the store the entry may only have
+    /// expired.
     fn remove(&self, id: &UpstreamId) {
         let lost_at = self.lost_at.get();
         let is_doubtful = lost_at.is_some_and(|lost| lost.elapsed() < RETURN_TIME);
@@ -132,7 +134,7 @@
         key.strip_prefix(self.knowledge.dialect.upstreams_prefix())
     }
 
-    /// The upstreams known under `name`: one for each start of its process.
+    /// The upstreams known under `name`, one for each start of its process.
     fn ids_of(&self, name: &str) -> Vec<UpstreamId> {
         let upstreams = self.knowledge.upstreams.borrow();
         let its = upstreams.values().filter(|known| &*known.name == name);
@@ -140,7 +142,7 @@
     }
 }
 
-/// Drops upstreams that did not come back in time.
+/// Drops upstreams whose entries have not returned in time.
 async fn forget_missing(
     knowledge: Rc<Knowledge>,
     missing: Rc<RefCell<HashMap<UpstreamId, Instant>>>,
@@ -183,13 +185,13 @@
         }
     }
 
-    /// A heartbeat that changes nothing but its count is none.
+    /// A heartbeat that changes nothing but its counter is not relevant.
     fn is_news(&self, change: &Change) -> bool {
         let Change::Put(item) = change else {
             return true;
         };
         let knowledge = &self.knowledge;
-        // One that cannot be read is told, so that it is logged.
+        // An entry that cannot be decoded is relevant, so that it is logged.
         let decoded = knowledge.dialect.decode_upstream(&item.key, &item.value);
         decoded.map_or(true, |entry| {
             let known = knowledge.upstream(&entry.upstream.id);
--- a/crates/relay-node/src/control/watch.rs
+++ b/crates/relay-node/src/control/watch.rs
@@ -1,9 +1,9 @@
-//! Follows all keys of the store with one watch, of this node or of one that reads for it.
+//! Follows all keys of the store with a single watch, by this node or by one that reads for it.
 //!
-//! One watch sees what operators, upstreams and nodes write. Heartbeats of upstreams pass through
-//! it all the time, so a connection that has gone silent shows within two seconds also while nobody
-//! changes the configuration; a watch of its own for the configuration would hang unnoticed, and
-//! the node serve an old one.
+//! The watch covers what operators, upstreams and nodes write. Upstream heartbeats pass through it
+//! all the time, so a broken connection is noticed within two seconds even if the configuration
+//! does not change. A separate watch for the configuration could hang unnoticed, and the node would
+//! keep serving an old one.
 
 use std::ops::ControlFlow;
 use std::sync::atomic::Ordering;
@@ -20,38 +20,39 @@
 /// The prefix of every key.
 const ALL_KEYS: &str = "";
 
-/// How long one watch waits for a change. Upstreams write only what has changed, so an idle system is
-/// quiet; the watch ends all the same, to show that the connection has not gone silent.
+/// How long one watch waits for a change. Upstreams write only what has changed, so in an idle
+/// system nothing arrives; the watch ends anyway, which shows that the connection still works.
 const WAIT: Duration = Duration::from_millis(500);
 
-/// The pause between two watches. Every heartbeat is an event, so a watch that is called again at
-/// once costs a call for each; a leaving upstream must get nothing new after 2 s, and a new
-/// configuration be in force by then.
+/// The pause between two watches. Every heartbeat is an event, so without a pause each would cost a
+/// call. The pause is limited because within 2 s a leaving upstream must get no new requests and a
+/// new configuration must be in force.
 const PAUSE: Duration = Duration::from_millis(600);
 
-/// Watches that may fail in a row before everything is read anew: events may have been lost.
+/// The number of watches that may fail in a row before all keys are read again, as events may have
+/// been lost.
 const FAILURES_LIMIT: u32 = 3;
 
-/// The most pages that are read at once: 500 items each.
+/// The largest number of pages read in one go, at 500 items each.
 const PAGES_LIMIT: usize = 200;
 
-/// What a follower of some keys is told.
+/// Receives the items under a key prefix, and their changes.
 pub(crate) trait Follower {
     /// The prefix of its keys.
     fn prefix(&self) -> &str;
-    /// All its items, after start or when history was lost.
+    /// Receives all its items, after a start or when the store's history was lost.
     fn whole(&self, items: &[&Item]);
-    /// Whether a change of one of its keys tells anything new.
+    /// Whether a change of one of its keys is worth passing on.
     fn is_news(&self, _change: &Change) -> bool {
         true
     }
-    /// Changes, oldest first.
+    /// Receives changes, oldest first.
     fn changes(&self, changes: &[&Change]);
-    /// The store did not answer.
+    /// Called when the store does not answer.
     fn lost(&self) {}
 }
 
-/// Follows the store for ever.
+/// Follows the store forever.
 pub(crate) async fn follow(knowledge: &Knowledge, followers: &[Box<dyn Follower>]) {
     let mut is_lost = false;
     loop {
@@ -102,7 +103,7 @@
     knowledge.publish();
 }
 
-/// Drops changes that tell nothing new: most heartbeats of upstreams.
+/// Drops changes that no watcher needs, which are most upstream heartbeats.
 fn keep_news(followers: &[Box<dyn Follower>], changes: &mut Vec<Change>) {
     changes.retain(|change| {
         let mut followers = followers.iter();
@@ -111,7 +112,7 @@
     });
 }
 
-/// Follows the changes after `revision` until the history is gone.
+/// Follows the changes after `revision` until all keys have to be read again.
 async fn follow_changes(
     knowledge: &Knowledge,
     followers: &[Box<dyn Follower>],
@@ -151,7 +152,7 @@
     }
 }
 
-/// Takes in that the reader has read the store since it came back from a copy.
+/// Handles a reader that has already read the store after a restore from a backup.
 fn note_reader_era(
     knowledge: &Knowledge,
     followers: &[Box<dyn Follower>],
@@ -182,7 +183,7 @@
     answered.store(answered_ms, Ordering::Relaxed);
 }
 
-/// Whether the watch can go on where it was.
+/// Whether the watch can go on from its current revision.
 fn judge(error: KeyValueError, failures: u32) -> ControlFlow<KeyValueError> {
     match error {
         KeyValueError::Compacted => ControlFlow::Break(error),
@@ -200,8 +201,8 @@
     for _ in 0..PAGES_LIMIT {
         let after = items.last().map(|item| item.key.clone());
         let page = knowledge.store.range(prefix, after.as_deref()).await?;
-        // Pages are no snapshot. Changes made while they were read come again from the first one's
-        // revision on.
+        // The pages are not a snapshot. Changes made while they were read arrive again, as the
+        // watch starts at the first page's revision.
         let first = *revision.get_or_insert(page.revision);
         if first.era() != page.revision.era() {
             return Err(KeyValueError::Compacted);
