--- a/crates/relay-node/src/control/engine.rs
+++ b/crates/relay-node/src/control/engine.rs
@@ -54,7 +54,8 @@
     /// Whether the store watch has delivered the owner key that this node wrote. Only after that
     /// does the watch also deliver the key's removal.
     pub(crate) is_watched: Cell<bool>,
-    /// Held while an adapter is ordered, so that two loads don't claim the same free adapter slot.
+    /// Held while loads and unloads are ordered, so that two loads don't claim the same free
+    /// adapter slot.
     pub(crate) orders: Mutex<()>,
     /// Notifies waiting loads that the holdings or the queue changed.
     pub(crate) changed: Notify,
@@ -94,8 +95,8 @@
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct State {
-    /// The number of orders that the engine has accepted; `None` until a report was read, or after
-    /// an order without an answer.
+    /// The number of orders that the engine has accepted; `None` if unknown: before the first
+    /// report, and after an order whose effect on it is unclear.
     order_seq: Option<u64>,
     pub(super) holdings: Holdings,
     /// Version number of the holdings, incremented with each change; 0 until they were read.
@@ -345,7 +346,7 @@
         self.room.set(room);
     }
 
-    /// Marks the order sequence number as unknown, after an order without a usable answer.
+    /// Marks the order sequence number as unknown, after an order whose effect on it is unclear.
     pub(crate) fn doubt(&self) {
         self.state.borrow_mut().order_seq = None;
     }
@@ -439,7 +440,7 @@
         others.map(|used| used.in_flight_for(model)).sum()
     }
 
-    /// The requests and unread prompt tokens of all other nodes except `node`.
+    /// The requests and pending prompt tokens of all other nodes except `node`.
     pub(crate) fn load_of_others(&self, node: &NodeId) -> (u32, u64) {
         let state = self.state.borrow();
         let others = state
--- a/crates/relay-node/src/control/eras.rs
+++ b/crates/relay-node/src/control/eras.rs
@@ -1,8 +1,8 @@
-//! Recovery after the store was restored from an older backup.
+//! Recovery after the store was restored from an older copy of itself.
 //!
-//! Each restore begins a new era of the store. Claims written in the previous era are missing from
-//! the backup, or will expire; engines and lenders claimed by them are claimed again, and no order
-//! is sent under the old claims.
+//! Each restore begins a new store era. Claims written in the previous era are missing from the
+//! copy, or will expire; engines and lenders claimed by them are claimed again, and no order is
+//! sent under the old claims.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,7 +22,7 @@
 use super::suspect_news::some_others;
 use crate::clock::boot_time;
 
-/// The key of the last era that is settled: no claim of an earlier era is in use, and the
+/// The key of the last store era that is settled: no claim of an earlier era is in use, and the
 /// operators' configuration and model versions are complete again.
 pub(crate) const MARK_KEY: &str = "nutmegsail/era";
 
@@ -35,7 +35,7 @@
     era: StoreEra,
 }
 
-/// The store's eras, and what remains to be done since the last restore.
+/// The store eras, and what remains to be done since the last restore.
 #[derive(Debug)]
 pub(crate) struct Eras {
     pub(crate) watch: RefCell<EraWatch>,
--- a/crates/relay-node/src/control/exchange.rs
+++ b/crates/relay-node/src/control/exchange.rs
@@ -98,7 +98,7 @@
         /// Whether this answers [`Message::SuspectsAsked`].
         is_answer: bool,
     },
-    /// Rate limits that upstreams have set.
+    /// Rate limits that upstreams have announced.
     Limits { from: NodeId, told: Vec<LimitTold> },
     /// Upstreams that have announced that they are leaving.
     Leaving { told: Vec<UpstreamId> },
@@ -286,7 +286,7 @@
     }
 }
 
-/// Sends the rate limits that upstreams have set.
+/// Sends the rate limits that upstreams have announced.
 fn tell_limits(knowledge: &Knowledge, socket: &UdpSocket, news: &mut LimitNews) {
     knowledge.forget_unlisted();
     for (told, address) in news.turn(knowledge) {
--- a/crates/relay-node/src/control/knowledge.rs
+++ b/crates/relay-node/src/control/knowledge.rs
@@ -98,9 +98,9 @@
     pub(crate) told_by_owner: RefCell<HashMap<UpstreamId, Instant>>,
     /// The version number of each engine's holdings that the traffic thread was last given.
     changes: RefCell<HashMap<UpstreamId, u64>>,
-    /// When a node of each failure domain was last heard from.
+    /// The time of the last contact with each failure domain.
     pub(crate) domains_heard: RefCell<DomainsHeard>,
-    /// When each node was last heard from.
+    /// The time of the last contact with each node.
     pub(crate) heard: RefCell<HashMap<NodeId, Instant>>,
     /// The latest changes in the store, for nodes that this one reads it for.
     pub(crate) change_log: ChangeLog,
@@ -297,14 +297,14 @@
             || engine.is_leaving(model)
     }
 
-    /// Applies another node's report of when it last heard from each failure domain.
+    /// Applies another node's last contacts with each failure domain.
     pub(crate) fn take_domains(&self, told: &[DomainAge]) {
         let mut domains = self.domains_heard.borrow_mut();
         domains.take(told, Instant::now());
         self.shared.news.put_domains(&domains);
     }
 
-    /// Records that a node, and with it its failure domain, was heard from.
+    /// Records a contact with a node, and with it its failure domain.
     pub(crate) fn note_heard(&self, node: NodeId) {
         let nodes = self.nodes.borrow();
         if let Some(record) = nodes.get(&node) {
--- a/crates/relay-node/src/control/lending.rs
+++ b/crates/relay-node/src/control/lending.rs
@@ -215,8 +215,8 @@
         lenders.filter(|address| *address != me).collect()
     }
 
-    /// Records that the lender's claim was lost when the store was restored from a backup. Returns
-    /// whether this node was the lender.
+    /// Records that the lender's claim was lost when the store was restored from an older copy.
+    /// Returns whether this node was the lender.
     pub(crate) fn lapse_lender(&self, now: Duration) -> bool {
         let mut own = self.lending.own.borrow_mut();
         if let Some(own) = own.as_mut() {
--- a/crates/relay-node/src/control/limit_news.rs
+++ b/crates/relay-node/src/control/limit_news.rs
@@ -1,4 +1,4 @@
-//! Spreads the rate limits that upstreams set among the nodes.
+//! Spreads the rate limits that upstreams announce among the nodes.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/crates/relay-node/src/control/load_board.rs
+++ b/crates/relay-node/src/control/load_board.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LoadPage {
     loads: Vec<(EngineDigest, EngineLoad)>,
-    /// When the sender last heard from each failure domain; sent only within its own domain.
+    /// The sender's last contacts with each failure domain; sent only within its own domain.
     domains: Vec<DomainAge>,
     /// The sender's estimate of the load time in milliseconds, if it has learned one.
     pub(super) load_ms: Option<f32>,
--- a/crates/relay-node/src/control/operators_watch.rs
+++ b/crates/relay-node/src/control/operators_watch.rs
@@ -39,8 +39,9 @@
         };
         self.0.shown.note_configuration(table.version);
         let mut known = self.0.table.borrow_mut();
-        // A lagging read or a restore of the store from a backup may show an older version. A
-        // configuration that was accepted must not be reverted, so the older one is ignored.
+        // A lagging read, or a store that was restored from an older copy, may show an older
+        // version. A configuration that was accepted must not be reverted, so the older one is
+        // ignored.
         if known
             .as_ref()
             .is_some_and(|known| table.version < known.version)
--- a/crates/relay-node/src/control/orders.rs
+++ b/crates/relay-node/src/control/orders.rs
@@ -18,8 +18,8 @@
 use crate::{EngineCall, EngineState, Order, OrderAnswer, OrderStep};
 
 /// Timeout for a report or an order, which are usually answered within milliseconds. An engine may
-/// still execute an order after the timeout; the expected sequence number keeps it from being
-/// executed out of order.
+/// still execute an order after the timeout, which the expected sequence number in the order makes
+/// harmless.
 const CALL_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// The largest accepted response body, in bytes.
--- a/crates/relay-node/src/control/owners.rs
+++ b/crates/relay-node/src/control/owners.rs
@@ -136,7 +136,7 @@
 
 /// Stops owning an engine, without a call to the store.
 pub(crate) fn lose(knowledge: &Knowledge, engine: &UpstreamId, why: &str) {
-    // If the store was restored from a backup, this moves the engine to those that are claimed
+    // If the store was restored from an older copy, this moves the engine to those that are claimed
     // again.
     knowledge.check_era();
     if knowledge.owned.borrow_mut().remove(engine).is_some() {
--- a/crates/relay-node/src/control/returning_nodes.rs
+++ b/crates/relay-node/src/control/returning_nodes.rs
@@ -1,4 +1,5 @@
-//! Nodes missing from the store after a restore from a backup, which usually register again soon.
+//! Nodes missing from the store after it was restored from an older copy, which usually register
+//! again soon.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,13 +15,13 @@
 /// Nodes that are kept although the store does not list them.
 #[derive(Debug, Default)]
 pub(crate) struct ReturningNodes {
-    /// When the store was last restored from a backup.
+    /// When the store was last restored from an older copy.
     restored: Cell<Option<Instant>>,
     missing: RefCell<HashMap<NodeId, Instant>>,
 }
 
 impl ReturningNodes {
-    /// Records that the store was restored from a backup.
+    /// Records that the store was restored from an older copy.
     pub(crate) fn note_restored(&self) {
         self.restored.set(Some(Instant::now()));
     }
--- a/crates/relay-node/src/control/shown_text.rs
+++ b/crates/relay-node/src/control/shown_text.rs
@@ -9,7 +9,7 @@
 use super::knowledge::Knowledge;
 
 /// The operators' configuration and model versions as the store shows them. They may be older than
-/// what this node knows after the store was restored from a backup.
+/// what this node knows after the store was restored from an older copy.
 #[derive(Debug, Default)]
 pub(crate) struct ShownText {
     configuration: Cell<u64>,
--- a/crates/relay-node/src/control/suspect_news.rs
+++ b/crates/relay-node/src/control/suspect_news.rs
@@ -23,7 +23,7 @@
 /// The most suspects that are sent to a node that asks for all.
 const TOLD_WHEN_ASKED: usize = 120;
 
-/// When this node last sent its suspects.
+/// Tracks when this node sends its suspects.
 #[derive(Debug, Default)]
 pub(crate) struct SuspectNews {
     /// When it last sent suspects again.
--- a/crates/relay-node/src/control/watch.rs
+++ b/crates/relay-node/src/control/watch.rs
@@ -152,7 +152,7 @@
     }
 }
 
-/// Handles a reader that has already read the store after a restore from a backup.
+/// Handles a reader that has already read the store after it was restored from an older copy.
 fn note_reader_era(
     knowledge: &Knowledge,
     followers: &[Box<dyn Follower>],
