--- a/crates/relay-node/src/control/change_failure.rs
+++ b/crates/relay-node/src/control/change_failure.rs
@@ -10,16 +10,16 @@
     #[display("the engine is gone")]
     EngineGone,
     /// Adapters are being loaded whose base model might be unloaded before they are ready.
-    #[display("adapters are on their way")]
+    #[display("adapters are being loaded")]
     AdaptersComing,
     /// The engine's report could not be read.
     #[display("its report could not be read")]
     NoReport,
     /// The engine is executing another order.
-    #[display("it carries out another order")]
+    #[display("it is executing another order")]
     Busy,
     /// The engine's holdings leave no room for the new model, or already include it.
-    #[display("it holds something else than was known")]
+    #[display("its holdings differ from what the plan assumed")]
     OtherHoldings,
     /// The ownership is too new or could not be confirmed.
     #[display("orders are not permitted now")]
@@ -31,6 +31,6 @@
     #[display("the order had no answer")]
     NoAnswer,
     /// Requests for a model to be unloaded have not ended in time.
-    #[display("what makes way is still in use")]
+    #[display("a model to be unloaded is still in use")]
     StillInUse,
 }
--- a/crates/relay-node/src/control/change_log.rs
+++ b/crates/relay-node/src/control/change_log.rs
@@ -12,16 +12,16 @@
 
 /// The number of changes that are kept. A reader passes them on within a second; with 140 engines
 /// there are some 70 relevant ones a second.
-const CHANGES_LIMIT: usize = 2_048;
+const MAX_CHANGES: usize = 2_048;
 
 /// The maximum age of the store's last answer for it to be passed on. While nothing changes, a
 /// reader's watch ends every 1.1 s. A leaving upstream must get no new requests after 2 s, and a
 /// node that finds its reader behind needs one call of its own within that time.
-const FRESH_FOR: Duration = Duration::from_millis(1_400);
+const MAX_ANSWER_AGE: Duration = Duration::from_millis(1_400);
 
 /// A reader's answer to another node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct ReadChanges {
+pub(crate) struct ReaderAnswer {
     /// The changes, oldest first.
     pub(crate) changes: Vec<Change>,
     /// The revision up to which the changes are complete.
@@ -55,11 +55,11 @@
 
 /// Why a reader cannot serve the changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NotRead {
+pub(crate) enum ReaderError {
     /// The store has not answered the reader lately.
     Behind,
     /// Some changes after the requested revision were already dropped.
-    Forgotten,
+    Dropped,
 }
 
 /// The latest changes in the store.
@@ -95,7 +95,7 @@
     pub(crate) fn push(&self, changes: &Changes, read_at: ReadAt) {
         let mut state = self.state.borrow_mut();
         state.changes.extend(changes.changes.iter().cloned());
-        while state.changes.len() > CHANGES_LIMIT {
+        while state.changes.len() > MAX_CHANGES {
             if let Some(oldest) = state.changes.pop_front() {
                 state.floor = state.floor.max(oldest.revision());
             }
@@ -107,7 +107,7 @@
     }
 
     /// Records that the store did not answer.
-    pub(crate) fn lost(&self) {
+    pub(crate) fn mark_lost(&self) {
         self.state.borrow_mut().read_at = None;
         self.answered.notify_waiters();
     }
@@ -116,24 +116,28 @@
     pub(crate) fn fresh_for(&self) -> Option<Duration> {
         let read_at = self.state.borrow().read_at?;
         let age = boot_time().saturating_sub(read_at.answered);
-        FRESH_FOR.checked_sub(age)
+        MAX_ANSWER_AGE.checked_sub(age)
     }
 
-    /// The changes after `after`, for a request that arrived at `came`.
-    pub(crate) fn after(&self, after: Revision, came: Duration) -> Result<ReadChanges, NotRead> {
-        self.fresh_for().ok_or(NotRead::Behind)?;
+    /// The changes after `after`, for a request that arrived at `received_at`.
+    pub(crate) fn after(
+        &self,
+        after: Revision,
+        received_at: Duration,
+    ) -> Result<ReaderAnswer, ReaderError> {
+        self.fresh_for().ok_or(ReaderError::Behind)?;
         let state = self.state.borrow();
-        let read_at = state.read_at.ok_or(NotRead::Behind)?;
+        let read_at = state.read_at.ok_or(ReaderError::Behind)?;
         if after < state.floor {
-            return Err(NotRead::Forgotten);
+            return Err(ReaderError::Dropped);
         }
         let is_new = |change: &&Change| change.revision() > after;
-        Ok(ReadChanges {
+        Ok(ReaderAnswer {
             changes: state.changes.iter().filter(is_new).cloned().collect(),
             revision: state.revision,
             answered_ms: age_ms(read_at.answered),
             asked_ms: age_ms(read_at.asked),
-            held_ms: age_ms(came),
+            held_ms: age_ms(received_at),
         })
     }
 }
--- a/crates/relay-node/src/control/change_log/tests.rs
+++ b/crates/relay-node/src/control/change_log/tests.rs
@@ -6,7 +6,7 @@
 use nutmegsail_store::{Change, Changes, Item, LeaseId, Revision};
 use rstest::rstest;
 
-use super::{CHANGES_LIMIT, ChangeLog, FRESH_FOR, NotRead, ReadAt};
+use super::{ChangeLog, MAX_ANSWER_AGE, MAX_CHANGES, ReadAt, ReaderError};
 use crate::clock::boot_time;
 
 fn put(revision: u64) -> Change {
@@ -40,7 +40,7 @@
 #[case::all(10, 10)]
 #[case::some(17, 3)]
 #[case::none(20, 0)]
-fn the_changes_after_a_revision_are_told(#[case] after: u64, #[case] count: usize) {
+fn a_reader_serves_the_changes_after_a_revision(#[case] after: u64, #[case] count: usize) {
     let read = log()
         .after(Revision::plain(after), boot_time())
         .expect("it is fresh");
@@ -54,32 +54,32 @@
 // If the reader served only what it has, the node would miss the changes in between, for instance
 // that an upstream is leaving.
 #[test]
-fn a_gap_is_never_passed_over() {
+fn a_reader_never_skips_changes() {
     assert_eq!(
         log().after(Revision::plain(9), boot_time()),
-        Err(NotRead::Forgotten)
+        Err(ReaderError::Dropped)
     );
     let log = log();
-    log.push(&changes(21..=21 + CHANGES_LIMIT as u64), read_now());
+    log.push(&changes(21..=21 + MAX_CHANGES as u64), read_now());
     assert_eq!(
         log.after(Revision::plain(20), boot_time()),
-        Err(NotRead::Forgotten)
+        Err(ReaderError::Dropped)
     );
 }
 
 // If the reader is cut off from the store but not from its nodes, they must not go on with its old
 // state.
 #[test]
-fn a_reader_that_the_store_does_not_answer_tells_nothing() {
+fn a_reader_cut_off_from_the_store_serves_nothing() {
     let lost = log();
-    lost.lost();
+    lost.mark_lost();
     assert_eq!(
         lost.after(Revision::plain(20), boot_time()),
-        Err(NotRead::Behind)
+        Err(ReaderError::Behind)
     );
 
     let behind = ChangeLog::default();
-    let long_ago = boot_time().saturating_sub(FRESH_FOR + Duration::from_millis(1));
+    let long_ago = boot_time().saturating_sub(MAX_ANSWER_AGE + Duration::from_millis(1));
     let read_at = ReadAt {
         asked: long_ago,
         answered: long_ago,
@@ -87,6 +87,6 @@
     behind.restart(Revision::plain(10), read_at);
     assert_eq!(
         behind.after(Revision::plain(10), boot_time()),
-        Err(NotRead::Behind)
+        Err(ReaderError::Behind)
     );
 }
--- a/crates/relay-node/src/control/knowledge.rs
+++ b/crates/relay-node/src/control/control_state.rs
@@ -18,34 +18,34 @@
 
 use super::ControlParts;
 use super::change_log::ChangeLog;
-use super::engine::{Coming, OwnedEngine};
-use super::engine_load::HostTold;
+use super::engine::{OwnedEngine, PendingLoad};
+use super::engine_load::HostReport;
 use super::eras::Eras;
 use super::lending::Lending;
 use super::model_demand::ModelDemand;
 use super::owner_record::OwnerWait;
 use super::returning_nodes::ReturningNodes;
-use super::shown_text::ShownText;
 use super::slots::Slots;
+use super::stored_config::StoredConfig;
 use crate::clock::{boot_id, boot_time};
 use crate::shared::{Shared, View};
 use crate::{CONNECT_TIMEOUT, Dialect, RelaySettings};
 
 /// How long another owner's report of loads and base models is valid. Owners send ten reports in
 /// this time, and a load takes a quarter of it.
-const TRANSFERS_LIFE: Duration = Duration::from_millis(1_000);
+const OWNER_REPORT_LIFETIME: Duration = Duration::from_millis(1_000);
 
 /// How long an owner's own report of its engine's load takes precedence over aggregated ones: two
 /// exchange intervals.
-const TOLD_SPAN: Duration = Duration::from_millis(220);
+const OWNER_REPORT_PRECEDENCE: Duration = Duration::from_millis(220);
 
 /// How long a read that showed an owner key of this node is relied on. A longer time lets loads go
 /// on while the store is unavailable, at all engines. It also delays the successor of a node that
 /// is gone for good, at one engine in seven, while the other engines take its loads.
-const CONFIRMATION: Duration = Duration::from_millis(4_000);
+const CONFIRMATION_LIFETIME: Duration = Duration::from_millis(4_000);
 
 /// How long the last owner of an address is remembered; all its orders have arrived by then.
-const LAST_OWNER_LIFE: Duration = Duration::from_secs(20);
+const LAST_OWNER_LIFETIME: Duration = Duration::from_secs(20);
 
 /// The half-life of an adapter's demand, which decides what is evicted. Demand shifts within some 5
 /// s: a longer half-life keeps adapters that are no longer in demand, a shorter one forgets rarely
@@ -53,7 +53,7 @@
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(10);
 
 /// How long after a failed confirmation engines get no loads.
-const LOST_STORE_SPAN: Duration = Duration::from_millis(800);
+const FAILED_CONFIRMATION_PAUSE: Duration = Duration::from_millis(800);
 
 /// An engine's owner as recorded in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -65,7 +65,7 @@
 }
 
 /// The control thread's state.
-pub(crate) struct Knowledge {
+pub(crate) struct ControlState {
     pub(crate) settings: RelaySettings,
     pub(crate) store: Arc<dyn KeyValue>,
     pub(crate) dialect: Arc<dyn Dialect>,
@@ -81,7 +81,7 @@
     pub(crate) demand: RefCell<Demand>,
     pub(crate) model_demand: RefCell<ModelDemand>,
     /// The base models of other owners' engines as last reported, and when.
-    hosted: RefCell<HashMap<UpstreamId, (HostTold, Instant)>>,
+    host_reports: RefCell<HashMap<UpstreamId, (HostReport, Instant)>>,
     pub(crate) lease: Cell<LeaseId>,
     /// Held while ownership is confirmed, so that waiting loads share one call.
     pub(crate) confirming: tokio::sync::Mutex<()>,
@@ -93,15 +93,15 @@
     pub(crate) load_times: Cell<LoadTimes>,
     /// The loads from the weight store in progress at other owners' engines, and when they were
     /// reported.
-    transfers_elsewhere: RefCell<HashMap<UpstreamId, (u32, Instant)>>,
+    other_transfers: RefCell<HashMap<UpstreamId, (u32, Instant)>>,
     /// When the owner of each engine last reported its load to this node.
-    pub(crate) told_by_owner: RefCell<HashMap<UpstreamId, Instant>>,
+    pub(crate) owner_reported_at: RefCell<HashMap<UpstreamId, Instant>>,
     /// The version number of each engine's holdings that the traffic thread was last given.
-    changes: RefCell<HashMap<UpstreamId, u64>>,
+    known_holdings: RefCell<HashMap<UpstreamId, u64>>,
     /// The time of the last contact with each failure domain.
-    pub(crate) domains_heard: RefCell<DomainsHeard>,
+    pub(crate) domain_contacts: RefCell<DomainsHeard>,
     /// The time of the last contact with each node.
-    pub(crate) heard: RefCell<HashMap<NodeId, Instant>>,
+    pub(crate) last_contacts: RefCell<HashMap<NodeId, Instant>>,
     /// The latest changes in the store, for nodes that this one reads it for.
     pub(crate) change_log: ChangeLog,
     /// Nodes that read the store for others and failed to answer, and when they did.
@@ -113,9 +113,9 @@
     /// The store's eras and the recovery after a restore.
     pub(crate) eras: Eras,
     /// Watches whether engines are owned as they should be.
-    pub(crate) owners_watch: RefCell<OwnershipWatch>,
+    pub(crate) ownership_watch: RefCell<OwnershipWatch>,
     /// The operators' configuration and model versions as last seen in the store.
-    pub(crate) shown: ShownText,
+    pub(crate) stored_config: StoredConfig,
     /// Nodes that are kept although the store does not list them.
     pub(crate) returning: ReturningNodes,
     /// The lenders of the teams' quotas.
@@ -125,10 +125,10 @@
     /// The id of the machine's current boot, since which the clock counts.
     pub(crate) boot: Arc<str>,
     started: Instant,
-    number: Cell<u64>,
+    view_number: Cell<u64>,
 }
 
-impl Knowledge {
+impl ControlState {
     pub(crate) fn new(parts: &ControlParts) -> Self {
         let pool = Pool::new(PoolSettings {
             connect_timeout: CONNECT_TIMEOUT,
@@ -149,17 +149,17 @@
             owned: RefCell::default(),
             demand: RefCell::new(Demand::new(DEMAND_HALF_LIFE)),
             model_demand: RefCell::default(),
-            hosted: RefCell::default(),
+            host_reports: RefCell::default(),
             lease: Cell::default(),
             confirming: tokio::sync::Mutex::new(()),
             last_order: Cell::new(None),
             confirm_failed: Cell::new(None),
             load_times: Cell::default(),
-            transfers_elsewhere: RefCell::default(),
-            told_by_owner: RefCell::default(),
-            changes: RefCell::default(),
-            domains_heard: RefCell::default(),
-            heard: RefCell::default(),
+            other_transfers: RefCell::default(),
+            owner_reported_at: RefCell::default(),
+            known_holdings: RefCell::default(),
+            domain_contacts: RefCell::default(),
+            last_contacts: RefCell::default(),
             change_log: ChangeLog::default(),
             silent_readers: RefCell::default(),
             last_owners: RefCell::default(),
@@ -168,20 +168,20 @@
                 ownership_rules(&parts.settings),
                 parts.settings.is_first_start,
             ),
-            owners_watch: RefCell::default(),
-            shown: ShownText::default(),
+            ownership_watch: RefCell::default(),
+            stored_config: StoredConfig::default(),
             returning: ReturningNodes::default(),
             lending: Lending::default(),
             slots: Slots::default(),
             boot: boot_id(),
             started: Instant::now(),
-            number: Cell::new(0),
+            view_number: Cell::new(0),
         }
     }
 
     /// Records the owner of the engine at each address, so that the engine keeps it after a
     /// restart.
-    pub(crate) fn note_last_owners(&self) {
+    pub(crate) fn record_last_owners(&self) {
         let now = Instant::now();
         let upstreams = self.upstreams.borrow();
         let mut last = self.last_owners.borrow_mut();
@@ -190,7 +190,7 @@
                 last.insert(upstream.address, (owner.node.clone(), now));
             }
         }
-        last.retain(|_, (_, seen)| now.duration_since(*seen) < LAST_OWNER_LIFE);
+        last.retain(|_, (_, seen)| now.duration_since(*seen) < LAST_OWNER_LIFETIME);
     }
 
     /// The last owner of the engine at `address`.
@@ -210,8 +210,8 @@
     /// system callers come only after 10 s, and the key of an owner that ended before expires with
     /// its lease, which is longer than the hand-over time.
     pub(crate) fn is_first_claim(&self) -> bool {
-        const FIRST_CLAIMS: Duration = Duration::from_secs(8);
-        let is_first = self.settings.is_first_start && self.started.elapsed() < FIRST_CLAIMS;
+        const FIRST_CLAIM_TIME: Duration = Duration::from_secs(8);
+        let is_first = self.settings.is_first_start && self.started.elapsed() < FIRST_CLAIM_TIME;
         is_first && !self.eras.watch.borrow().has_risen()
     }
 
@@ -221,16 +221,16 @@
 
     /// Publishes the current state to the traffic thread.
     pub(crate) fn publish(&self) {
-        self.refresh_quotas();
-        self.measure_quotas();
+        self.apply_quotas();
+        self.update_quota_gauges();
         let mut times = self.load_times.get();
         times.set_engines(self.owners.borrow().len());
         self.load_times.set(times);
-        self.number.set(self.number.get() + 1);
-        let goes_by_text = self.goes_by_text();
+        self.view_number.set(self.view_number.get() + 1);
+        let uses_config = self.uses_config();
         let view = View {
-            number: self.number.get(),
-            table: self.table.borrow().clone().filter(|_| goes_by_text),
+            number: self.view_number.get(),
+            table: self.table.borrow().clone().filter(|_| uses_config),
             upstreams: self.upstreams.borrow().values().cloned().collect(),
             versions: Arc::new(self.versions.borrow().clone()),
             nodes: self.nodes.borrow().len().max(1),
@@ -279,89 +279,96 @@
             OrderPermit::Unconfirmed => self
                 .confirm_failed
                 .get()
-                .is_none_or(|failed| failed.elapsed() > LOST_STORE_SPAN),
+                .is_none_or(|failed| failed.elapsed() > FAILED_CONFIRMATION_PAUSE),
         };
         let is_changing = engine.is_changing_model();
         self.is_to_stay(&engine.id)
             && !self.is_resting(&engine.id)
             && is_permitted
             && !engine.is_blocked()
-            && engine.leaving_count() == 0
+            && engine.unloading_count() == 0
             && !is_changing
     }
 
     /// Whether any node is known to have requests for `model` in flight at `engine`.
     pub(crate) fn is_in_use(&self, engine: &OwnedEngine, model: &ModelRef) -> bool {
         self.shared.uses.holds(&engine.id, model)
-            || engine.is_used_elsewhere(model)
-            || engine.is_leaving(model)
+            || engine.is_used_by_others(model)
+            || engine.is_unloading(model)
     }
 
     /// Applies another node's last contacts with each failure domain.
-    pub(crate) fn take_domains(&self, told: &[DomainAge]) {
-        let mut domains = self.domains_heard.borrow_mut();
-        domains.take(told, Instant::now());
+    pub(crate) fn apply_domain_contacts(&self, ages: &[DomainAge]) {
+        let mut domains = self.domain_contacts.borrow_mut();
+        domains.take(ages, Instant::now());
         self.shared.news.put_domains(&domains);
     }
 
     /// Records a contact with a node, and with it its failure domain.
-    pub(crate) fn note_heard(&self, node: NodeId) {
+    pub(crate) fn record_contact(&self, node: NodeId) {
         let nodes = self.nodes.borrow();
         if let Some(record) = nodes.get(&node) {
             let (domain, now) = (&record.failure_domain, Instant::now());
-            self.domains_heard.borrow_mut().note(domain, now);
+            self.domain_contacts.borrow_mut().note(domain, now);
             self.shared.news.put_domain(domain, now);
         }
-        self.heard.borrow_mut().insert(node, Instant::now());
+        self.last_contacts.borrow_mut().insert(node, Instant::now());
     }
 
     /// The loads from the weight store in progress at an owned engine. As reports lag, loads that
     /// should be finished are not counted.
-    pub(crate) fn transfers_at(&self, engine: &OwnedEngine) -> usize {
+    pub(crate) fn transfers_in_progress(&self, engine: &OwnedEngine) -> usize {
         let (times, now) = (self.load_times.get(), Instant::now());
-        let is_under_way = |load: &Coming| load.since + times.usual(load.under_way) > now;
-        engine.count_transfers(is_under_way)
+        let is_in_progress =
+            |load: &PendingLoad| load.accepted_at + times.usual(load.loads_in_progress) > now;
+        engine.count_transfers(is_in_progress)
     }
 
     /// Records how many loads another owner has in progress at its engine.
-    pub(crate) fn note_transfers(&self, engine: &UpstreamId, transfers: u32) {
-        let mut elsewhere = self.transfers_elsewhere.borrow_mut();
-        elsewhere.insert(engine.clone(), (transfers, Instant::now()));
+    pub(crate) fn record_transfers(&self, engine: &UpstreamId, transfers: u32) {
+        let mut reports = self.other_transfers.borrow_mut();
+        reports.insert(engine.clone(), (transfers, Instant::now()));
     }
 
-    /// Whether the engine's owner reported to this node less than [`TOLD_SPAN`] ago, which is newer
-    /// than the aggregated loads.
-    pub(crate) fn is_told_by_owner(&self, engine: &UpstreamId) -> bool {
-        let told = self.told_by_owner.borrow();
-        let at = told.get(engine);
-        at.is_some_and(|at| at.elapsed() < TOLD_SPAN)
+    /// Whether the engine's owner reported to this node less than [`OWNER_REPORT_PRECEDENCE`] ago,
+    /// which is newer than the aggregated loads.
+    pub(crate) fn has_recent_owner_report(&self, engine: &UpstreamId) -> bool {
+        let reported = self.owner_reported_at.borrow();
+        let at = reported.get(engine);
+        at.is_some_and(|at| at.elapsed() < OWNER_REPORT_PRECEDENCE)
     }
 
     /// The estimated number of loads from the weight store in progress over all engines. Engines
     /// without a current report count as having none; their owner may be unreachable.
-    pub(crate) fn loads_under_way(&self) -> f64 {
+    pub(crate) fn loads_in_progress(&self) -> f64 {
         let owned = self.owned.borrow();
         let own = owned.values();
         let own: usize = own.map(|engine| engine.count_transfers(|_| true)).sum();
-        let mut elsewhere = self.transfers_elsewhere.borrow_mut();
-        elsewhere.retain(|_, (_, told)| told.elapsed() < TRANSFERS_LIFE);
-        let told = elsewhere.iter().filter(|(id, _)| !owned.contains_key(*id));
-        let told: u32 = told.map(|(_, (transfers, _))| transfers).sum();
-        (own as f64 + f64::from(told)) * self.load_times.get().under_way_share()
+        let mut reports = self.other_transfers.borrow_mut();
+        reports.retain(|_, (_, received_at)| received_at.elapsed() < OWNER_REPORT_LIFETIME);
+        let others = reports.iter().filter(|(id, _)| !owned.contains_key(*id));
+        let others: u32 = others.map(|(_, (transfers, _))| transfers).sum();
+        (own as f64 + f64::from(others)) * self.load_times.get().under_way_share()
     }
 
     /// The version number of an engine's holdings that the traffic thread was given; 0 if none.
-    pub(crate) fn known_change(&self, engine: &UpstreamId) -> u64 {
-        self.changes.borrow().get(engine).copied().unwrap_or(0)
+    pub(crate) fn known_holdings_version(&self, engine: &UpstreamId) -> u64 {
+        self.known_holdings
+            .borrow()
+            .get(engine)
+            .copied()
+            .unwrap_or(0)
     }
 
     /// Records the version number of the holdings that the traffic thread was given.
-    pub(crate) fn note_change(&self, engine: &UpstreamId, change: u64) {
-        self.changes.borrow_mut().insert(engine.clone(), change);
+    pub(crate) fn record_holdings_version(&self, engine: &UpstreamId, version: u64) {
+        self.known_holdings
+            .borrow_mut()
+            .insert(engine.clone(), version);
     }
 
     /// Applies another node's estimate of the load time.
-    pub(crate) fn take_load_time(&self, load_ms: f32) {
+    pub(crate) fn apply_load_time(&self, load_ms: f32) {
         let mut times = self.load_times.get();
         times.take_told(load_ms);
         self.load_times.set(times);
@@ -386,22 +393,23 @@
     }
 
     /// Records the base models of another owner's engine.
-    pub(crate) fn note_hosted(&self, engine: &UpstreamId, told: HostTold) {
-        let mut hosted = self.hosted.borrow_mut();
-        hosted.insert(engine.clone(), (told, Instant::now()));
+    pub(crate) fn record_host_report(&self, engine: &UpstreamId, report: HostReport) {
+        let mut reports = self.host_reports.borrow_mut();
+        reports.insert(engine.clone(), (report, Instant::now()));
     }
 
-    /// The base models of another owner's engine, if reported less than [`TRANSFERS_LIFE`] ago.
-    pub(crate) fn hosted(&self, engine: &UpstreamId) -> Option<HostTold> {
-        let hosted = self.hosted.borrow();
-        let (told, at) = hosted.get(engine)?;
-        (at.elapsed() < TRANSFERS_LIFE).then(|| told.clone())
+    /// The base models of another owner's engine, if reported less than [`OWNER_REPORT_LIFETIME`]
+    /// ago.
+    pub(crate) fn host_report(&self, engine: &UpstreamId) -> Option<HostReport> {
+        let reports = self.host_reports.borrow();
+        let (report, at) = reports.get(engine)?;
+        (at.elapsed() < OWNER_REPORT_LIFETIME).then(|| report.clone())
     }
 
     /// Drops the reports of engines that are no longer listed.
-    pub(crate) fn forget_hosted(&self, is_listed: impl Fn(&UpstreamId) -> bool) {
-        let mut hosted = self.hosted.borrow_mut();
-        hosted.retain(|engine, _| is_listed(engine));
+    pub(crate) fn drop_host_reports(&self, is_listed: impl Fn(&UpstreamId) -> bool) {
+        let mut reports = self.host_reports.borrow_mut();
+        reports.retain(|engine, _| is_listed(engine));
     }
 
     /// The service of this name in the current configuration.
@@ -411,7 +419,7 @@
     }
 
     /// Adds requests to an adapter's demand.
-    pub(crate) fn count_demand(&self, model: &ModelRef, requests: f64) {
+    pub(crate) fn add_demand(&self, model: &ModelRef, requests: f64) {
         let mut demand = self.demand.borrow_mut();
         demand.add(model, requests, Instant::now());
     }
@@ -420,6 +428,6 @@
 fn ownership_rules(settings: &RelaySettings) -> OwnershipRules {
     OwnershipRules {
         hand_over: settings.bounds.hand_over(),
-        confirmation: CONFIRMATION,
+        confirmation: CONFIRMATION_LIFETIME,
     }
 }
--- a/crates/relay-node/src/control/engine.rs
+++ b/crates/relay-node/src/control/engine.rs
@@ -11,37 +11,37 @@
 };
 use tokio::sync::{Mutex, Notify};
 
-use super::exchange::EngineUseTold;
+use super::exchange::EngineUsageReport;
 use crate::EngineState;
 
 /// Whether requests were sent to a pending load's engine before a report confirmed the load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Reliance {
+pub(crate) enum EarlyUse {
     /// No request was sent.
     #[default]
     None,
     /// Requests were sent.
-    Relied,
+    Sent,
     /// The engine returned one of those requests because the load had not finished.
-    TooEarly,
+    ReturnedUnserved,
 }
 
 /// An adapter or base model whose load was ordered and not yet reported as finished.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Coming {
+pub(crate) struct PendingLoad {
     pub(crate) model: ModelRef,
     pub(crate) version: Option<u64>,
-    pub(crate) load: LoadKind,
+    pub(crate) kind: LoadKind,
     /// Loads from the weight store in progress over all engines when this one was ordered,
     /// including this one.
-    pub(crate) under_way: f64,
+    pub(crate) loads_in_progress: f64,
     /// When the engine accepted the order.
-    pub(crate) since: Instant,
+    pub(crate) accepted_at: Instant,
     /// The engine's order sequence number after accepting this order.
     pub(crate) order_seq: u64,
     /// Whether requests were sent before a report confirmed the load, and whether one was returned
     /// unserved.
-    pub(crate) reliance: Reliance,
+    pub(crate) early_use: EarlyUse,
 }
 
 /// An engine that this node owns.
@@ -53,18 +53,18 @@
     pub(crate) demand: RefCell<EngineDemand>,
     /// Whether the store watch has delivered the owner key that this node wrote. Only after that
     /// does the watch also deliver the key's removal.
-    pub(crate) is_watched: Cell<bool>,
+    pub(crate) is_key_seen: Cell<bool>,
     /// Held while loads and unloads are ordered, so that two loads don't claim the same free
     /// adapter slot.
-    pub(crate) orders: Mutex<()>,
+    pub(crate) order_lock: Mutex<()>,
     /// Notifies waiting loads that the holdings or the queue changed.
     pub(crate) changed: Notify,
     /// Whether a task is polling reports until the pending loads finish.
-    pub(crate) is_followed: Cell<bool>,
+    pub(crate) is_polled: Cell<bool>,
     /// The base model change in progress.
-    pub(super) change: RefCell<Option<ModelChange>>,
+    pub(super) model_change: RefCell<Option<ModelChange>>,
     /// When a base model was last ordered from the weight store.
-    pub(super) store_used: Cell<Option<Instant>>,
+    pub(super) weight_store_used_at: Cell<Option<Instant>>,
     /// The number of adapters that could be loaded, as last computed.
     room: Cell<u8>,
     /// Loads that wait to be ordered.
@@ -73,23 +73,23 @@
 }
 
 /// A load's entry in the queue; dropping it removes the load from the queue.
-pub(crate) struct QueuePlace<'a> {
+pub(crate) struct QueueEntry<'a> {
     engine: &'a OwnedEngine,
     pub(crate) ticket: LoadTicket,
 }
 
-impl Drop for QueuePlace<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         self.engine.queue.borrow_mut().leave(self.ticket);
         self.engine.changed.notify_waiters();
     }
 }
 
-impl Coming {
+impl PendingLoad {
     /// Whether this is an adapter load from the weight store. Loads of base models have a separate
     /// rate limit.
     pub(crate) fn is_transfer(&self) -> bool {
-        self.load == LoadKind::FromStore && self.model.adapter.is_some()
+        self.kind == LoadKind::FromStore && self.model.adapter.is_some()
     }
 }
 
@@ -100,42 +100,42 @@
     order_seq: Option<u64>,
     pub(super) holdings: Holdings,
     /// Version number of the holdings, incremented with each change; 0 until they were read.
-    change: u64,
-    pub(super) coming: Vec<Coming>,
+    holdings_version: u64,
+    pub(super) pending: Vec<PendingLoad>,
     /// Adapters that were recently loaded or unloaded.
     moved: Vec<(AdapterMove, Instant)>,
     /// Models that the engine unloads once their requests have ended.
-    pub(super) leaving: Vec<ModelRef>,
+    pub(super) unloading: Vec<ModelRef>,
     /// The engine refused an order and gets no further ones until this time.
     blocked_until: Option<Instant>,
     /// What each other node has in flight at the engine.
-    elsewhere: HashMap<NodeId, UseElsewhere>,
+    node_usages: HashMap<NodeId, NodeUsage>,
 }
 
 impl State {
-    fn note_move(&mut self, model: &ModelRef, is_held: bool) {
+    fn record_adapter_change(&mut self, model: &ModelRef, is_held: bool) {
         let model = model.digest();
         self.moved
-            .retain(|(moved, at)| moved.model != model && at.elapsed() < MOVE_TOLD);
-        let moved = AdapterMove { model, is_held };
-        self.moved.push((moved, Instant::now()));
+            .retain(|(change, at)| change.model != model && at.elapsed() < CHANGE_REPEAT_TIME);
+        let change = AdapterMove { model, is_held };
+        self.moved.push((change, Instant::now()));
     }
 
     /// Adds loads that the report shows and this process did not order: they were ordered by an
     /// earlier process of this node, or by an order whose answer was lost. Without them their
     /// adapter slots would look free, and an engine that is ordered to hold more than fits crashes
     /// with all its requests.
-    fn adopt_coming(&mut self, report: &EngineState) {
+    fn adopt_unknown_loads(&mut self, report: &EngineState) {
         for model in &report.coming {
-            if !self.coming.iter().any(|known| known.model == *model) {
-                self.coming.push(Coming {
+            if !self.pending.iter().any(|known| known.model == *model) {
+                self.pending.push(PendingLoad {
                     model: model.clone(),
                     version: None,
-                    load: LoadKind::FromStore,
-                    under_way: 0.0,
-                    since: Instant::now(),
+                    kind: LoadKind::FromStore,
+                    loads_in_progress: 0.0,
+                    accepted_at: Instant::now(),
                     order_seq: report.order_seq,
-                    reliance: Reliance::default(),
+                    early_use: EarlyUse::default(),
                 });
             }
         }
@@ -144,16 +144,16 @@
 
 /// What another node has in flight at an engine.
 #[derive(Clone, Debug)]
-struct UseElsewhere {
+struct NodeUsage {
     in_flight: u32,
     unread_tokens: u64,
     models: Vec<(ModelRef, u32)>,
-    told: Instant,
+    received_at: Instant,
 }
 
-impl UseElsewhere {
+impl NodeUsage {
     fn in_flight_for(&self, model: &ModelRef) -> u32 {
-        if self.told.elapsed() >= USE_LIFE {
+        if self.received_at.elapsed() >= USAGE_LIFETIME {
             return 0;
         }
         let mut models = self.models.iter();
@@ -164,14 +164,14 @@
 
 /// How long an engine that refused an order gets no further one. While it waits to unload an
 /// adapter in use it refuses all orders, until the adapter's last request ends some seconds later.
-const BLOCKED_SPAN: Duration = Duration::from_millis(250);
+const BLOCKED_TIME: Duration = Duration::from_millis(250);
 
 /// How long a load or unload is repeated in status messages: ten of them within the failure domain
 /// and two to other domains, so that a lost datagram does not matter.
-const MOVE_TOLD: Duration = Duration::from_millis(1_000);
+const CHANGE_REPEAT_TIME: Duration = Duration::from_millis(1_000);
 
 /// How long another node's usage report is valid. A node sends ten reports in this time.
-const USE_LIFE: Duration = Duration::from_millis(1_000);
+const USAGE_LIFETIME: Duration = Duration::from_millis(1_000);
 
 impl OwnedEngine {
     pub(crate) fn new(id: UpstreamId, ownership: Ownership) -> Self {
@@ -179,13 +179,13 @@
             id,
             ownership: RefCell::new(ownership),
             demand: RefCell::default(),
-            is_watched: Cell::new(false),
-            orders: Mutex::new(()),
+            is_key_seen: Cell::new(false),
+            order_lock: Mutex::new(()),
             changed: Notify::new(),
-            is_followed: Cell::new(false),
-            change: RefCell::default(),
+            is_polled: Cell::new(false),
+            model_change: RefCell::default(),
             room: Cell::new(0),
-            store_used: Cell::new(None),
+            weight_store_used_at: Cell::new(None),
             queue: RefCell::default(),
             state: RefCell::default(),
         }
@@ -202,30 +202,30 @@
     }
 
     /// Version number of the holdings; 0 if they were never read.
-    pub(crate) fn change(&self) -> u64 {
-        self.state.borrow().change
+    pub(crate) fn holdings_version(&self) -> u64 {
+        self.state.borrow().holdings_version
     }
 
-    /// The holdings, if their version number differs from `known`.
-    pub(crate) fn holdings_since(&self, known: u64) -> Option<Holdings> {
+    /// The holdings, if their version number differs from `known_version`.
+    pub(crate) fn holdings_since(&self, known_version: u64) -> Option<Holdings> {
         let state = self.state.borrow();
-        (state.change != known).then(|| state.holdings.clone())
+        (state.holdings_version != known_version).then(|| state.holdings.clone())
     }
 
     /// Models and adapters that are being loaded.
-    pub(crate) fn coming(&self) -> Vec<ModelRef> {
+    pub(crate) fn loading_models(&self) -> Vec<ModelRef> {
         let state = self.state.borrow();
         state
-            .coming
+            .pending
             .iter()
-            .map(|coming| coming.model.clone())
+            .map(|load| load.model.clone())
             .collect()
     }
 
     /// Queues `load` until the returned entry is dropped.
-    pub(crate) fn queue(&self, load: WaitingLoad) -> Result<QueuePlace<'_>, LoadRefusal> {
+    pub(crate) fn enqueue(&self, load: WaitingLoad) -> Result<QueueEntry<'_>, LoadRefusal> {
         let ticket = self.queue.borrow_mut().join(load)?;
-        Ok(QueuePlace {
+        Ok(QueueEntry {
             engine: self,
             ticket,
         })
@@ -243,75 +243,82 @@
     }
 
     /// The number of pending loads.
-    pub(crate) fn coming_count(&self) -> u32 {
-        u32::try_from(self.state.borrow().coming.len()).unwrap_or(u32::MAX)
+    pub(crate) fn pending_count(&self) -> u32 {
+        u32::try_from(self.state.borrow().pending.len()).unwrap_or(u32::MAX)
     }
 
     /// Adapters that are being loaded or are queued.
-    pub(crate) fn loads_ahead(&self) -> Vec<ModelDigest> {
+    pub(crate) fn loading_or_queued(&self) -> Vec<ModelDigest> {
         let (state, queue) = (self.state.borrow(), self.queue.borrow());
-        let coming = state.coming.iter().map(|coming| &coming.model);
-        coming.chain(queue.models()).map(ModelRef::digest).collect()
+        let pending = state.pending.iter().map(|load| &load.model);
+        pending
+            .chain(queue.models())
+            .map(ModelRef::digest)
+            .collect()
     }
 
     /// The pending load of `model`.
-    pub(crate) fn load_of(&self, model: &ModelRef) -> Option<Coming> {
+    pub(crate) fn pending_load(&self, model: &ModelRef) -> Option<PendingLoad> {
         let state = self.state.borrow();
-        let mut coming = state.coming.iter();
-        coming.find(|coming| coming.model == *model).cloned()
+        let mut pending = state.pending.iter();
+        pending.find(|load| load.model == *model).cloned()
     }
 
     /// Records that requests were sent for the pending load of `model`, or that one was returned
     /// unserved. Returns the load the first time each is recorded.
-    pub(crate) fn note_reliance(&self, model: &ModelRef, reliance: Reliance) -> Option<Coming> {
+    pub(crate) fn record_early_use(
+        &self,
+        model: &ModelRef,
+        early_use: EarlyUse,
+    ) -> Option<PendingLoad> {
         let mut state = self.state.borrow_mut();
-        let mut coming = state.coming.iter_mut();
-        let load = coming.find(|coming| coming.model == *model)?;
-        let is_next = match reliance {
-            Reliance::None => false,
-            Reliance::Relied => load.reliance == Reliance::None,
-            Reliance::TooEarly => load.reliance == Reliance::Relied,
+        let mut pending = state.pending.iter_mut();
+        let load = pending.find(|load| load.model == *model)?;
+        let is_next = match early_use {
+            EarlyUse::None => false,
+            EarlyUse::Sent => load.early_use == EarlyUse::None,
+            EarlyUse::ReturnedUnserved => load.early_use == EarlyUse::Sent,
         };
         is_next.then(|| {
-            load.reliance = reliance;
+            load.early_use = early_use;
             load.clone()
         })
     }
 
     /// Counts the pending adapter loads from the weight store for which `counts` returns true.
-    pub(crate) fn count_transfers(&self, counts: impl Fn(&Coming) -> bool) -> usize {
+    pub(crate) fn count_transfers(&self, counts: impl Fn(&PendingLoad) -> bool) -> usize {
         let state = self.state.borrow();
-        let from_store = state.coming.iter().filter(|coming| coming.is_transfer());
-        from_store.filter(|coming| counts(coming)).count()
+        let from_store = state.pending.iter().filter(|load| load.is_transfer());
+        from_store.filter(|load| counts(load)).count()
     }
 
     /// Adapters that were loaded or unloaded recently, and those being unloaded.
-    pub(crate) fn moved_lately(&self) -> Vec<AdapterMove> {
+    pub(crate) fn recently_changed(&self) -> Vec<AdapterMove> {
         let state = self.state.borrow();
-        let lately = state.moved.iter();
-        let lately = lately.filter(|(_, at)| at.elapsed() < MOVE_TOLD);
-        let lately = lately.map(|(moved, _)| *moved);
+        let recent = state.moved.iter();
+        let recent = recent.filter(|(_, at)| at.elapsed() < CHANGE_REPEAT_TIME);
+        let recent = recent.map(|(change, _)| *change);
         // The list of upstreams still shows an adapter until its unload is complete.
-        let leaving = state.leaving.iter().map(|model| AdapterMove {
+        let unloading = state.unloading.iter().map(|model| AdapterMove {
             model: model.digest(),
             is_held: false,
         });
-        lately.chain(leaving).collect()
+        recent.chain(unloading).collect()
     }
 
     /// When the oldest pending load was accepted.
-    pub(crate) fn oldest_coming(&self) -> Option<Instant> {
+    pub(crate) fn oldest_pending(&self) -> Option<Instant> {
         self.state
             .borrow()
-            .coming
+            .pending
             .iter()
-            .map(|coming| coming.since)
+            .map(|load| load.accepted_at)
             .min()
     }
 
     /// Whether `model` is unloaded once its requests have ended.
-    pub(crate) fn is_leaving(&self, model: &ModelRef) -> bool {
-        self.state.borrow().leaving.contains(model)
+    pub(crate) fn is_unloading(&self, model: &ModelRef) -> bool {
+        self.state.borrow().unloading.contains(model)
     }
 
     /// Whether the engine holds `model` in `version` or a later one, or in any version if none is
@@ -322,18 +329,18 @@
     }
 
     /// Whether `model` is being loaded in `version` or a later one.
-    pub(crate) fn awaits(&self, model: &ModelRef, version: Option<u64>) -> bool {
+    pub(crate) fn is_loading(&self, model: &ModelRef, version: Option<u64>) -> bool {
         let state = self.state.borrow();
-        let is_it = |coming: &Coming| {
-            let is_new = coming.version.is_none() || coming.version >= version;
-            coming.model == *model && is_new
+        let is_match = |load: &PendingLoad| {
+            let is_new = load.version.is_none() || load.version >= version;
+            load.model == *model && is_new
         };
-        state.coming.iter().any(is_it)
+        state.pending.iter().any(is_match)
     }
 
     /// Whether `model` is held or being loaded in `version` or a later one.
-    pub(crate) fn holds_or_awaits(&self, model: &ModelRef, version: Option<u64>) -> bool {
-        self.holds(model, version) || self.awaits(model, version)
+    pub(crate) fn holds_or_is_loading(&self, model: &ModelRef, version: Option<u64>) -> bool {
+        self.holds(model, version) || self.is_loading(model, version)
     }
 
     /// The number of adapters that could be loaded, as last computed.
@@ -342,45 +349,45 @@
     }
 
     /// Sets the number of adapters that could be loaded now.
-    pub(crate) fn set_room(&self, room: u8) {
-        self.room.set(room);
+    pub(crate) fn set_free_adapter_slots(&self, slots: u8) {
+        self.room.set(slots);
     }
 
     /// Marks the order sequence number as unknown, after an order whose effect on it is unclear.
-    pub(crate) fn doubt(&self) {
+    pub(crate) fn forget_order_seq(&self) {
         self.state.borrow_mut().order_seq = None;
     }
 
     /// Drops all pending loads, because the engine no longer answers.
-    pub(crate) fn give_up_coming(&self) {
+    pub(crate) fn drop_pending(&self) {
         let mut state = self.state.borrow_mut();
-        state.coming.clear();
+        state.pending.clear();
         state.order_seq = None;
     }
 
     /// Records that the engine accepted a load.
-    pub(crate) fn load_ordered(
+    pub(crate) fn record_load(
         &self,
         model: ModelRef,
         version: Option<u64>,
-        load: LoadKind,
-        under_way: f64,
+        kind: LoadKind,
+        loads_in_progress: f64,
     ) {
-        if let Some(order_seq) = self.ordered() {
-            self.state.borrow_mut().coming.push(Coming {
+        if let Some(order_seq) = self.count_order() {
+            self.state.borrow_mut().pending.push(PendingLoad {
                 model,
                 version,
-                load,
-                under_way,
-                since: Instant::now(),
+                kind,
+                loads_in_progress,
+                accepted_at: Instant::now(),
                 order_seq,
-                reliance: Reliance::default(),
+                early_use: EarlyUse::default(),
             });
         }
     }
 
     /// Counts an accepted order; returns the new order sequence number.
-    fn ordered(&self) -> Option<u64> {
+    fn count_order(&self) -> Option<u64> {
         let mut state = self.state.borrow_mut();
         let order_seq = state.order_seq? + 1;
         state.order_seq = Some(order_seq);
@@ -389,54 +396,54 @@
 
     /// Records that `model` was unloaded, or will be once its requests have ended if `is_gone` is
     /// false.
-    pub(crate) fn unloaded(&self, model: &ModelRef, is_gone: bool) {
-        self.ordered();
+    pub(crate) fn record_unload(&self, model: &ModelRef, is_gone: bool) {
+        self.count_order();
         let mut state = self.state.borrow_mut();
         state.holdings.forget(model);
-        state.change += 1;
-        state.note_move(model, false);
+        state.holdings_version += 1;
+        state.record_adapter_change(model, false);
         if !is_gone {
-            state.leaving.push(model.clone());
+            state.unloading.push(model.clone());
         }
     }
 
     /// Records that the engine refused an order because it is busy with an earlier one.
     pub(crate) fn block(&self) {
-        self.state.borrow_mut().blocked_until = Some(Instant::now() + BLOCKED_SPAN);
+        self.state.borrow_mut().blocked_until = Some(Instant::now() + BLOCKED_TIME);
     }
 
-    /// Whether the engine refused an order less than [`BLOCKED_SPAN`] ago.
+    /// Whether the engine refused an order less than [`BLOCKED_TIME`] ago.
     pub(crate) fn is_blocked(&self) -> bool {
         let until = self.state.borrow().blocked_until;
         until.is_some_and(|until| Instant::now() < until)
     }
 
     /// Stores another node's usage report.
-    pub(crate) fn note_use(&self, node: NodeId, used: &EngineUseTold) {
-        let elsewhere = UseElsewhere {
+    pub(crate) fn record_usage(&self, node: NodeId, used: &EngineUsageReport) {
+        let node_usage = NodeUsage {
             in_flight: used.in_flight,
             unread_tokens: used.unread_tokens,
             models: used.models.clone(),
-            told: Instant::now(),
+            received_at: Instant::now(),
         };
         let mut state = self.state.borrow_mut();
         state
-            .elsewhere
-            .retain(|_, used| used.told.elapsed() < USE_LIFE);
-        state.elsewhere.insert(node, elsewhere);
+            .node_usages
+            .retain(|_, used| used.received_at.elapsed() < USAGE_LIFETIME);
+        state.node_usages.insert(node, node_usage);
     }
 
     /// Whether another node has requests for `model` in flight here.
-    pub(crate) fn is_used_elsewhere(&self, model: &ModelRef) -> bool {
+    pub(crate) fn is_used_by_others(&self, model: &ModelRef) -> bool {
         let state = self.state.borrow();
-        let mut others = state.elsewhere.values();
+        let mut others = state.node_usages.values();
         others.any(|used| used.in_flight_for(model) > 0)
     }
 
     /// The requests for `model` that other nodes have in flight here.
-    pub(crate) fn in_flight_elsewhere(&self, model: &ModelRef) -> u32 {
+    pub(crate) fn others_in_flight(&self, model: &ModelRef) -> u32 {
         let state = self.state.borrow();
-        let others = state.elsewhere.values();
+        let others = state.node_usages.values();
         others.map(|used| used.in_flight_for(model)).sum()
     }
 
@@ -444,9 +451,9 @@
     pub(crate) fn load_of_others(&self, node: &NodeId) -> (u32, u64) {
         let state = self.state.borrow();
         let others = state
-            .elsewhere
+            .node_usages
             .iter()
-            .filter(|(other, used)| *other != node && used.told.elapsed() < USE_LIFE);
+            .filter(|(other, used)| *other != node && used.received_at.elapsed() < USAGE_LIFETIME);
         others.fold((0, 0), |(in_flight, unread), (_, used)| {
             (in_flight + used.in_flight, unread + used.unread_tokens)
         })
@@ -454,13 +461,13 @@
 
     /// The number of models waiting to be unloaded. They use memory until their requests have
     /// ended.
-    pub(crate) fn leaving_count(&self) -> usize {
-        self.state.borrow().leaving.len()
+    pub(crate) fn unloading_count(&self) -> usize {
+        self.state.borrow().unloading.len()
     }
 
     /// Applies a report and returns the loads that it shows as finished. Reports lag, so one that
     /// was made before the last order is ignored.
-    pub(crate) fn reported(&self, report: &EngineState) -> Vec<Coming> {
+    pub(crate) fn apply_report(&self, report: &EngineState) -> Vec<PendingLoad> {
         let mut state = self.state.borrow_mut();
         if state
             .order_seq
@@ -470,32 +477,32 @@
         }
         let mut finished = Vec::new();
         let held = |model: &ModelRef| report.holdings.version_of(model);
-        state.coming.retain(|coming| {
-            let is_here = held(&coming.model)
-                .is_some_and(|version| coming.version.is_none_or(|wanted| version >= wanted));
-            let is_under_way = report.coming.contains(&coming.model)
-                || (coming.model.adapter.is_none() && report.is_busy);
-            let is_seen = report.order_seq >= coming.order_seq;
+        state.pending.retain(|load| {
+            let is_here = held(&load.model)
+                .is_some_and(|version| load.version.is_none_or(|wanted| version >= wanted));
+            let is_in_progress = report.coming.contains(&load.model)
+                || (load.model.adapter.is_none() && report.is_busy);
+            let is_seen = report.order_seq >= load.order_seq;
             if is_here {
-                finished.push(coming.clone());
+                finished.push(load.clone());
             }
-            !is_here && (is_under_way || !is_seen)
+            !is_here && (is_in_progress || !is_seen)
         });
-        state.adopt_coming(report);
-        state.leaving.retain(|model| held(model).is_some());
+        state.adopt_unknown_loads(report);
+        state.unloading.retain(|model| held(model).is_some());
         state.order_seq = Some(report.order_seq);
         for load in &finished {
-            state.note_move(&load.model, true);
+            state.record_adapter_change(&load.model, true);
         }
         let mut holdings = report.holdings.clone();
         // The engine returns requests unserved if they have not started when their model is
         // unloaded.
-        for model in &state.leaving {
+        for model in &state.unloading {
             holdings.forget(model);
         }
-        if state.change == 0 || state.holdings != holdings {
+        if state.holdings_version == 0 || state.holdings != holdings {
             state.holdings = holdings;
-            state.change += 1;
+            state.holdings_version += 1;
         }
         drop(state);
         self.changed.notify_waiters();
--- a/crates/relay-node/src/control/engine_load.rs
+++ b/crates/relay-node/src/control/engine_load.rs
@@ -6,16 +6,16 @@
 use nutmegsail_relay::{AdapterMove, HeldModel, ModelDigest, ModelRef, Report};
 use serde::{Deserialize, Serialize};
 
-use super::base_models::store_use;
+use super::base_models::weight_store_use_time;
+use super::control_state::ControlState;
 use super::engine::OwnedEngine;
-use super::knowledge::Knowledge;
 
 /// The load of one engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EngineLoad {
     /// Requests in flight.
     pub(crate) in_flight: u32,
-    /// Prompt tokens of requests whose responses have not begun.
+    /// Prompt tokens of requests whose answers have not begun.
     pub(crate) unread_tokens: u32,
     /// Adapters that are being loaded or are queued.
     pub(crate) coming: Vec<ModelDigest>,
@@ -26,16 +26,16 @@
     /// The number of adapters that could be loaded now.
     pub(crate) room: u8,
     /// The version number of the engine's holdings.
-    pub(crate) change: u64,
+    pub(crate) holdings_version: u64,
     /// Whether the engine can be given orders now.
     pub(crate) takes_loads: bool,
     /// The engine's base models, if its service has several.
-    pub(crate) host: Option<HostTold>,
+    pub(crate) host: Option<HostReport>,
 }
 
 /// What an owner reports about its engine's base models.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct HostTold {
+pub(crate) struct HostReport {
     /// The base models that are held or being loaded, each with its number of adapters.
     pub(crate) models: Vec<(ModelDigest, u8)>,
     /// Whether the engine can be given orders for base models now.
@@ -51,10 +51,10 @@
 impl EngineLoad {
     /// Whether the engine is idle and could load any adapter, which is also assumed of engines
     /// without a report.
-    pub(crate) fn is_at_rest(&self) -> bool {
-        let is_idle = self.in_flight == 0 && self.unread_tokens == 0 && self.transfers == 0;
+    pub(crate) fn is_idle(&self) -> bool {
+        let has_no_work = self.in_flight == 0 && self.unread_tokens == 0 && self.transfers == 0;
         let has_changed = !self.coming.is_empty() || !self.moved.is_empty();
-        is_idle && !has_changed && self.room > 0 && self.takes_loads && self.host.is_none()
+        has_no_work && !has_changed && self.room > 0 && self.takes_loads && self.host.is_none()
     }
 
     /// Converts this load to a report made now.
@@ -72,34 +72,34 @@
 }
 
 /// The load of an owned engine without `node`'s share.
-pub(crate) fn load_without(
-    knowledge: &Knowledge,
+pub(crate) fn load_excluding(
+    control: &ControlState,
     owned: &OwnedEngine,
     node: &NodeId,
 ) -> EngineLoad {
     let (mut in_flight, mut unread_tokens) = owned.load_of_others(node);
-    if *node != knowledge.settings.node {
-        let mine = knowledge.shared.uses.peek(&owned.id);
-        in_flight += mine.0;
-        unread_tokens += mine.1;
+    if *node != control.settings.node {
+        let own_usage = control.shared.uses.peek(&owned.id);
+        in_flight += own_usage.0;
+        unread_tokens += own_usage.1;
     }
     EngineLoad {
         in_flight,
         unread_tokens: u32::try_from(unread_tokens).unwrap_or(u32::MAX),
-        coming: owned.loads_ahead(),
-        moved: owned.moved_lately(),
+        coming: owned.loading_or_queued(),
+        moved: owned.recently_changed(),
         transfers: u32::try_from(owned.count_transfers(|_| true)).unwrap_or(u32::MAX),
         room: owned.room(),
-        change: owned.change(),
-        takes_loads: knowledge.takes_loads(owned),
-        host: host_told(knowledge, owned, in_flight),
+        holdings_version: owned.holdings_version(),
+        takes_loads: control.takes_loads(owned),
+        host: host_report(control, owned, in_flight),
     }
 }
 
 /// The base models of an owned engine, if its service has several.
-fn host_told(knowledge: &Knowledge, owned: &OwnedEngine, in_flight: u32) -> Option<HostTold> {
-    let upstream = knowledge.upstream(&owned.id)?;
-    let service = knowledge.service(&upstream.service)?;
+fn host_report(control: &ControlState, owned: &OwnedEngine, in_flight: u32) -> Option<HostReport> {
+    let upstream = control.upstream(&owned.id)?;
+    let service = control.service(&upstream.service)?;
     let spec = service.engine.as_ref()?;
     if spec.models.len() < 2 {
         return None;
@@ -109,26 +109,26 @@
         let adapters = u8::try_from(hosted.adapters).unwrap_or(u8::MAX);
         (model.digest(), adapters)
     });
-    Some(HostTold {
+    Some(HostReport {
         models: models.collect(),
-        can_change: owned.change() > 0 && knowledge.takes_loads(owned),
+        can_change: owned.holdings_version() > 0 && control.takes_loads(owned),
         is_changing: owned.is_changing_model(),
-        uses_store: owned.uses_store(store_use(spec)),
+        uses_store: owned.uses_store(weight_store_use_time(spec)),
         in_flight,
     })
 }
 
 /// The number of adapters that an owned engine could load now without evicting one in use.
-pub(crate) fn room(knowledge: &Knowledge, owned: &OwnedEngine) -> u8 {
-    let upstream = knowledge.upstream(&owned.id);
-    let service = upstream.and_then(|upstream| knowledge.service(&upstream.service));
+pub(crate) fn room(control: &ControlState, owned: &OwnedEngine) -> u8 {
+    let upstream = control.upstream(&owned.id);
+    let service = upstream.and_then(|upstream| control.service(&upstream.service));
     let Some(spec) = service.as_ref().and_then(|service| service.engine.as_ref()) else {
         return 0;
     };
     let holdings = owned.holdings();
     let adapters = holdings.models.iter().flat_map(HeldModel::adapter_refs);
-    let in_use = adapters.filter(|adapter| knowledge.is_in_use(owned, adapter));
-    let taken = in_use.count() + owned.loads_ahead().len();
-    let left = spec.adapters_beside(&holdings).saturating_sub(taken);
+    let in_use = adapters.filter(|adapter| control.is_in_use(owned, adapter));
+    let occupied = in_use.count() + owned.loading_or_queued().len();
+    let left = spec.adapters_beside(&holdings).saturating_sub(occupied);
     u8::try_from(left).unwrap_or(u8::MAX)
 }
--- a/crates/relay-node/src/control/engine_models.rs
+++ b/crates/relay-node/src/control/engine_models.rs
@@ -4,20 +4,20 @@
 
 use nutmegsail_relay::{HostedModel, ModelChange, ModelRef};
 
-use super::engine::{Coming, OwnedEngine};
+use super::engine::{OwnedEngine, PendingLoad};
 
 impl OwnedEngine {
     /// Starts a change of base models; returns false if one is in progress.
     pub(crate) fn begin_change(&self, change: ModelChange) -> bool {
-        let mut under_way = self.change.borrow_mut();
-        let is_first = under_way.is_none();
-        under_way.get_or_insert(change);
+        let mut current = self.model_change.borrow_mut();
+        let is_first = current.is_none();
+        current.get_or_insert(change);
         is_first
     }
 
     /// Ends the change of base models.
     pub(crate) fn end_change(&self) {
-        self.change.take();
+        self.model_change.take();
     }
 
     /// Whether a base model is being loaded or unloaded. The engine takes no other orders
@@ -25,19 +25,19 @@
     pub(crate) fn is_changing_model(&self) -> bool {
         let state = self.state.borrow();
         let is_base = |model: &ModelRef| model.adapter.is_none();
-        self.change.borrow().is_some()
-            || state.leaving.iter().any(is_base)
-            || state.coming.iter().any(|coming| is_base(&coming.model))
+        self.model_change.borrow().is_some()
+            || state.unloading.iter().any(is_base)
+            || state.pending.iter().any(|load| is_base(&load.model))
     }
 
     /// Records that a base model was ordered from the weight store.
-    pub(crate) fn note_store_use(&self) {
-        self.store_used.set(Some(Instant::now()));
+    pub(crate) fn record_weight_store_use(&self) {
+        self.weight_store_used_at.set(Some(Instant::now()));
     }
 
     /// Whether a base model was ordered from the weight store less than `span` ago.
     pub(crate) fn uses_store(&self, span: Duration) -> bool {
-        let used = self.store_used.get();
+        let used = self.weight_store_used_at.get();
         used.is_some_and(|used| used.elapsed() < span)
     }
 
@@ -47,7 +47,7 @@
     /// owners would start the same change at further engines.
     pub(crate) fn hosted_models(&self) -> Vec<HostedModel> {
         let mut hosted = self.held_models();
-        if let Some(change) = &*self.change.borrow() {
+        if let Some(change) = &*self.model_change.borrow() {
             hosted.retain(|model| !change.unload.contains(&model.name));
             if hosted.iter().all(|model| model.name != change.load) {
                 hosted.push(HostedModel {
@@ -61,18 +61,19 @@
 
     fn held_models(&self) -> Vec<HostedModel> {
         let state = self.state.borrow();
-        let coming = state.coming.iter();
+        let pending = state.pending.iter();
         let held = state.holdings.models.iter().map(|held| HostedModel {
             name: held.name.clone(),
             adapters: held.adapters.len()
-                + coming
+                + pending
                     .clone()
                     .filter(|load| load.model.model == held.name && load.model.adapter.is_some())
                     .count(),
         });
-        let is_new =
-            |load: &&Coming| load.model.adapter.is_none() && !state.holdings.has_base(&load.model);
-        let new = coming.clone().filter(is_new).map(|load| HostedModel {
+        let is_new = |load: &&PendingLoad| {
+            load.model.adapter.is_none() && !state.holdings.has_base(&load.model)
+        };
+        let new = pending.clone().filter(is_new).map(|load| HostedModel {
             name: load.model.model.clone(),
             adapters: 0,
         });
--- a/crates/relay-node/src/control/eras.rs
+++ b/crates/relay-node/src/control/eras.rs
@@ -16,22 +16,22 @@
 use nutmegsail_telemetry::{Event, log_event};
 use serde::{Deserialize, Serialize};
 
+use super::control_state::ControlState;
 use super::engine::OwnedEngine;
-use super::knowledge::Knowledge;
 use super::owners::to_json;
-use super::suspect_news::some_others;
+use super::suspect_gossip::random_nodes;
 use crate::clock::boot_time;
 
 /// The key of the last store era that is settled: no claim of an earlier era is in use, and the
 /// operators' configuration and model versions are complete again.
-pub(crate) const MARK_KEY: &str = "nutmegsail/era";
+pub(crate) const SETTLED_ERA_KEY: &str = "nutmegsail/era";
 
 /// How often a few nodes are told of a recent restore.
-const TELL_INTERVAL: Duration = Duration::from_millis(500);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The value of the era key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Mark {
+struct SettledEra {
     era: StoreEra,
 }
 
@@ -40,29 +40,29 @@
 pub(crate) struct Eras {
     pub(crate) watch: RefCell<EraWatch>,
     /// Owned engines whose claims were lost in a restore.
-    pub(crate) lapsed: RefCell<HashMap<UpstreamId, Rc<OwnedEngine>>>,
+    pub(crate) lost_claims: RefCell<HashMap<UpstreamId, Rc<OwnedEngine>>>,
     /// Whether to call the store at once, because another node knows of a later era.
-    is_to_ask: Cell<bool>,
-    mark_revision: Cell<Revision>,
-    is_held_logged: Cell<bool>,
-    told: Cell<Option<Instant>>,
+    is_store_call_due: Cell<bool>,
+    settled_revision: Cell<Revision>,
+    is_hold_back_logged: Cell<bool>,
+    announced_at: Cell<Option<Instant>>,
 }
 
 impl Eras {
     pub(crate) fn new(rules: OwnershipRules, is_first_start: bool) -> Self {
         Self {
             watch: RefCell::new(EraWatch::new(rules.wait(), is_first_start)),
-            lapsed: RefCell::default(),
-            is_to_ask: Cell::default(),
-            mark_revision: Cell::default(),
-            is_held_logged: Cell::default(),
-            told: Cell::default(),
+            lost_claims: RefCell::default(),
+            is_store_call_due: Cell::default(),
+            settled_revision: Cell::default(),
+            is_hold_back_logged: Cell::default(),
+            announced_at: Cell::default(),
         }
     }
 
     /// Whether to call the store at once. Reading this resets it.
-    pub(crate) fn is_to_ask(&self) -> bool {
-        self.is_to_ask.take()
+    pub(crate) fn is_store_call_due(&self) -> bool {
+        self.is_store_call_due.take()
     }
 
     /// Whether all claims of earlier eras have expired.
@@ -76,19 +76,19 @@
     }
 
     /// Called before all keys are read again.
-    pub(crate) fn begin_whole(&self) {
-        self.mark_revision.set(Revision::NONE);
+    pub(crate) fn begin_snapshot(&self) {
+        self.settled_revision.set(Revision::NONE);
     }
 }
 
-impl Knowledge {
+impl ControlState {
     /// Checks whether the store has reported a later era.
     pub(crate) fn check_era(&self) {
-        self.note_era(self.store.era());
+        self.record_era(self.store.era());
     }
 
     /// Records the store's current era.
-    pub(crate) fn note_era(&self, era: Option<StoreEra>) {
+    pub(crate) fn record_era(&self, era: Option<StoreEra>) {
         let rise = self.eras.watch.borrow_mut().see(era, boot_time());
         if let Some(era) = era {
             self.shared.metrics.store_era(era);
@@ -105,10 +105,10 @@
         for engine in owned.values() {
             engine.ownership.borrow_mut().lapse(now);
         }
-        self.eras.lapsed.borrow_mut().extend(owned);
-        let was_lending = self.lapse_lender(now);
-        self.returning.note_restored();
-        self.eras.is_to_ask.set(true);
+        self.eras.lost_claims.borrow_mut().extend(owned);
+        let was_lending = self.lose_lender_claim(now);
+        self.returning.record_restored();
+        self.eras.is_store_call_due.set(true);
         log_event!(
             self.log, Event::StoreEraRose,
             "from" => rise.from.0, "to" => rise.to.0, "engines" => engines,
@@ -118,8 +118,8 @@
 
     /// Drops an engine whose claim was lost in a restore, because another node has claimed it
     /// since.
-    pub(crate) fn forget_lapsed(&self, engine: &UpstreamId, why: &str) {
-        if self.eras.lapsed.borrow_mut().remove(engine).is_some() {
+    pub(crate) fn drop_lost_claim(&self, engine: &UpstreamId, why: &str) {
+        if self.eras.lost_claims.borrow_mut().remove(engine).is_some() {
             log_event!(
                 self.log, Event::EngineReleased,
                 "upstream" => engine.to_string(), "why" => why.to_owned()
@@ -128,10 +128,10 @@
     }
 
     /// Applies the settled era from the store.
-    pub(crate) fn take_mark(&self, item: &Item) {
-        self.eras.mark_revision.set(item.revision);
-        match serde_json::from_slice::<Mark>(&item.value) {
-            Ok(mark) => self.eras.watch.borrow_mut().take_mark(mark.era),
+    pub(crate) fn apply_settled_era(&self, item: &Item) {
+        self.eras.settled_revision.set(item.revision);
+        match serde_json::from_slice::<SettledEra>(&item.value) {
+            Ok(settled) => self.eras.watch.borrow_mut().take_mark(settled.era),
             Err(error) => log_event!(
                 self.log, Event::MessageUndecodable,
                 "key" => item.key.to_string(), "problem" => error.to_string()
@@ -140,91 +140,93 @@
     }
 
     /// Whether this node uses the operators' configuration that it has read.
-    pub(crate) fn goes_by_text(&self) -> bool {
+    pub(crate) fn uses_config(&self) -> bool {
         let mut watch = self.eras.watch.borrow_mut();
         if watch.has_text() {
             return true;
         }
-        let known = self.text_known();
-        let goes_by = known.configuration > 0 && watch.goes_by(known, boot_time());
-        if watch.is_behind(known) && !self.eras.is_held_logged.replace(true) {
+        let known = self.config_known();
+        let uses_config = known.configuration > 0 && watch.goes_by(known, boot_time());
+        if watch.is_behind(known) && !self.eras.is_hold_back_logged.replace(true) {
             log_event!(
                 self.log, Event::TextHeldBack,
                 "version" => known.configuration
             );
         }
-        goes_by
+        uses_config
     }
 
     /// Starts using the operators' configuration, if nothing prevents it any more.
-    pub(crate) fn look_at_text(&self) {
-        let has_text = self.eras.watch.borrow().has_text();
-        if !has_text && self.goes_by_text() {
+    pub(crate) fn check_config(&self) {
+        let uses_config = self.eras.watch.borrow().has_text();
+        if !uses_config && self.uses_config() {
             self.publish();
         }
     }
 
     /// What this node tells others about the store's era; `None` while it is itself waiting for
     /// their answers.
-    pub(crate) fn era_told(&self) -> Option<EraTold> {
+    pub(crate) fn era_report(&self) -> Option<EraTold> {
         let watch = self.eras.watch.borrow();
-        watch.told(self.text_known(), boot_time())
+        watch.told(self.config_known(), boot_time())
     }
 
     /// Applies what another node tells about the store's era.
-    pub(crate) fn take_era_told(&self, told: EraTold) {
-        let is_newer = self.eras.watch.borrow_mut().take_told(told, boot_time());
+    pub(crate) fn apply_era_report(&self, report: EraTold) {
+        let is_newer = self.eras.watch.borrow_mut().take_told(report, boot_time());
         if is_newer {
-            self.eras.is_to_ask.set(true);
+            self.eras.is_store_call_due.set(true);
         }
     }
 
     /// The nodes to ask about the store's era.
-    pub(super) fn era_asks(&self) -> Vec<SocketAddr> {
+    pub(super) fn era_query_targets(&self) -> Vec<SocketAddr> {
         match self.eras.watch.borrow().asks(boot_time()) {
-            true => some_others(self),
+            true => random_nodes(self),
             false => Vec::new(),
         }
     }
 
     /// The nodes to tell now of a recent restore.
-    pub(super) fn era_news(&self) -> Vec<SocketAddr> {
-        let told = self.eras.told.get();
-        let is_due = told.is_none_or(|told| told.elapsed() >= TELL_INTERVAL);
+    pub(super) fn era_announcement_targets(&self) -> Vec<SocketAddr> {
+        let announced_at = self.eras.announced_at.get();
+        let is_due = announced_at.is_none_or(|at| at.elapsed() >= ANNOUNCE_INTERVAL);
         if !is_due || !self.eras.watch.borrow().is_news(boot_time()) {
             return Vec::new();
         }
-        self.eras.told.set(Some(Instant::now()));
-        some_others(self)
+        self.eras.announced_at.set(Some(Instant::now()));
+        random_nodes(self)
     }
 }
 
 /// Writes the era to the store once it is settled, if this node reads the store for others.
-pub(crate) async fn mark_era(knowledge: &Knowledge) {
-    let is_behind = knowledge.shown.is_behind(knowledge.configuration_version());
+pub(crate) async fn write_settled_era(control: &ControlState) {
+    let is_behind = control
+        .stored_config
+        .is_behind(control.configuration_version());
     let due = {
-        let watch = knowledge.eras.watch.borrow();
+        let watch = control.eras.watch.borrow();
         watch.mark_due(is_behind, boot_time())
     };
-    let Some(era) = due.filter(|_| knowledge.reader().is_none()) else {
+    let Some(era) = due.filter(|_| control.reader().is_none()) else {
         return;
     };
     let txn = Txn {
         expects: vec![Expect {
-            key: MARK_KEY.into(),
-            revision: knowledge.eras.mark_revision.get(),
+            key: SETTLED_ERA_KEY.into(),
+            revision: control.eras.settled_revision.get(),
         }],
         puts: vec![Put {
-            key: MARK_KEY.into(),
-            value: to_json(&Mark { era }),
+            key: SETTLED_ERA_KEY.into(),
+            value: to_json(&SettledEra { era }),
             lease: LeaseId::NONE,
         }],
         ..Txn::default()
     };
     // If another node wrote the key first, the watch delivers it.
-    if let Ok(revision) = knowledge.store.commit(txn).await {
-        knowledge.eras.mark_revision.set(revision);
-        knowledge.eras.watch.borrow_mut().take_mark(era);
-        log_event!(knowledge.log, Event::StoreEraSettled, "era" => era.0);
+    if let Ok(revision) = control.store.commit(txn).await {
+        control.eras.settled_revision.set(revision);
+        control.eras.watch.borrow_mut().take_mark(era);
+        log_event!(control.log, Event::StoreEraSettled, "era" => era.0);
     }
 }
--- a/crates/relay-node/src/control/leaving_news.rs
+++ b/crates/relay-node/src/control/leaving_gossip.rs
@@ -9,55 +9,58 @@
 use nutmegsail_relay::{RestSaid, Upstream};
 use nutmegsail_telemetry::{Event, log_event};
 
-use super::knowledge::Knowledge;
-use super::suspect_news::some_others;
+use super::control_state::ControlState;
+use super::suspect_gossip::random_nodes;
 use crate::OwnWord;
 
 /// How often all leaving upstreams are sent to a few random nodes, for nodes that started or were
 /// reachable only later.
-const STANDING_INTERVAL: Duration = Duration::from_secs(1);
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
 /// In how many intervals a new announcement is sent, each time to other random nodes, so that it
 /// reaches all nodes of a large fleet within a second.
-const NEWS_TURNS: u8 = 4;
+const NEW_SENDS: u8 = 4;
 
 /// Upstreams per datagram, at some 30 bytes each.
-const TOLD_AT_ONCE: usize = 30;
+const UPSTREAMS_PER_DATAGRAM: usize = 30;
 
 /// Which announcements this node has applied and sent.
 #[derive(Debug, Default)]
-pub(crate) struct LeavingNews {
+pub(crate) struct LeavingGossip {
     /// The number of announcements that were applied.
-    seen: u64,
-    turns_left: u8,
-    told: Option<Instant>,
+    applied: u64,
+    sends_left: u8,
+    sent_at: Option<Instant>,
 }
 
-impl LeavingNews {
+impl LeavingGossip {
     /// Applies new announcements, and returns the messages to send now with their addresses.
-    pub(super) fn turn(&mut self, knowledge: &Knowledge) -> Vec<(Vec<UpstreamId>, SocketAddr)> {
-        let leavings = knowledge.shared.notices().leavings();
-        if std::mem::replace(&mut self.seen, leavings) != leavings {
-            knowledge.take_leaving_upstreams();
-            self.turns_left = NEWS_TURNS;
+    pub(super) fn next_messages(
+        &mut self,
+        control: &ControlState,
+    ) -> Vec<(Vec<UpstreamId>, SocketAddr)> {
+        let leavings = control.shared.notices().leavings();
+        if std::mem::replace(&mut self.applied, leavings) != leavings {
+            control.mark_leaving();
+            self.sends_left = NEW_SENDS;
         }
         let now = Instant::now();
-        let is_standing = |told| now.duration_since(told) >= STANDING_INTERVAL;
-        if self.turns_left == 0 && !self.told.is_none_or(is_standing) {
+        let is_resend_due = |at| now.duration_since(at) >= RESEND_INTERVAL;
+        if self.sends_left == 0 && !self.sent_at.is_none_or(is_resend_due) {
             return Vec::new();
         }
-        self.turns_left = self.turns_left.saturating_sub(1);
-        self.told = Some(now);
-        let leaving = knowledge.listed_leaving();
-        let to = some_others(knowledge);
-        let parts = leaving.chunks(TOLD_AT_ONCE);
+        self.sends_left = self.sends_left.saturating_sub(1);
+        self.sent_at = Some(now);
+        let leaving = control.listed_leaving();
+        let to = random_nodes(control);
+        let parts = leaving.chunks(UPSTREAMS_PER_DATAGRAM);
         parts
             .flat_map(|part| to.iter().map(|to| (part.to_vec(), *to)))
             .collect()
     }
 }
 
-impl Knowledge {
+impl ControlState {
     /// Whether an upstream is listed and neither the list nor the upstream itself says that it is
     /// leaving.
     pub(crate) fn is_to_stay(&self, id: &UpstreamId) -> bool {
@@ -67,7 +70,7 @@
     }
 
     /// Adds an upstream's own announcement that it is leaving to its listed state.
-    pub(crate) fn with_own_word(&self, upstream: Upstream) -> Upstream {
+    pub(crate) fn with_own_notice(&self, upstream: Upstream) -> Upstream {
         match self.shared.notices().is_leaving(&upstream.id) {
             true => upstream.leaving(),
             false => upstream,
@@ -75,18 +78,18 @@
     }
 
     /// Applies announcements that other nodes sent.
-    pub(crate) fn take_leaving(&self, told: &[UpstreamId]) {
-        for upstream in told {
+    pub(crate) fn apply_leaving(&self, upstreams: &[UpstreamId]) {
+        for upstream in upstreams {
             self.note_leaving(upstream, "node");
         }
     }
 
-    /// Applies what an engine says about itself in a response to its owner.
-    pub(super) fn note_engine_word(&self, engine: &UpstreamId, own: OwnWord) {
-        if own.is_leaving {
+    /// Applies what an engine says about itself in an answer to its owner.
+    pub(super) fn apply_engine_notice(&self, engine: &UpstreamId, notice: OwnWord) {
+        if notice.is_leaving {
             self.note_leaving(engine, "engine");
         }
-        if let RestSaid::For(rest) = own.rest {
+        if let RestSaid::For(rest) = notice.rest {
             let (mut notices, now) = (self.shared.notices(), Instant::now());
             notices.note_rest(engine, rest, now, &mut rand::rng());
         }
@@ -109,7 +112,7 @@
     }
 
     /// Applies the announcements of listed upstreams.
-    fn take_leaving_upstreams(&self) {
+    fn mark_leaving(&self) {
         for id in self.listed_leaving() {
             let mut upstreams = self.upstreams.borrow_mut();
             if let Some(upstream) = upstreams.get_mut(&id) {
--- a/crates/relay-node/src/control/lending.rs
+++ b/crates/relay-node/src/control/lending.rs
@@ -1,8 +1,8 @@
 //! Lends out this failure domain's share of the teams' quotas, if this node is the domain's lender.
 //!
 //! The lender's key is written by compare-and-swap under the node's lease. A lender relies on a
-//! read that showed its key for [`CONFIRMATION`] only, and its successor waits as long before it
-//! lends, so two lenders never fill the same buckets at once.
+//! read that showed its key for [`CONFIRMATION_LIFETIME`] only, and its successor waits as long
+//! before it lends, so two lenders never fill the same buckets at once.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,7 +15,7 @@
 use nutmegsail_store::{Expect, Put, Revision, Txn};
 use nutmegsail_telemetry::{Event, log_event};
 
-use super::knowledge::{Knowledge, Owner};
+use super::control_state::{ControlState, Owner};
 use super::owner_record::{OwnerRecord, OwnerWait, predecessor_of_own};
 use super::owners::to_json;
 use crate::clock::boot_time;
@@ -26,16 +26,16 @@
 /// How long a read that showed the lender's key is relied on. A longer time leaves a failure domain
 /// without a lender for longer after a failure; a shorter one stops lending in a domain that is cut
 /// off while its nodes still accept keys.
-const CONFIRMATION: Duration = Duration::from_millis(4_000);
+const CONFIRMATION_LIFETIME: Duration = Duration::from_millis(4_000);
 
 const RULES: OwnershipRules = OwnershipRules {
     hand_over: Duration::ZERO,
-    confirmation: CONFIRMATION,
+    confirmation: CONFIRMATION_LIFETIME,
 };
 
 /// How long the preferred node has to claim the lender's key before any other node of the failure
 /// domain claims it.
-const CLAIM_PATIENCE: Duration = Duration::from_millis(1_500);
+const CLAIM_DELAY: Duration = Duration::from_millis(1_500);
 
 /// The lenders of all failure domains, and the state of this node's own one.
 #[derive(Debug, Default)]
@@ -46,9 +46,9 @@
     version: Cell<u64>,
     /// Whether this failure domain ever had a lender, in which case a new one starts with empty
     /// buckets.
-    was_seen: Cell<bool>,
+    had_lender: Cell<bool>,
     /// Since when this failure domain is known to have no lender.
-    missing_since: Cell<Option<Instant>>,
+    no_lender_since: Cell<Option<Instant>>,
 }
 
 #[derive(Debug)]
@@ -56,27 +56,27 @@
     lender: Lender,
     ownership: Ownership,
     /// Whether the store watch has delivered the lender's key.
-    is_watched: bool,
+    is_key_seen: bool,
     /// When the buckets are reset to empty, because until then another lender may have filled the
     /// same ones.
     begins_anew_at: Option<Duration>,
 }
 
-impl Knowledge {
+impl ControlState {
     /// Applies a lender's key from the store.
-    pub(crate) fn take_lender(&self, domain: &str, record: &OwnerRecord, revision: Revision) {
+    pub(crate) fn apply_lender_key(&self, domain: &str, record: &OwnerRecord, revision: Revision) {
         let domain = FailureDomain::from(domain);
         if domain == self.settings.failure_domain {
-            self.lending.was_seen.set(true);
+            self.lending.had_lender.set(true);
             let mut own = self.lending.own.borrow_mut();
             let is_lapsed = own.as_ref().is_some_and(|own| own.ownership.is_lapsed());
-            let is_own_of_copy = is_lapsed && record.node == self.settings.node;
+            let is_own_restored_key = is_lapsed && record.node == self.settings.node;
             let claim = own.as_ref().map(|own| own.ownership.claim());
-            if claim.is_some_and(|claim| claim < *revision) && !is_own_of_copy {
+            if claim.is_some_and(|claim| claim < *revision) && !is_own_restored_key {
                 drop(own);
                 self.release_lender("another claim was written");
             } else if let Some(own) = own.as_mut().filter(|_| claim == Some(*revision)) {
-                own.is_watched = true;
+                own.is_key_seen = true;
             }
         }
         let owner = Owner {
@@ -88,9 +88,9 @@
     }
 
     /// Applies the removal of a lender's key.
-    pub(crate) fn forget_lender(&self, domain: &str) {
+    pub(crate) fn remove_lender_key(&self, domain: &str) {
         self.lending.lenders.borrow_mut().remove(domain);
-        if *domain == **self.settings.failure_domain && !self.has_lapsed_lender() {
+        if *domain == **self.settings.failure_domain && !self.has_lost_lender_claim() {
             self.release_lender("the key was removed");
         }
     }
@@ -124,7 +124,7 @@
     /// that it is still the lender.
     pub(crate) fn confirm_lender(&self, asked: Duration) {
         let mut own = self.lending.own.borrow_mut();
-        if let Some(own) = own.as_mut().filter(|own| own.is_watched) {
+        if let Some(own) = own.as_mut().filter(|own| own.is_key_seen) {
             own.ownership.confirm(asked);
         }
     }
@@ -133,7 +133,7 @@
     ///
     /// The buckets start only once this node may lend. If they were filled while the previous
     /// lender may still lend, the same tokens would exist twice.
-    pub(crate) fn refresh_quotas(&self) {
+    pub(crate) fn apply_quotas(&self) {
         let table = self.table.borrow();
         let Some(table) = table.as_ref() else {
             return;
@@ -158,7 +158,7 @@
     }
 
     /// Updates the gauges of the remaining quotas.
-    pub(crate) fn measure_quotas(&self) {
+    pub(crate) fn update_quota_gauges(&self) {
         let mut own = self.lending.own.borrow_mut();
         let levels = own.as_mut().map(|own| own.lender.levels(boot_time()));
         for (team, tokens) in levels.into_iter().flatten() {
@@ -166,14 +166,14 @@
         }
     }
 
-    /// Handles a message about quotas; replies and further messages are passed to `send`.
-    pub(crate) fn take_quota_message(
+    /// Handles a message about quotas; answers and further messages are passed to `send`.
+    pub(crate) fn handle_quota_message(
         &self,
         message: QuotaMessage,
         sender: SocketAddr,
         send: impl Fn(QuotaMessage, SocketAddr),
     ) {
-        self.refresh_quotas();
+        self.apply_quotas();
         let mut own = self.lending.own.borrow_mut();
         let now = boot_time();
         // A node that gets no answer asks another lender.
@@ -217,16 +217,16 @@
 
     /// Records that the lender's claim was lost when the store was restored from an older copy.
     /// Returns whether this node was the lender.
-    pub(crate) fn lapse_lender(&self, now: Duration) -> bool {
+    pub(crate) fn lose_lender_claim(&self, now: Duration) -> bool {
         let mut own = self.lending.own.borrow_mut();
         if let Some(own) = own.as_mut() {
             own.ownership.lapse(now);
-            own.is_watched = false;
+            own.is_key_seen = false;
         }
         own.is_some()
     }
 
-    fn has_lapsed_lender(&self) -> bool {
+    fn has_lost_lender_claim(&self) -> bool {
         let own = self.lending.own.borrow();
         own.as_ref().is_some_and(|own| own.ownership.is_lapsed())
     }
@@ -246,7 +246,7 @@
 
     /// Whether this node should be the lender: the failure domain's last node by id, as the first
     /// ones already read the store for the others.
-    fn is_to_lend(&self) -> bool {
+    fn is_preferred_lender(&self) -> bool {
         let nodes = self.nodes.borrow();
         let here = &self.settings.failure_domain;
         let near = nodes.values().filter(|node| node.failure_domain == *here);
@@ -255,32 +255,32 @@
     }
 
     /// The revision at which this node is to claim the lender's key now, if at all. A key of an
-    /// earlier process of this node is claimed again at once, any other only if `may_be_new`.
-    fn lender_to_claim(&self, may_be_new: bool) -> Option<Revision> {
+    /// earlier process of this node is claimed again at once, any other only if `may_claim_new`.
+    fn revision_to_claim(&self, may_claim_new: bool) -> Option<Revision> {
         let lenders = self.lending.lenders.borrow();
         let lender = lenders.get(&self.settings.failure_domain);
         if let Some(owner) = lender {
-            self.lending.missing_since.set(None);
-            let is_own_before = owner.node == self.settings.node;
-            return is_own_before.then_some(owner.revision);
+            self.lending.no_lender_since.set(None);
+            let is_of_earlier_process = owner.node == self.settings.node;
+            return is_of_earlier_process.then_some(owner.revision);
         }
-        if self.has_lapsed_lender() {
+        if self.has_lost_lender_claim() {
             return Some(Revision::NONE);
         }
-        if !may_be_new {
+        if !may_claim_new {
             return None;
         }
         let now = Instant::now();
-        let since = self.lending.missing_since.get().unwrap_or(now);
-        self.lending.missing_since.set(Some(since));
-        let is_late = now.duration_since(since) > CLAIM_PATIENCE;
-        (is_late || self.is_to_lend()).then_some(Revision::NONE)
+        let since = self.lending.no_lender_since.get().unwrap_or(now);
+        self.lending.no_lender_since.set(Some(since));
+        let is_late = now.duration_since(since) > CLAIM_DELAY;
+        (is_late || self.is_preferred_lender()).then_some(Revision::NONE)
     }
 }
 
 impl OwnLender {
     /// Records that the key, lost when the store was restored, was written again.
-    fn retake(&mut self, revision: Revision, asked_at: Duration, now: Duration) {
+    fn reclaim(&mut self, revision: Revision, asked_at: Duration, now: Duration) {
         self.ownership = self.ownership.retaken(*revision, RULES, asked_at, now);
         self.begins_anew_at = self.ownership.begins_anew_at(now);
     }
@@ -291,22 +291,22 @@
 }
 
 /// Claims the lender's key if this node should be the lender.
-pub(crate) async fn claim_lender(knowledge: &Knowledge, may_be_new: bool) {
-    let is_lender = knowledge.lending.own.borrow().is_some();
-    if (is_lender && !knowledge.has_lapsed_lender()) || !knowledge.has_quotas() {
+pub(crate) async fn claim_lender(control: &ControlState, may_claim_new: bool) {
+    let is_lender = control.lending.own.borrow().is_some();
+    if (is_lender && !control.has_lost_lender_claim()) || !control.has_quotas() {
         return;
     }
-    let Some(before) = knowledge.lender_to_claim(may_be_new) else {
+    let Some(before) = control.revision_to_claim(may_claim_new) else {
         return;
     };
-    let key = format!("{LENDER_PREFIX}{}", knowledge.settings.failure_domain);
-    let lease = knowledge.lease.get();
-    let first_fill = first_fill(knowledge, before);
-    let predecessor = predecessor(knowledge, before, first_fill);
+    let key = format!("{LENDER_PREFIX}{}", control.settings.failure_domain);
+    let lease = control.lease.get();
+    let first_fill = first_fill(control, before);
+    let predecessor = predecessor(control, before, first_fill);
     let record = OwnerRecord {
-        node: knowledge.settings.node.clone(),
+        node: control.settings.node.clone(),
         lease,
-        waits: OwnerWait::for_next(knowledge, predecessor, RULES),
+        waits: OwnerWait::for_successor(control, predecessor, RULES),
     };
     let txn = Txn {
         expects: vec![Expect {
@@ -323,68 +323,68 @@
     let asked_at = boot_time();
     // If the claim was written despite an error, the watch shows it as one of an earlier process of
     // this node, and it is made again.
-    if let Ok(revision) = knowledge.store.commit(txn).await {
+    if let Ok(revision) = control.store.commit(txn).await {
         let owner = Owner {
             node: record.node,
             revision,
             waits: record.waits,
         };
-        take_over(knowledge, owner, predecessor, first_fill, asked_at);
+        record_lender_claim(control, owner, predecessor, first_fill, asked_at);
     }
 }
 
-fn take_over(
-    knowledge: &Knowledge,
+fn record_lender_claim(
+    control: &ControlState,
     owner: Owner,
     predecessor: Predecessor,
     first_fill: FirstFill,
     asked_at: Duration,
 ) {
     let (revision, now) = (owner.revision, boot_time());
-    let lending = &knowledge.lending;
-    lending.was_seen.set(true);
+    let lending = &control.lending;
+    lending.had_lender.set(true);
     let mut own = lending.own.borrow_mut();
     match own.as_mut() {
-        Some(own) if predecessor == Predecessor::Another => own.retake(revision, asked_at, now),
+        Some(own) if predecessor == Predecessor::Another => own.reclaim(revision, asked_at, now),
         _ => {
             *own = Some(OwnLender {
-                lender: knowledge.new_lender(first_fill),
+                lender: control.new_lender(first_fill),
                 ownership: Ownership::taken(*revision, predecessor, RULES, asked_at, now),
-                is_watched: false,
+                is_key_seen: false,
                 begins_anew_at: None,
             });
             lending.version.set(0);
         }
     }
     drop(own);
-    knowledge.refresh_quotas();
-    let domain = knowledge.settings.failure_domain.clone();
+    control.apply_quotas();
+    let domain = control.settings.failure_domain.clone();
     lending.lenders.borrow_mut().insert(domain, owner);
-    knowledge.publish();
+    control.publish();
     log_event!(
-        knowledge.log, Event::LenderTaken,
+        control.log, Event::LenderTaken,
         "revision" => revision.to_string(), "first_fill" => format!("{first_fill:?}")
     );
 }
 
 /// Buckets start full only if no earlier lender can have filled them.
-fn first_fill(knowledge: &Knowledge, before: Revision) -> FirstFill {
-    let was_seen = knowledge.lending.was_seen.get();
-    match before == Revision::NONE && knowledge.is_first_claim() && !was_seen {
+fn first_fill(control: &ControlState, before: Revision) -> FirstFill {
+    let had_lender = control.lending.had_lender.get();
+    match before == Revision::NONE && control.is_first_claim() && !had_lender {
         true => FirstFill::Full,
         false => FirstFill::Empty,
     }
 }
 
 /// Which lender may still lend when the key at revision `before` is replaced.
-fn predecessor(knowledge: &Knowledge, before: Revision, first_fill: FirstFill) -> Predecessor {
+fn predecessor(control: &ControlState, before: Revision, first_fill: FirstFill) -> Predecessor {
     if first_fill == FirstFill::Full {
         return Predecessor::None;
     }
-    if before == Revision::NONE || !knowledge.eras.is_settled() {
+    if before == Revision::NONE || !control.eras.is_settled() {
         return Predecessor::Another;
     }
-    let lenders = knowledge.lending.lenders.borrow();
-    let lender = lenders.get(&knowledge.settings.failure_domain);
-    predecessor_of_own(knowledge, lender.and_then(|lender| lender.waits.as_ref()))
+    let lenders = control.lending.lenders.borrow();
+    let lender = lenders.get(&control.settings.failure_domain);
+    predecessor_of_own(control, lender.and_then(|lender| lender.waits.as_ref()))
 }
--- a/crates/relay-node/src/control/limit_news.rs
+++ b/crates/relay-node/src/control/limit_gossip.rs
@@ -6,33 +6,36 @@
 use nutmegsail_base::UpstreamId;
 use nutmegsail_relay::LimitTold;
 
-use super::knowledge::Knowledge;
-use super::suspect_news::{others, some_others};
+use super::control_state::ControlState;
+use super::suspect_gossip::{other_nodes, random_nodes};
 
 /// Limits per datagram, at some 40 bytes each.
-const TOLD_AT_ONCE: usize = 20;
+const LIMITS_PER_DATAGRAM: usize = 20;
 
 /// How often all limits are sent to a few random nodes, for nodes that started or were reachable
 /// only later.
-const STANDING_INTERVAL: Duration = Duration::from_secs(1);
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Which changes of limits this node has sent.
 #[derive(Debug, Default)]
-pub(crate) struct LimitNews {
+pub(crate) struct LimitGossip {
     /// The number of changes that were sent.
     changes: u64,
     own_changes: u64,
-    told: Option<Instant>,
+    resent_at: Option<Instant>,
 }
 
-impl LimitNews {
+impl LimitGossip {
     /// The messages to send now, with their addresses.
     ///
     /// The node that learns of a limit first sends it to the node that grants the upstream's turns,
     /// which sends it to all others.
-    pub(super) fn turn(&mut self, knowledge: &Knowledge) -> Vec<(Vec<LimitTold>, SocketAddr)> {
+    pub(super) fn next_messages(
+        &mut self,
+        control: &ControlState,
+    ) -> Vec<(Vec<LimitTold>, SocketAddr)> {
         let now = Instant::now();
-        let limits = knowledge.shared.limits();
+        let limits = control.shared.limits();
         let (changes, own_changes) = (limits.changes(), limits.own_changes());
         let known = limits.told(now);
         drop(limits);
@@ -40,48 +43,48 @@
         let is_own = std::mem::replace(&mut self.own_changes, own_changes) != own_changes;
         if has_changed {
             // Which node grants turns depends on the limits.
-            knowledge.publish();
+            control.publish();
         }
         let mut messages = Vec::new();
-        let me = knowledge.settings.nodes_address;
-        let handing = knowledge.slot_nodes();
+        let me = control.settings.nodes_address;
+        let issuers = control.slot_nodes();
         for limit in known.iter().filter(|_| has_changed) {
-            let to = match handing.get(&limit.upstream) {
-                Some(node) if *node == me => others(knowledge),
+            let to = match issuers.get(&limit.upstream) {
+                Some(node) if *node == me => other_nodes(control),
                 Some(node) if is_own => vec![*node],
                 // Once a limit has ended, no node grants turns for it.
-                None if is_own => others(knowledge),
+                None if is_own => other_nodes(control),
                 _ => Vec::new(),
             };
             messages.extend(to.into_iter().map(|to| (vec![limit.clone()], to)));
         }
         let is_due = self
-            .told
-            .is_none_or(|told| now.duration_since(told) >= STANDING_INTERVAL);
+            .resent_at
+            .is_none_or(|at| now.duration_since(at) >= RESEND_INTERVAL);
         if is_due && !known.is_empty() {
-            self.told = Some(now);
-            let some = some_others(knowledge);
-            let parts = known.chunks(TOLD_AT_ONCE);
-            messages.extend(parts.flat_map(|part| some.iter().map(|to| (part.to_vec(), *to))));
+            self.resent_at = Some(now);
+            let nodes = random_nodes(control);
+            let parts = known.chunks(LIMITS_PER_DATAGRAM);
+            messages.extend(parts.flat_map(|part| nodes.iter().map(|to| (part.to_vec(), *to))));
         }
         messages
     }
 }
 
-impl Knowledge {
+impl ControlState {
     /// Applies limits that another node sent.
-    pub(crate) fn take_limits(&self, told: &[LimitTold]) {
+    pub(crate) fn apply_limits(&self, received: &[LimitTold]) {
         let (mut limits, now) = (self.shared.limits(), Instant::now());
-        for told in told
+        for limit in received
             .iter()
-            .filter(|told| self.upstream(&told.upstream).is_some())
+            .filter(|limit| self.upstream(&limit.upstream).is_some())
         {
-            limits.take(told, now);
+            limits.take(limit, now);
         }
     }
 
     /// Drops the limits and notices of upstreams that are no longer listed.
-    pub(crate) fn forget_unlisted(&self) {
+    pub(crate) fn drop_unlisted_notices(&self) {
         let now = Instant::now();
         let is_listed = |upstream: &UpstreamId| self.upstream(upstream).is_some();
         self.shared.limits().forget(is_listed, now);
--- a/crates/relay-node/src/control/load_board.rs
+++ b/crates/relay-node/src/control/load_aggregator.rs
@@ -18,12 +18,12 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
+use super::control_state::ControlState;
 use super::engine_load::EngineLoad;
-use super::knowledge::Knowledge;
 use crate::shared::EngineNews;
 
 /// How long a load is passed on after it was reported; an owner sends ten reports in this time.
-const LOAD_LIFE: Duration = Duration::from_millis(1_000);
+const LOAD_LIFETIME: Duration = Duration::from_millis(1_000);
 
 /// A short hash that replaces an engine's id in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
 
 /// The loads of some engines.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct LoadPage {
+pub(crate) struct LoadBatch {
     loads: Vec<(EngineDigest, EngineLoad)>,
     /// The sender's last contacts with each failure domain; sent only within its own domain.
     domains: Vec<DomainAge>,
@@ -46,7 +46,7 @@
     pub(super) load_ms: Option<f32>,
 }
 
-impl LoadPage {
+impl LoadBatch {
     fn of(loads: Vec<(EngineDigest, EngineLoad)>) -> Self {
         Self {
             loads,
@@ -58,158 +58,159 @@
 
 /// A load and when it was received.
 #[derive(Clone, Debug)]
-struct Gathered {
+struct ReceivedLoad {
     load: EngineLoad,
     came: Instant,
     /// Whether the load came from an owner of this failure domain, this node included.
-    is_near: bool,
+    is_local: bool,
     /// Whether the load was received since the last interval.
     is_new: bool,
 }
 
 /// The loads that this node has received and passes on.
 #[derive(Debug, Default)]
-pub(crate) struct LoadBoard {
-    loads: HashMap<EngineDigest, Gathered>,
-    resting: RestFilter<EngineDigest>,
-    far: FarNews<EngineDigest>,
+pub(crate) struct LoadAggregator {
+    loads: HashMap<EngineDigest, ReceivedLoad>,
+    idle_filter: RestFilter<EngineDigest>,
+    remote_filter: FarNews<EngineDigest>,
 }
 
-impl LoadBoard {
+impl LoadAggregator {
     /// The messages to send now, with their addresses, including the loads of this node's `own`
     /// engines.
-    pub(crate) fn turn(
+    pub(crate) fn next_messages(
         &mut self,
-        knowledge: &Knowledge,
+        control: &ControlState,
         own: Vec<(UpstreamId, EngineLoad)>,
-    ) -> Vec<(LoadPage, SocketAddr)> {
+    ) -> Vec<(LoadBatch, SocketAddr)> {
         let own = own.into_iter();
         let own: Vec<_> = own
             .map(|(engine, load)| (EngineDigest::of(&engine), load))
             .collect();
-        let Some((_, gatherer)) = knowledge.reader() else {
-            return self.pass_on(knowledge, own);
+        let Some((_, aggregating_node)) = control.reader() else {
+            return self.aggregate(control, own);
         };
         // Only an aggregating node keeps the loads that it received.
         self.loads.clear();
         match own.is_empty() {
             true => Vec::new(),
-            false => vec![(LoadPage::of(own), gatherer)],
+            false => vec![(LoadBatch::of(own), aggregating_node)],
         }
     }
 
-    fn pass_on(
+    fn aggregate(
         &mut self,
-        knowledge: &Knowledge,
+        control: &ControlState,
         own: Vec<(EngineDigest, EngineLoad)>,
-    ) -> Vec<(LoadPage, SocketAddr)> {
+    ) -> Vec<(LoadBatch, SocketAddr)> {
         let now = Instant::now();
         self.loads
-            .retain(|_, gathered| now.duration_since(gathered.came) < LOAD_LIFE);
+            .retain(|_, received| now.duration_since(received.came) < LOAD_LIFETIME);
         for (engine, load) in own {
             self.put(engine, load, true);
         }
         let known = self.loads.iter();
-        let known = known.map(|(engine, gathered)| (*engine, gathered.load.is_at_rest()));
-        let news = self.resting.turn(known);
+        let known = known.map(|(engine, received)| (*engine, received.load.is_idle()));
+        let news = self.idle_filter.turn(known);
         let near = news.iter().filter_map(|engine| {
-            let gathered = self.loads.get(engine)?;
-            gathered
-                .is_near
-                .then_some((*engine, gathered.load.in_flight))
+            let received = self.loads.get(engine)?;
+            received
+                .is_local
+                .then_some((*engine, received.load.in_flight))
         });
         let near: Vec<_> = near.collect();
-        let to_far = self.far.turn(near);
-        let near = self.page(&to_far, |gathered| gathered.is_near);
-        let mut all = self.page(&news, |gathered| gathered.is_near || gathered.is_new);
-        for gathered in self.loads.values_mut() {
-            gathered.is_new = false;
+        let to_far = self.remote_filter.turn(near);
+        let near = self.batch(&to_far, |received| received.is_local);
+        let mut all = self.batch(&news, |received| received.is_local || received.is_new);
+        for received in self.loads.values_mut() {
+            received.is_new = false;
         }
-        all.domains = knowledge.domains_heard.borrow().ages(now);
-        let nodes = knowledge.nodes.borrow();
-        let here = &knowledge.settings.failure_domain;
-        let me = &knowledge.settings.node;
+        all.domains = control.domain_contacts.borrow().ages(now);
+        let nodes = control.nodes.borrow();
+        let here = &control.settings.failure_domain;
+        let me = &control.settings.node;
         let others = nodes.values().filter(|node| node.node != *me);
-        let (beside, far): (Vec<&NodeRecord>, Vec<&NodeRecord>) =
+        let (local_nodes, far): (Vec<&NodeRecord>, Vec<&NodeRecord>) =
             others.partition(|node| node.failure_domain == *here);
-        let mut sends: Vec<(LoadPage, SocketAddr)> = beside
+        let mut sends: Vec<(LoadBatch, SocketAddr)> = local_nodes
             .iter()
             .map(|node| (all.clone(), node.address))
             .collect();
         if !to_far.is_empty() {
-            let gatherers = readers_by_domain(far)
+            let aggregators = readers_by_domain(far)
                 .into_values()
                 .filter_map(|nodes| nodes.into_iter().next());
-            sends.extend(gatherers.map(|node| (near.clone(), node.address)));
+            sends.extend(aggregators.map(|node| (near.clone(), node.address)));
         }
         sends
     }
 
-    fn put(&mut self, engine: EngineDigest, load: EngineLoad, is_near: bool) {
-        let gathered = Gathered {
+    fn put(&mut self, engine: EngineDigest, load: EngineLoad, is_local: bool) {
+        let received = ReceivedLoad {
             load,
             came: Instant::now(),
-            is_near,
+            is_local,
             is_new: true,
         };
-        self.loads.insert(engine, gathered);
+        self.loads.insert(engine, received);
     }
 
     /// The loads of those of `engines` for which `is_in` returns true.
-    fn page(&self, engines: &[EngineDigest], is_in: impl Fn(&Gathered) -> bool) -> LoadPage {
+    fn batch(&self, engines: &[EngineDigest], is_in: impl Fn(&ReceivedLoad) -> bool) -> LoadBatch {
         let loads = engines.iter().filter_map(|engine| {
-            let gathered = self.loads.get(engine)?;
-            is_in(gathered).then(|| (*engine, gathered.load.clone()))
+            let received = self.loads.get(engine)?;
+            is_in(received).then(|| (*engine, received.load.clone()))
         });
-        LoadPage::of(loads.collect())
+        LoadBatch::of(loads.collect())
     }
 
     /// Applies loads that an owner or an aggregating node sent.
-    pub(crate) fn take(&mut self, knowledge: &Knowledge, page: LoadPage) {
-        knowledge.take_domains(&page.domains);
-        if let Some(load_ms) = page.load_ms {
-            knowledge.take_load_time(load_ms);
+    pub(crate) fn apply(&mut self, control: &ControlState, batch: LoadBatch) {
+        control.apply_domain_contacts(&batch.domains);
+        if let Some(load_ms) = batch.load_ms {
+            control.apply_load_time(load_ms);
         }
-        let upstreams = knowledge.upstreams.borrow();
+        let upstreams = control.upstreams.borrow();
         let known: HashMap<EngineDigest, &UpstreamId> = upstreams
             .keys()
             .map(|id| (EngineDigest::of(id), id))
             .collect();
-        for (engine, load) in page.loads {
+        for (engine, load) in batch.loads {
             let Some(id) = known.get(&engine) else {
                 continue;
             };
-            let here = &knowledge.settings.failure_domain;
-            let is_near = upstreams
+            let here = &control.settings.failure_domain;
+            let is_local = upstreams
                 .get(*id)
                 .is_some_and(|upstream| upstream.failure_domain == *here);
-            self.put(engine, load.clone(), is_near);
-            take_load(knowledge, id, load);
+            self.put(engine, load.clone(), is_local);
+            publish_load(control, id, load);
         }
     }
 }
 
 /// Passes a load on to the traffic thread, unless the engine's owner reports to this node itself.
-fn take_load(knowledge: &Knowledge, engine: &UpstreamId, load: EngineLoad) {
-    if knowledge.owned(engine).is_some() || knowledge.is_told_by_owner(engine) {
+fn publish_load(control: &ControlState, engine: &UpstreamId, load: EngineLoad) {
+    if control.owned(engine).is_some() || control.has_recent_owner_report(engine) {
         return;
     }
-    knowledge.note_transfers(engine, load.transfers);
+    control.record_transfers(engine, load.transfers);
     if let Some(host) = load.host.clone() {
-        knowledge.note_hosted(engine, host);
+        control.record_host_report(engine, host);
     }
     // Aggregated messages contain the holdings' version number, but not the holdings.
-    let is_known = load.change > 0 && load.change == knowledge.known_change(engine);
+    let is_known = load.holdings_version > 0
+        && load.holdings_version == control.known_holdings_version(engine);
     let holdings = match is_known {
         true => HoldingsTold::Unchanged,
         false => HoldingsTold::Untold,
     };
     // The aggregated load includes this node's own requests; subtract them.
-    let mine = knowledge.shared.uses.peek(engine);
+    let own_usage = control.shared.uses.peek(engine);
     let mut report = load.into_report();
-    report.in_flight_of_others = report.in_flight_of_others.saturating_sub(mine.0);
-    report.unread_tokens_of_others = report.unread_tokens_of_others.saturating_sub(mine.1);
-    knowledge.shared.news.put(EngineNews {
+    report.in_flight_of_others = report.in_flight_of_others.saturating_sub(own_usage.0);
+    report.unread_tokens_of_others = report.unread_tokens_of_others.saturating_sub(own_usage.1);
+    control.shared.news.put(EngineNews {
         engine: engine.clone(),
         report,
         holdings,
--- a/crates/relay-node/src/control/loader.rs
+++ b/crates/relay-node/src/control/loader.rs
@@ -13,39 +13,39 @@
 use tokio::task::spawn_local;
 use xxhash_rust::xxh3::xxh3_64;
 
+use super::control_state::{ControlState, Owner};
 use super::exchange::FULL_EXCHANGE_NODES;
-use super::knowledge::{Knowledge, Owner};
 use super::load_failure::LoadFailure;
-use super::owner_loads::load_here;
-use super::peers::LoadAsk;
+use super::owner_loads::load_into_owned;
+use super::peers::OwnerLoadRequest;
 use crate::shared::{Loaded, Want, Wanted};
 
 /// Engines whose expected waits differ by less than this many load times rank equal. With a smaller
 /// step, nodes whose state differs slightly would choose different engines and load one adapter
 /// twice.
-const ABOUT_AS_SOON_LOADS: f64 = 1.2;
+const WAIT_STEP_LOADS: f64 = 1.2;
 
 /// The number of engines tried for one adapter.
-const ENGINES_TRIED: usize = 4;
+const MAX_ENGINES_TRIED: usize = 4;
 
 /// How long after its last message an owner counts as reachable: five exchange intervals, so that a
 /// few lost datagrams don't matter but an owner behind a partition soon gets no more requests.
-const HEARD_SPAN: Duration = Duration::from_millis(500);
+const REACHABLE_TIME: Duration = Duration::from_millis(500);
 
 /// Timeout for a load request to an owner, longer than a load may take there. After an earlier
 /// timeout the load would still go on, and a second engine would load the adapter too.
-const ASK_LIMIT: Duration = Duration::from_millis(3_200);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(3_200);
 
 /// The minimum time between two copies of one adapter. A copy takes 250 ms, and its effect on the
 /// queues shows some time later.
 const COPY_INTERVAL: Duration = Duration::from_millis(600);
 
-type Waiting = HashMap<Wanted, Vec<oneshot::Sender<Loaded>>>;
+type PendingRequests = HashMap<Wanted, Vec<oneshot::Sender<Loaded>>>;
 
 /// Loads adapters into engines on behalf of the traffic thread.
 pub(crate) struct Loader {
-    pub(crate) knowledge: Rc<Knowledge>,
-    waiting: RefCell<Waiting>,
+    pub(crate) control: Rc<ControlState>,
+    waiting: RefCell<PendingRequests>,
     /// When copies of each adapter were last started.
     last_copies: RefCell<HashMap<ModelRef, Instant>>,
 }
@@ -53,23 +53,23 @@
 /// Serves load requests of the traffic thread until its channel closes.
 pub(crate) async fn serve(loader: Rc<Loader>, mut wants: mpsc::Receiver<Want>) {
     while let Some(want) = wants.recv().await {
-        loader.take(want);
+        loader.start_or_join(want);
     }
 }
 
 impl Loader {
-    pub(crate) fn new(knowledge: Rc<Knowledge>) -> Self {
+    pub(crate) fn new(control: Rc<ControlState>) -> Self {
         Self {
-            knowledge,
+            control,
             waiting: RefCell::default(),
             last_copies: RefCell::default(),
         }
     }
 
     /// Starts a load, or joins one for the same adapter that is in progress.
-    fn take(self: &Rc<Self>, want: Want) {
+    fn start_or_join(self: &Rc<Self>, want: Want) {
         if want.copies > 1 || want.ready.is_closed() {
-            return self.bring_copies(want);
+            return self.start_copies(want);
         }
         let key = want.wanted.clone();
         if let Some(waiting) = self.waiting.borrow_mut().get_mut(&key) {
@@ -81,7 +81,9 @@
             .insert(key.clone(), vec![want.ready]);
         let this = Rc::clone(self);
         spawn_local(async move {
-            let loaded = this.bring(&want.wanted, want.engines).await;
+            let loaded = this
+                .load_at_first_available(&want.wanted, want.engines)
+                .await;
             let waiting = this.waiting.borrow_mut().remove(&key);
             for ready in waiting.into_iter().flatten() {
                 // The receiver may have given up.
@@ -91,7 +93,7 @@
     }
 
     /// Starts loading copies that no request waits for.
-    fn bring_copies(self: &Rc<Self>, want: Want) {
+    fn start_copies(self: &Rc<Self>, want: Want) {
         let mut last_copies = self.last_copies.borrow_mut();
         last_copies.retain(|_, at| at.elapsed() < COPY_INTERVAL);
         let wanted = want.wanted;
@@ -99,32 +101,34 @@
             return;
         }
         last_copies.insert(wanted.model.clone(), Instant::now());
-        let ranked = self.ranked(&wanted.model, want.engines);
+        let ranked = self.rank_engines(&wanted.model, want.engines);
         for place in ranked.into_iter().take(want.copies) {
             let (this, wanted) = (Rc::clone(self), wanted.clone());
-            spawn_local(async move { this.bring(&wanted, vec![place]).await });
+            spawn_local(async move { this.load_at_first_available(&wanted, vec![place]).await });
         }
     }
 
-    async fn bring(&self, wanted: &Wanted, engines: Vec<LoadPlace>) -> Loaded {
-        let ranked = self.ranked(&wanted.model, engines);
-        for place in ranked.into_iter().take(ENGINES_TRIED) {
+    async fn load_at_first_available(&self, wanted: &Wanted, engines: Vec<LoadPlace>) -> Loaded {
+        let ranked = self.rank_engines(&wanted.model, engines);
+        for place in ranked.into_iter().take(MAX_ENGINES_TRIED) {
             let engine = &place.engine;
-            let loaded = match self.knowledge.owned(engine) {
-                Some(owned) => load_here(&self.knowledge, &owned, wanted, place.is_recent).await,
-                None => self.ask_owner(&place, wanted).await,
+            let loaded = match self.control.owned(engine) {
+                Some(owned) => {
+                    load_into_owned(&self.control, &owned, wanted, place.is_recent).await
+                }
+                None => self.load_through_owner(&place, wanted).await,
             };
             match loaded {
                 Ok(holdings) => return Some((place.engine, holdings)),
                 Err(failure) => {
-                    let is_left = failure == LoadFailure::from(LoadRefusal::LeftToMisses);
-                    self.knowledge.shared.metrics.load(failure.to_string());
+                    let is_store_busy = failure == LoadFailure::from(LoadRefusal::LeftToMisses);
+                    self.control.shared.metrics.load(failure.to_string());
                     log_event!(
-                        self.knowledge.log, Event::LoadFailed,
+                        self.control.log, Event::LoadFailed,
                         "upstream" => engine.to_string(), "model" => wanted.model.to_string(),
                         "version" => wanted.version, "why" => failure.to_string()
                     );
-                    if is_left {
+                    if is_store_busy {
                         // The weight store is shared, so no other engine could load it sooner.
                         return None;
                     }
@@ -139,14 +143,14 @@
     /// Two nodes may miss the same adapter at the same time, before either learns of the other's
     /// load. Engines with about the same expected wait are therefore ordered by a hash that all
     /// nodes compute alike, so that both nodes ask the same owner, which loads the adapter once.
-    fn ranked(&self, model: &ModelRef, mut engines: Vec<LoadPlace>) -> Vec<LoadPlace> {
+    fn rank_engines(&self, model: &ModelRef, mut engines: Vec<LoadPlace>) -> Vec<LoadPlace> {
         engines.retain(|place| self.is_reachable(&place.engine));
-        let least_ms = engines.iter().map(|place| place.wait_ms);
-        let least_ms = least_ms.fold(f64::INFINITY, f64::min);
-        let load = self.knowledge.load_times.get().usual(0.0);
-        let step_ms = load.as_secs_f64() * 1_000.0 * ABOUT_AS_SOON_LOADS;
+        let min_ms = engines.iter().map(|place| place.wait_ms);
+        let min_ms = min_ms.fold(f64::INFINITY, f64::min);
+        let load = self.control.load_times.get().usual(0.0);
+        let step_ms = load.as_secs_f64() * 1_000.0 * WAIT_STEP_LOADS;
         engines.sort_by_cached_key(|place| {
-            let steps = ((place.wait_ms - least_ms) / step_ms) as u64;
+            let steps = ((place.wait_ms - min_ms) / step_ms) as u64;
             let hash = xxh3_64(format!("{model} {}", place.engine).as_bytes());
             (steps, hash)
         });
@@ -155,32 +159,41 @@
 
     /// Whether this node owns the engine or can reach its owner.
     fn is_reachable(&self, engine: &UpstreamId) -> bool {
-        let owners = self.knowledge.owners.borrow();
-        let nodes = self.knowledge.nodes.borrow();
-        let heard = self.knowledge.heard.borrow();
+        let owners = self.control.owners.borrow();
+        let nodes = self.control.nodes.borrow();
+        let contacts = self.control.last_contacts.borrow();
         // In a large fleet a node hears only from owners of engines that it uses; the others may
         // still answer.
-        let tells_all = nodes.len() <= FULL_EXCHANGE_NODES;
-        let is_heard = |node: &NodeId| heard.get(node).is_some_and(|at| at.elapsed() < HEARD_SPAN);
+        let hears_all_owners = nodes.len() <= FULL_EXCHANGE_NODES;
+        let has_recent_contact = |node: &NodeId| {
+            contacts
+                .get(node)
+                .is_some_and(|at| at.elapsed() < REACHABLE_TIME)
+        };
         let is_known = |owner: &Owner| {
-            nodes.contains_key(&owner.node) && (!tells_all || is_heard(&owner.node))
+            nodes.contains_key(&owner.node)
+                && (!hears_all_owners || has_recent_contact(&owner.node))
         };
-        self.knowledge.owned(engine).is_some() || owners.get(engine).is_some_and(is_known)
+        self.control.owned(engine).is_some() || owners.get(engine).is_some_and(is_known)
     }
 
-    async fn ask_owner(&self, place: &LoadPlace, wanted: &Wanted) -> Result<Holdings, LoadFailure> {
+    async fn load_through_owner(
+        &self,
+        place: &LoadPlace,
+        wanted: &Wanted,
+    ) -> Result<Holdings, LoadFailure> {
         let address = self.owner_address(&place.engine);
         let address = address.ok_or(LoadFailure::NoOwnerAnswer)?;
-        let ask = LoadAsk {
+        let request = OwnerLoadRequest {
             engine: place.engine.clone(),
             wanted: wanted.clone(),
             is_recent: place.is_recent,
         };
-        ask.send(&self.knowledge, address, ASK_LIMIT).await
+        request.send(&self.control, address, OWNER_TIMEOUT).await
     }
 
     fn owner_address(&self, engine: &UpstreamId) -> Option<SocketAddr> {
-        let owner = self.knowledge.owners.borrow().get(engine)?.node.clone();
-        Some(self.knowledge.nodes.borrow().get(&owner)?.address)
+        let owner = self.control.owners.borrow().get(engine)?.node.clone();
+        Some(self.control.nodes.borrow().get(&owner)?.address)
     }
 }
--- a/crates/relay-node/src/control/mod.rs
+++ b/crates/relay-node/src/control/mod.rs
@@ -5,20 +5,19 @@
 mod change_log;
 mod claims;
 mod confirmation;
+mod control_state;
 mod engine;
 mod engine_load;
 mod engine_models;
 mod eras;
 mod exchange;
-mod follow_loads;
-mod keeper;
-mod knowledge;
-mod leaving_news;
+mod leaving_gossip;
 mod lending;
-mod limit_news;
-mod load_board;
+mod limit_gossip;
+mod load_aggregator;
 mod load_failure;
 mod loader;
+mod maintenance;
 mod model_demand;
 mod operators_watch;
 mod orders;
@@ -27,11 +26,12 @@
 mod owner_record;
 mod owners;
 mod peers;
-mod reading;
+mod poll_loads;
 mod returning_nodes;
-mod shown_text;
 mod slots;
-mod suspect_news;
+mod store_reader;
+mod stored_config;
+mod suspect_gossip;
 mod upstreams_watch;
 mod watch;
 
@@ -51,13 +51,13 @@
 use crate::clock::boot_time;
 use crate::shared::{Shared, Want};
 use crate::{Dialect, RelaySettings};
+use control_state::ControlState;
 pub(crate) use exchange::{parse_traffic_message, traffic_datagram};
-use knowledge::Knowledge;
 use loader::Loader;
-use operators_watch::OperatorsFollower;
-use owners::OwnersFollower;
-use upstreams_watch::UpstreamsFollower;
-use watch::Follower;
+use operators_watch::OperatorsWatcher;
+use owners::OwnersWatcher;
+use upstreams_watch::UpstreamsWatcher;
+use watch::Watcher;
 
 /// What the control thread is started with.
 pub(crate) struct ControlParts {
@@ -77,42 +77,42 @@
 
 /// Runs all tasks until the thread is stopped, then releases the node's lease.
 pub(crate) async fn run(parts: ControlParts) {
-    let knowledge = Rc::new(Knowledge::new(&parts));
-    let loader = Rc::new(Loader::new(Rc::clone(&knowledge)));
-    spawn_local(watch_store(Rc::clone(&knowledge)));
-    spawn_local(watch_stalls(Rc::clone(&knowledge)));
-    spawn_local(base_models::run(Rc::clone(&knowledge)));
-    let keeper = spawn_local(keeper::keep(Rc::clone(&knowledge)));
+    let control = Rc::new(ControlState::new(&parts));
+    let loader = Rc::new(Loader::new(Rc::clone(&control)));
+    spawn_local(watch_store(Rc::clone(&control)));
+    spawn_local(watch_stalls(Rc::clone(&control)));
+    spawn_local(base_models::run(Rc::clone(&control)));
+    let maintenance = spawn_local(maintenance::run(Rc::clone(&control)));
     spawn_local(peers::serve(parts.nodes, Rc::clone(&loader)));
-    spawn_local(exchange::run(Rc::clone(&knowledge), parts.datagrams));
+    spawn_local(exchange::run(Rc::clone(&control), parts.datagrams));
     spawn_local(loader::serve(loader, parts.wants));
     parts.stop.cancelled().await;
-    keeper.abort();
-    keeper::give_back(&knowledge).await;
+    maintenance.abort();
+    maintenance::release_lease(&control).await;
 }
 
-async fn watch_store(knowledge: Rc<Knowledge>) {
-    let followers: [Box<dyn Follower>; 3] = [
-        Box::new(OperatorsFollower(Rc::clone(&knowledge))),
-        Box::new(UpstreamsFollower::new(Rc::clone(&knowledge))),
-        Box::new(OwnersFollower(Rc::clone(&knowledge))),
+async fn watch_store(control: Rc<ControlState>) {
+    let watchers: [Box<dyn Watcher>; 3] = [
+        Box::new(OperatorsWatcher(Rc::clone(&control))),
+        Box::new(UpstreamsWatcher::new(Rc::clone(&control))),
+        Box::new(OwnersWatcher(Rc::clone(&control))),
     ];
-    watch::follow(&knowledge, &followers).await;
+    watch::run(&control, &watchers).await;
 }
 
 /// How often the control thread checks whether it was stalled.
 const STALL_INTERVAL: Duration = Duration::from_millis(250);
 
-async fn watch_stalls(knowledge: Rc<Knowledge>) {
+async fn watch_stalls(control: Rc<ControlState>) {
     let mut watch = StallWatch::new(STALL_INTERVAL, boot_time());
-    let mut looks = tokio::time::interval(STALL_INTERVAL);
-    looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut ticks = tokio::time::interval(STALL_INTERVAL);
+    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        looks.tick().await;
+        ticks.tick().await;
         if let Some(stalled) = watch.check(boot_time()) {
-            knowledge.shared.metrics.stalled(stalled);
-            knowledge.needs_suspects.set(true);
-            log_event!(knowledge.log, Event::NodeResumed, "stalled_ms" => stalled.as_millis());
+            control.shared.metrics.stalled(stalled);
+            control.needs_suspects.set(true);
+            log_event!(control.log, Event::NodeResumed, "stalled_ms" => stalled.as_millis());
         }
     }
 }
--- a/crates/relay-node/src/control/model_demand.rs
+++ b/crates/relay-node/src/control/model_demand.rs
@@ -14,7 +14,7 @@
 use nutmegsail_relay::{Demand, ModelDigest, readers_by_domain};
 use serde::{Deserialize, Serialize};
 
-use super::knowledge::Knowledge;
+use super::control_state::ControlState;
 
 /// The half-life of demand: long enough to cover some requests for a rarely used model, short
 /// enough that a model newly in demand shows within a second.
@@ -33,13 +33,13 @@
 
 /// Demand since the last message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct ModelsAsked {
+pub(crate) struct ModelDemandUpdate {
     scope: Scope,
     /// Engine time taken up by the requests for each model, in milliseconds.
     models: Vec<(ModelDigest, f32)>,
 }
 
-type Sums = HashMap<ModelDigest, f32>;
+type DemandSums = HashMap<ModelDigest, f32>;
 
 /// The demand for each base model.
 #[derive(Debug)]
@@ -47,17 +47,17 @@
     /// Demand from all nodes as far as reported, in milliseconds of engine time.
     demand: Demand<ModelDigest>,
     /// Demand from this failure domain that was not sent yet.
-    near: Sums,
+    near: DemandSums,
     /// Demand from the other failure domains that was not sent yet.
-    far: Sums,
+    far: DemandSums,
 }
 
 impl Default for ModelDemand {
     fn default() -> Self {
         Self {
             demand: Demand::new(HALF_LIFE),
-            near: Sums::new(),
-            far: Sums::new(),
+            near: DemandSums::new(),
+            far: DemandSums::new(),
         }
     }
 }
@@ -70,18 +70,18 @@
 
     /// The messages to send now, with their addresses, including `own` demand from this node's
     /// callers.
-    pub(crate) fn turn(
+    pub(crate) fn next_messages(
         &mut self,
-        knowledge: &Knowledge,
+        control: &ControlState,
         own: Vec<(ModelDigest, f32)>,
-    ) -> Vec<(ModelsAsked, SocketAddr)> {
-        if let Some((_, reader)) = knowledge.reader() {
+    ) -> Vec<(ModelDemandUpdate, SocketAddr)> {
+        if let Some((_, reader)) = control.reader() {
             self.near.clear();
             self.far.clear();
             let scope = Scope::Node;
             return match own.is_empty() {
                 true => Vec::new(),
-                false => vec![(ModelsAsked { scope, models: own }, reader)],
+                false => vec![(ModelDemandUpdate { scope, models: own }, reader)],
             };
         }
         add(&mut self.near, &own);
@@ -95,15 +95,16 @@
             return Vec::new();
         }
         self.count(&all);
-        let nodes = knowledge.nodes.borrow();
-        let (here, me) = (&knowledge.settings.failure_domain, &knowledge.settings.node);
+        let nodes = control.nodes.borrow();
+        let (here, me) = (&control.settings.failure_domain, &control.settings.node);
         let others = nodes.values().filter(|node| node.node != *me);
-        let (beside, far): (Vec<_>, Vec<_>) = others.partition(|node| node.failure_domain == *here);
-        let asked = |scope, models: &Vec<_>| ModelsAsked {
+        let (local_nodes, far): (Vec<_>, Vec<_>) =
+            others.partition(|node| node.failure_domain == *here);
+        let asked = |scope, models: &Vec<_>| ModelDemandUpdate {
             scope,
             models: models.clone(),
         };
-        let to_domain = beside.iter().map(|node| node.address);
+        let to_domain = local_nodes.iter().map(|node| node.address);
         let mut sends: Vec<_> = to_domain
             .map(|address| (asked(Scope::Fleet, &all), address))
             .collect();
@@ -116,11 +117,11 @@
     }
 
     /// Applies a message from a node in `domain`, received in the domain `here`.
-    pub(crate) fn take(
+    pub(crate) fn apply(
         &mut self,
         here: &FailureDomain,
         domain: &FailureDomain,
-        asked: &ModelsAsked,
+        asked: &ModelDemandUpdate,
     ) {
         match asked.scope {
             Scope::Node if domain == here => add(&mut self.near, &asked.models),
@@ -139,7 +140,7 @@
     }
 }
 
-fn add(sums: &mut Sums, models: &[(ModelDigest, f32)]) {
+fn add(sums: &mut DemandSums, models: &[(ModelDigest, f32)]) {
     for (model, engine_ms) in models {
         *sums.entry(*model).or_default() += engine_ms;
     }
--- a/crates/relay-node/src/control/operators_watch.rs
+++ b/crates/relay-node/src/control/operators_watch.rs
@@ -7,37 +7,37 @@
 use nutmegsail_store::{Change, Item};
 use nutmegsail_telemetry::{Event, log_event};
 
-use super::knowledge::Knowledge;
-use super::watch::Follower;
+use super::control_state::ControlState;
+use super::watch::Watcher;
 
 /// Applies changes of the configuration and of model versions.
-pub(crate) struct OperatorsFollower(pub(crate) Rc<Knowledge>);
+pub(crate) struct OperatorsWatcher(pub(crate) Rc<ControlState>);
 
-impl OperatorsFollower {
-    fn take(&self, item: &Item) {
+impl OperatorsWatcher {
+    fn apply(&self, item: &Item) {
         let dialect = &self.0.dialect;
         if *item.key == *dialect.configuration_key() {
-            self.take_configuration(item);
+            self.apply_configuration(item);
             return;
         }
         match dialect.decode_version(&item.key, &item.value) {
             Ok(Some(named)) => {
                 let mut versions = self.0.versions.borrow_mut();
                 let known = versions.name(named.model.clone(), named.version, Instant::now());
-                let shown = &self.0.shown;
-                shown.note_version(&named.model, named.version, known);
+                let stored_config = &self.0.stored_config;
+                stored_config.record_version(&named.model, named.version, known);
             }
             Ok(None) => {}
             Err(error) => self.log_rejected(&item.key, &error.to_string()),
         }
     }
 
-    fn take_configuration(&self, item: &Item) {
+    fn apply_configuration(&self, item: &Item) {
         let table = match self.0.dialect.decode_configuration(&item.value) {
             Ok(table) => table,
             Err(error) => return self.log_rejected(&item.key, &error.to_string()),
         };
-        self.0.shown.note_configuration(table.version);
+        self.0.stored_config.record_configuration(table.version);
         let mut known = self.0.table.borrow_mut();
         // A lagging read, or a store that was restored from an older copy, may show an older
         // version. A configuration that was accepted must not be reverted, so the older one is
@@ -66,22 +66,24 @@
     }
 }
 
-impl Follower for OperatorsFollower {
+impl Watcher for OperatorsWatcher {
     fn prefix(&self) -> &str {
         self.0.dialect.operators_prefix()
     }
 
-    fn whole(&self, items: &[&Item]) {
-        self.0.shown.begin_whole(&self.0.versions.borrow());
+    fn on_snapshot(&self, items: &[&Item]) {
+        self.0
+            .stored_config
+            .begin_snapshot(&self.0.versions.borrow());
         for item in items {
-            self.take(item);
+            self.apply(item);
         }
     }
 
-    fn changes(&self, changes: &[&Change]) {
+    fn on_changes(&self, changes: &[&Change]) {
         for change in changes {
             if let Change::Put(item) = change {
-                self.take(item);
+                self.apply(item);
             }
         }
     }
--- a/crates/relay-node/src/control/orders.rs
+++ b/crates/relay-node/src/control/orders.rs
@@ -11,8 +11,8 @@
 use tokio::time::timeout;
 
 use super::confirmation::confirm;
-use super::engine::{Coming, OwnedEngine, Reliance};
-use super::knowledge::Knowledge;
+use super::control_state::ControlState;
+use super::engine::{EarlyUse, OwnedEngine, PendingLoad};
 use super::owners;
 use crate::clock::boot_time;
 use crate::{EngineCall, EngineState, Order, OrderAnswer, OrderStep};
@@ -22,11 +22,11 @@
 /// harmless.
 const CALL_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The largest accepted response body, in bytes.
+/// The largest accepted answer body, in bytes.
 const BODY_LIMIT_BYTES: usize = 1024 * 1024;
 
-impl Knowledge {
-    /// Sends a request; returns `None` if no complete response arrives within `limit`.
+impl ControlState {
+    /// Sends a request; returns `None` if no complete answer arrives within `limit`.
     pub(crate) async fn call(
         &self,
         address: &str,
@@ -52,16 +52,16 @@
         let call = self.dialect.write_report_call(&upstream.name);
         let address = upstream.address.to_string();
         let answer = self.call(&address, to_request(call)?, CALL_TIMEOUT).await?;
-        let own = self
+        let notice = self
             .dialect
             .read_own_word(answer.status(), answer.headers());
         if answer.status() == StatusCode::MISDIRECTED_REQUEST {
             // The engine's process ended and another one uses its address, with other holdings.
-            self.forget_engine(&engine.id);
+            self.drop_ended_engine(&engine.id);
             return None;
         }
         if answer.status() != StatusCode::OK {
-            self.note_engine_word(&engine.id, own);
+            self.apply_engine_notice(&engine.id, notice);
             return None;
         }
         let report = match self.dialect.decode_report(answer.body()) {
@@ -74,70 +74,76 @@
                 return None;
             }
         };
-        let is_same = report.started_ms.is_none() || report.started_ms == upstream.started_ms;
-        if !is_same {
+        let is_same_process =
+            report.started_ms.is_none() || report.started_ms == upstream.started_ms;
+        if !is_same_process {
             // The engine was restarted under the same name, with other holdings.
-            self.forget_engine(&engine.id);
+            self.drop_ended_engine(&engine.id);
             return None;
         }
-        self.note_engine_word(&engine.id, own);
-        for load in engine.reported(&report) {
-            self.shared.metrics.load_done(load.since.elapsed());
+        self.apply_engine_notice(&engine.id, notice);
+        for load in engine.apply_report(&report) {
+            self.shared.metrics.load_done(load.accepted_at.elapsed());
             if load.is_transfer() {
-                self.note_load_time(&load);
+                self.update_load_times(&load);
             }
             log_event!(
                 self.log, Event::LoadFinished,
                 "upstream" => engine.id.to_string(), "model" => load.model.to_string(),
-                "took_ms" => load.since.elapsed().as_millis()
+                "took_ms" => load.accepted_at.elapsed().as_millis()
             );
         }
         Some(report)
     }
 
     /// Drops an engine whose process has ended, before the list of upstreams shows it.
-    fn forget_engine(&self, engine: &UpstreamId) {
-        owners::lose(self, engine, "another process has its address");
+    fn drop_ended_engine(&self, engine: &UpstreamId) {
+        owners::disown(self, engine, "another process has its address");
         self.upstreams.borrow_mut().remove(engine);
         self.publish();
     }
 
     /// Updates the load time estimate with the time from the order to the report that confirmed it.
-    fn note_load_time(&self, load: &Coming) {
+    fn update_load_times(&self, load: &PendingLoad) {
         let mut times = self.load_times.get();
-        times.note(load.since.elapsed(), self.under_way_for(load));
+        times.note(load.accepted_at.elapsed(), self.average_loads_during(load));
         self.load_times.set(times);
     }
 
     /// Records that requests were sent for an adapter whose load should be finished, or that one
     /// was returned unserved, and updates the load time estimate.
-    pub(crate) fn note_reliance(&self, engine: &OwnedEngine, model: &ModelRef, reliance: Reliance) {
-        let Some(load) = engine.note_reliance(model, reliance) else {
+    pub(crate) fn record_early_use(
+        &self,
+        engine: &OwnedEngine,
+        model: &ModelRef,
+        early_use: EarlyUse,
+    ) {
+        let Some(load) = engine.record_early_use(model, early_use) else {
             return;
         };
         let mut times = self.load_times.get();
         if !load.is_transfer() {
             return;
         }
-        match reliance {
-            Reliance::None => {}
-            Reliance::Relied => times.note_relied(),
-            Reliance::TooEarly => times.note_early(),
+        match early_use {
+            EarlyUse::None => {}
+            EarlyUse::Sent => times.note_relied(),
+            EarlyUse::ReturnedUnserved => times.note_early(),
         }
         self.load_times.set(times);
     }
 
     /// The average number of loads from the weight store in progress over all engines during
     /// `load`.
-    fn under_way_for(&self, load: &Coming) -> f64 {
-        (load.under_way + self.loads_under_way()) / 2.0
+    fn average_loads_during(&self, load: &PendingLoad) -> f64 {
+        (load.loads_in_progress + self.loads_in_progress()) / 2.0
     }
 
     /// When `load` is expected to be finished.
-    pub(crate) fn expected_at(&self, load: &Coming) -> Instant {
-        load.since
-            + match load.load {
-                LoadKind::FromStore => self.load_times.get().usual(self.under_way_for(load)),
+    pub(crate) fn expected_finish(&self, load: &PendingLoad) -> Instant {
+        load.accepted_at
+            + match load.kind {
+                LoadKind::FromStore => self.load_times.get().usual(self.average_loads_during(load)),
                 LoadKind::Recent => self.load_times.get().recent(),
             }
     }
@@ -146,7 +152,7 @@
     ///
     /// The store may have removed the owner key without this node noticing, so an old confirmation
     /// is renewed first.
-    pub(crate) async fn permit(&self, engine: &OwnedEngine) -> Option<u64> {
+    pub(crate) async fn order_fencing_token(&self, engine: &OwnedEngine) -> Option<u64> {
         if !self.is_to_stay(&engine.id) || self.is_resting(&engine.id) {
             return None;
         }
@@ -187,10 +193,10 @@
         if let Some(answer) = &answer
             && answer.status() != StatusCode::MISDIRECTED_REQUEST
         {
-            let own = self
+            let notice = self
                 .dialect
                 .read_own_word(answer.status(), answer.headers());
-            self.note_engine_word(&engine.id, own);
+            self.apply_engine_notice(&engine.id, notice);
         }
         let answer = answer.and_then(|answer| self.dialect.read_order_answer(answer.status()));
         log_event!(
@@ -199,7 +205,7 @@
             "expected" => expected_seq, "fence" => fence, "answer" => format!("{answer:?}")
         );
         if matches!(answer, None | Some(OrderAnswer::Conflict)) {
-            engine.doubt();
+            engine.forget_order_seq();
         }
         answer
     }
--- a/crates/relay-node/src/control/owner_concerns.rs
+++ b/crates/relay-node/src/control/owner_concerns.rs
@@ -6,13 +6,13 @@
 use nutmegsail_relay::{ConcernChange, NodeRecord, OwnersNow, OwnershipConcern};
 use nutmegsail_telemetry::{Event, log_event};
 
-use super::claims::{engines_in_use, owners_of};
-use super::knowledge::Knowledge;
+use super::claims::{owners_of, serving_engines};
+use super::control_state::ControlState;
 
-impl Knowledge {
+impl ControlState {
     /// Checks the owners of engines, and reports problems that have lasted for a while.
-    pub(crate) fn look_at_owners(&self) {
-        let engines = engines_in_use(self);
+    pub(crate) fn check_owners(&self) {
+        let engines = serving_engines(self);
         let engines: Vec<_> = engines.iter().map(|engine| &**engine).collect();
         let nodes: Vec<NodeRecord> = self.nodes.borrow().values().cloned().collect();
         let owners: HashMap<_, _> = owners_of(self, &engines);
@@ -22,13 +22,13 @@
             engines: &engines,
             owners: &owners,
         };
-        let changes = self.owners_watch.borrow_mut().look(seen, Instant::now());
+        let changes = self.ownership_watch.borrow_mut().look(seen, Instant::now());
         for change in changes {
-            self.tell_concern(&change);
+            self.report_concern(&change);
         }
     }
 
-    fn tell_concern(&self, change: &ConcernChange) {
+    fn report_concern(&self, change: &ConcernChange) {
         let (concern, event, is_on) = match change {
             ConcernChange::Began(concern) => (concern, Event::OwnersUneven, true),
             ConcernChange::Ended(concern) => (concern, Event::OwnersEven, false),
--- a/crates/relay-node/src/control/owner_record.rs
+++ b/crates/relay-node/src/control/owner_record.rs
@@ -8,11 +8,11 @@
 use nutmegsail_store::LeaseId;
 use serde::{Deserialize, Serialize};
 
-use super::knowledge::Knowledge;
+use super::control_state::ControlState;
 use crate::clock::boot_time;
 
 /// The longest time that a claim may take to reach the store.
-const CLAIM_TRAVEL: Duration = Duration::from_secs(2);
+const MAX_CLAIM_DELAY: Duration = Duration::from_secs(2);
 
 /// The stored value of an owner's or lender's key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,8 +37,8 @@
 
 impl OwnerWait {
     /// What a process that takes over from `predecessor` leaves for its own successor.
-    pub(super) fn for_next(
-        knowledge: &Knowledge,
+    pub(super) fn for_successor(
+        control: &ControlState,
         predecessor: Predecessor,
         rules: OwnershipRules,
     ) -> Option<Self> {
@@ -46,10 +46,10 @@
         let until = match predecessor {
             Predecessor::None => return None,
             Predecessor::Own { waits_until } => waits_until,
-            Predecessor::Another => now + CLAIM_TRAVEL + rules.wait(),
+            Predecessor::Another => now + MAX_CLAIM_DELAY + rules.wait(),
         };
         (until > now).then(|| Self {
-            boot: Arc::clone(&knowledge.boot),
+            boot: Arc::clone(&control.boot),
             until_ms: u64::try_from(until.as_millis()).unwrap_or(u64::MAX),
         })
     }
@@ -57,10 +57,10 @@
 
 /// Who may still have orders in transit if an earlier process of this node held the key and left
 /// `waits`.
-pub(super) fn predecessor_of_own(knowledge: &Knowledge, waits: Option<&OwnerWait>) -> Predecessor {
+pub(super) fn predecessor_of_own(control: &ControlState, waits: Option<&OwnerWait>) -> Predecessor {
     match waits {
         None => Predecessor::None,
-        Some(waits) if waits.boot == knowledge.boot => Predecessor::Own {
+        Some(waits) if waits.boot == control.boot => Predecessor::Own {
             waits_until: Duration::from_millis(waits.until_ms),
         },
         Some(_) => Predecessor::Another,
--- a/crates/relay-node/src/control/owners.rs
+++ b/crates/relay-node/src/control/owners.rs
@@ -10,11 +10,11 @@
 use nutmegsail_telemetry::{Event, log_event};
 use serde::Serialize;
 
-use super::eras::MARK_KEY;
-use super::knowledge::{Knowledge, Owner};
+use super::control_state::{ControlState, Owner};
+use super::eras::SETTLED_ERA_KEY;
 use super::lending::LENDER_PREFIX;
 use super::owner_record::OwnerRecord;
-use super::watch::Follower;
+use super::watch::Watcher;
 
 /// The prefix of all keys that nodes write.
 const PREFIX: &str = "nutmegsail/";
@@ -31,45 +31,45 @@
 }
 
 /// Applies changes of node, owner, lender and era keys.
-pub(crate) struct OwnersFollower(pub(crate) Rc<Knowledge>);
+pub(crate) struct OwnersWatcher(pub(crate) Rc<ControlState>);
 
-impl OwnersFollower {
-    fn take(&self, item: &Item) {
-        if *item.key == *MARK_KEY {
-            self.0.take_mark(item);
+impl OwnersWatcher {
+    fn apply(&self, item: &Item) {
+        if *item.key == *SETTLED_ERA_KEY {
+            self.0.apply_settled_era(item);
         } else if let Some(name) = item.key.strip_prefix(NODE_PREFIX) {
             match serde_json::from_slice::<NodeRecord>(&item.value) {
                 Ok(record) => {
-                    self.0.returning.note_listed(&name.into());
+                    self.0.returning.record_listed(&name.into());
                     self.0.nodes.borrow_mut().insert(name.into(), record);
                 }
                 Err(error) => self.log_unreadable(&item.key, &error),
             }
         } else if let Some(engine) = item.key.strip_prefix(OWNER_PREFIX) {
             match serde_json::from_slice::<OwnerRecord>(&item.value) {
-                Ok(record) => self.take_owner(engine.into(), &record, item.revision),
+                Ok(record) => self.apply_owner(engine.into(), &record, item.revision),
                 Err(error) => self.log_unreadable(&item.key, &error),
             }
         } else if let Some(domain) = item.key.strip_prefix(LENDER_PREFIX) {
             match serde_json::from_slice::<OwnerRecord>(&item.value) {
-                Ok(record) => self.0.take_lender(domain, &record, item.revision),
+                Ok(record) => self.0.apply_lender_key(domain, &record, item.revision),
                 Err(error) => self.log_unreadable(&item.key, &error),
             }
         }
     }
 
-    fn take_owner(&self, engine: UpstreamId, record: &OwnerRecord, revision: Revision) {
+    fn apply_owner(&self, engine: UpstreamId, record: &OwnerRecord, revision: Revision) {
         if let Some(owned) = self.0.owned(&engine) {
             let claim = owned.ownership.borrow().claim();
             if claim < *revision {
-                lose(&self.0, &engine, "another claim was written");
+                disown(&self.0, &engine, "another claim was written");
             } else if claim == *revision {
-                owned.is_watched.set(true);
+                owned.is_key_seen.set(true);
             }
         }
         if record.node != self.0.settings.node {
             self.0
-                .forget_lapsed(&engine, "another node claimed it anew");
+                .drop_lost_claim(&engine, "another node has claimed it");
         }
         let owner = Owner {
             node: record.node.clone(),
@@ -81,15 +81,15 @@
 
     fn remove(&self, key: &str) {
         if let Some(name) = key.strip_prefix(NODE_PREFIX) {
-            if !self.0.returning.note_missing(&name.into()) {
+            if !self.0.returning.record_missing(&name.into()) {
                 self.0.nodes.borrow_mut().remove(name);
             }
         } else if let Some(engine) = key.strip_prefix(OWNER_PREFIX) {
             let engine = UpstreamId::from(engine);
             self.0.owners.borrow_mut().remove(&engine);
-            lose(&self.0, &engine, "the key was removed");
+            disown(&self.0, &engine, "the key was removed");
         } else if let Some(domain) = key.strip_prefix(LENDER_PREFIX) {
-            self.0.forget_lender(domain);
+            self.0.remove_lender_key(domain);
         }
     }
 
@@ -101,13 +101,13 @@
     }
 }
 
-impl Follower for OwnersFollower {
+impl Watcher for OwnersWatcher {
     fn prefix(&self) -> &str {
         PREFIX
     }
 
-    fn whole(&self, items: &[&Item]) {
-        self.0.eras.begin_whole();
+    fn on_snapshot(&self, items: &[&Item]) {
+        self.0.eras.begin_snapshot();
         let listed: HashSet<&str> = items.iter().map(|item| &*item.key).collect();
         let nodes: Vec<NodeId> = self.0.nodes.borrow().keys().cloned().collect();
         let engines: Vec<UpstreamId> = self.0.owners.borrow().keys().cloned().collect();
@@ -120,14 +120,14 @@
             }
         }
         for item in items {
-            self.take(item);
+            self.apply(item);
         }
     }
 
-    fn changes(&self, changes: &[&Change]) {
+    fn on_changes(&self, changes: &[&Change]) {
         for change in changes {
             match change {
-                Change::Put(item) => self.take(item),
+                Change::Put(item) => self.apply(item),
                 Change::Removed { key, .. } => self.remove(key),
             }
         }
@@ -135,13 +135,13 @@
 }
 
 /// Stops owning an engine, without a call to the store.
-pub(crate) fn lose(knowledge: &Knowledge, engine: &UpstreamId, why: &str) {
+pub(crate) fn disown(control: &ControlState, engine: &UpstreamId, why: &str) {
     // If the store was restored from an older copy, this moves the engine to those that are claimed
     // again.
-    knowledge.check_era();
-    if knowledge.owned.borrow_mut().remove(engine).is_some() {
+    control.check_era();
+    if control.owned.borrow_mut().remove(engine).is_some() {
         log_event!(
-            knowledge.log, Event::EngineReleased,
+            control.log, Event::EngineReleased,
             "upstream" => engine.to_string(), "why" => why.to_owned()
         );
     }
--- a/crates/relay-node/src/control/peers.rs
+++ b/crates/relay-node/src/control/peers.rs
@@ -1,7 +1,7 @@
 //! HTTP requests between nodes: loads that an engine's owner carries out for other nodes, and store
 //! changes that a node reads for others.
 //!
-//! These requests have responses that the sender waits for, and it must notice when none will come,
+//! These requests have answers that the sender waits for, and it must notice when none will come,
 //! so they use pooled HTTP connections like all other calls.
 
 use std::convert::Infallible;
@@ -23,43 +23,43 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-use super::knowledge::Knowledge;
+use super::control_state::ControlState;
 use super::load_failure::LoadFailure;
 use super::loader::Loader;
-use super::owner_loads::load_here;
-use super::reading::CHANGES_PATH;
+use super::owner_loads::load_into_owned;
+use super::store_reader::CHANGES_PATH;
 use crate::shared::Wanted;
 
 /// The path of load requests.
 const LOADS_PATH: &str = "/loads";
 
 /// The largest accepted request body, in bytes.
-const ASK_LIMIT_BYTES: usize = 64 * 1024;
+const BODY_LIMIT_BYTES: usize = 64 * 1024;
 
 /// Asks an engine's owner to load an adapter into it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct LoadAsk {
+pub(crate) struct OwnerLoadRequest {
     pub(crate) engine: UpstreamId,
     pub(crate) wanted: Wanted,
     /// Whether the engine held the adapter a while ago, as far as the sender knows.
     pub(crate) is_recent: bool,
 }
 
-impl LoadAsk {
+impl OwnerLoadRequest {
     /// Sends the request; returns the engine's holdings once the adapter is loaded.
     pub(crate) async fn send(
         &self,
-        knowledge: &Knowledge,
+        control: &ControlState,
         owner: SocketAddr,
         limit: Duration,
     ) -> Result<Holdings, LoadFailure> {
-        let answer = self.call(knowledge, owner, limit).await;
+        let answer = self.call(control, owner, limit).await;
         answer.unwrap_or(Err(LoadFailure::NoOwnerAnswer))
     }
 
     async fn call(
         &self,
-        knowledge: &Knowledge,
+        control: &ControlState,
         owner: SocketAddr,
         limit: Duration,
     ) -> Option<Result<Holdings, LoadFailure>> {
@@ -67,7 +67,7 @@
         let request = Request::post(LOADS_PATH)
             .body(Full::new(Bytes::from(body)))
             .ok()?;
-        let answer = knowledge.call(&owner.to_string(), request, limit).await?;
+        let answer = control.call(&owner.to_string(), request, limit).await?;
         serde_json::from_slice(answer.body()).ok()
     }
 }
@@ -100,7 +100,7 @@
     let path = request.uri().path();
     let body = match path == LOADS_PATH {
         true => load(&loader, request).await,
-        false if path.starts_with(CHANGES_PATH) => loader.knowledge.tell_changes(path).await,
+        false if path.starts_with(CHANGES_PATH) => loader.control.serve_changes(path).await,
         false => Err(StatusCode::NOT_FOUND),
     };
     match body {
@@ -111,13 +111,21 @@
 }
 
 async fn load(loader: &Loader, request: Request<Incoming>) -> Result<Bytes, StatusCode> {
-    let body = Limited::new(request.into_body(), ASK_LIMIT_BYTES);
+    let body = Limited::new(request.into_body(), BODY_LIMIT_BYTES);
     let body = body.collect().await.map_err(|_| StatusCode::BAD_REQUEST)?;
-    let ask: LoadAsk =
+    let load_request: OwnerLoadRequest =
         serde_json::from_slice(&body.to_bytes()).map_err(|_| StatusCode::BAD_REQUEST)?;
-    loader.knowledge.count_demand(&ask.wanted.model, 1.0);
-    let loaded = match loader.knowledge.owned(&ask.engine) {
-        Some(engine) => load_here(&loader.knowledge, &engine, &ask.wanted, ask.is_recent).await,
+    loader.control.add_demand(&load_request.wanted.model, 1.0);
+    let loaded = match loader.control.owned(&load_request.engine) {
+        Some(engine) => {
+            load_into_owned(
+                &loader.control,
+                &engine,
+                &load_request.wanted,
+                load_request.is_recent,
+            )
+            .await
+        }
         None => Err(LoadFailure::NotOwned),
     };
     let body = serde_json::to_vec(&loaded).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?;
--- a/crates/relay-node/src/control/returning_nodes.rs
+++ b/crates/relay-node/src/control/returning_nodes.rs
@@ -7,7 +7,7 @@
 
 use nutmegsail_base::NodeId;
 
-use super::knowledge::Knowledge;
+use super::control_state::ControlState;
 
 /// How long nodes have to register again: three lease renewals.
 const RETURN_TIME: Duration = Duration::from_millis(3_600);
@@ -22,12 +22,12 @@
 
 impl ReturningNodes {
     /// Records that the store was restored from an older copy.
-    pub(crate) fn note_restored(&self) {
+    pub(crate) fn record_restored(&self) {
         self.restored.set(Some(Instant::now()));
     }
 
     /// Records that a node is no longer listed. Returns whether it is kept for now.
-    pub(crate) fn note_missing(&self, node: &NodeId) -> bool {
+    pub(crate) fn record_missing(&self, node: &NodeId) -> bool {
         let restored = self.restored.get();
         let is_kept = restored.is_some_and(|restored| restored.elapsed() < RETURN_TIME);
         if is_kept {
@@ -38,14 +38,14 @@
     }
 
     /// Records that a node is listed.
-    pub(crate) fn note_listed(&self, node: &NodeId) {
+    pub(crate) fn record_listed(&self, node: &NodeId) {
         self.missing.borrow_mut().remove(node);
     }
 }
 
-impl Knowledge {
+impl ControlState {
     /// Drops nodes that have not registered again in time.
-    pub(crate) fn forget_missing_nodes(&self) {
+    pub(crate) fn drop_missing_nodes(&self) {
         let mut missing = self.returning.missing.borrow_mut();
         missing.retain(|node, since| {
             let is_gone = since.elapsed() >= RETURN_TIME;
--- a/crates/relay-node/src/control/slots.rs
+++ b/crates/relay-node/src/control/slots.rs
@@ -11,11 +11,11 @@
 use nutmegsail_relay::{NodeRecord, SlotAnswer, SlotGate, Upstream};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::knowledge::Knowledge;
+use super::control_state::ControlState;
 use crate::traffic_message::{SlotAskId, SlotMessage};
 
 /// Above this many gates, idle ones are dropped.
-const IDLE_GATES: usize = 256;
+const GATES_CLEANUP_SIZE: usize = 256;
 
 type Gates = HashMap<UpstreamId, SlotGate<(SocketAddr, SlotAskId)>>;
 
@@ -29,12 +29,12 @@
     /// The gates of upstreams for which other nodes ask this one.
     gates: RefCell<Gates>,
     /// The node that grants the slots of each plain upstream.
-    nodes: RefCell<Arc<HashMap<UpstreamId, SocketAddr>>>,
-    /// The nodes from which `nodes` was computed.
-    known: RefCell<HashMap<NodeId, NodeRecord>>,
+    issuers: RefCell<Arc<HashMap<UpstreamId, SocketAddr>>>,
+    /// The nodes from which `issuers` was computed.
+    nodes_hashed: RefCell<HashMap<NodeId, NodeRecord>>,
 }
 
-impl Knowledge {
+impl ControlState {
     /// The node that grants the slots of each plain upstream and the turns at each rate-limited
     /// one.
     ///
@@ -44,11 +44,11 @@
         let upstreams = self.upstreams.borrow();
         let nodes = self.nodes.borrow();
         let slots = &self.slots;
-        let are_new = *slots.known.borrow() != *nodes;
-        if are_new {
-            slots.known.borrow_mut().clone_from(&nodes);
+        let have_nodes_changed = *slots.nodes_hashed.borrow() != *nodes;
+        if have_nodes_changed {
+            slots.nodes_hashed.borrow_mut().clone_from(&nodes);
         }
-        let before = Arc::clone(&slots.nodes.borrow());
+        let previous = Arc::clone(&slots.issuers.borrow());
         let limits = self.shared.limits();
         let gated = upstreams.values().filter(|upstream| {
             let is_limited = limits.per_s(&upstream.id).is_some();
@@ -57,13 +57,16 @@
         let found = gated.filter_map(|upstream| {
             // In a large fleet, hashing every node for every upstream at each change in the store
             // would cost more than the slots are worth.
-            let known = before.get(&upstream.id).filter(|_| !are_new).copied();
+            let known = previous
+                .get(&upstream.id)
+                .filter(|_| !have_nodes_changed)
+                .copied();
             let node = || slot_node(upstream, nodes.values()).map(|node| node.address);
             Some((upstream.id.clone(), known.or_else(node)?))
         });
         let found = Arc::new(found.collect());
         drop(limits);
-        slots.nodes.replace(Arc::clone(&found));
+        slots.issuers.replace(Arc::clone(&found));
         found
     }
 
@@ -73,7 +76,7 @@
     }
 
     /// Grants the turns that are due at rate-limited upstreams; the grants are passed to `send`.
-    pub(crate) fn turn_slots(&self, send: impl Fn(SlotMessage, SocketAddr)) {
+    pub(crate) fn grant_due_turns(&self, send: impl Fn(SlotMessage, SocketAddr)) {
         let (mut gates, now) = (self.slots.gates.borrow_mut(), Instant::now());
         let limits = self.shared.limits();
         for (upstream, gate) in gates.iter_mut() {
@@ -87,8 +90,8 @@
         }
     }
 
-    /// Handles a message about slots; replies are passed to `send`.
-    pub(crate) fn take_slot_message(
+    /// Handles a message about slots; answers are passed to `send`.
+    pub(crate) fn handle_slot_message(
         &self,
         message: SlotMessage,
         sender: SocketAddr,
@@ -116,7 +119,7 @@
                 }
                 let per_s = limits.per_s(&upstream);
                 drop(limits);
-                if gates.len() > IDLE_GATES {
+                if gates.len() > GATES_CLEANUP_SIZE {
                     gates.retain(|_, gate| !gate.is_idle());
                 }
                 let gate = gates.entry(upstream.clone());
@@ -169,8 +172,8 @@
     nodes: impl Iterator<Item = &'a NodeRecord>,
 ) -> Option<&'a NodeRecord> {
     nodes.max_by_key(|node| {
-        let is_near = node.failure_domain == upstream.failure_domain;
+        let is_local = node.failure_domain == upstream.failure_domain;
         let seed = xxh3_64_with_seed(upstream.id.as_bytes(), 0);
-        (is_near, xxh3_64_with_seed(node.node.as_bytes(), seed))
+        (is_local, xxh3_64_with_seed(node.node.as_bytes(), seed))
     })
 }
--- a/crates/relay-node/src/control/reading.rs
+++ b/crates/relay-node/src/control/store_reader.rs
@@ -12,8 +12,8 @@
 use nutmegsail_telemetry::{Event, log_event};
 use tokio::time::timeout;
 
-use super::change_log::{NotRead, ReadAt, ReadChanges};
-use super::knowledge::Knowledge;
+use super::change_log::{ReadAt, ReaderAnswer, ReaderError};
+use super::control_state::ControlState;
 use crate::clock::boot_time;
 
 /// The path at which a node serves the store's changes after a revision, given as era and number.
@@ -21,30 +21,30 @@
 
 /// How long a reader holds a request until the store answers: longer than its pause between two
 /// watches, and short enough that the next request comes while the answer is fresh.
-const HOLD: Duration = Duration::from_millis(750);
+const MAX_HOLD: Duration = Duration::from_millis(750);
 
 /// The longest time that a node waits for its reader.
 const READER_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// How old a node's state may become while it waits for its reader. The node then reads the store
 /// itself, within the 2 s during which a leaving upstream may still get requests.
-const KNOWN_FOR: Duration = Duration::from_millis(1_700);
+const MAX_STATE_AGE: Duration = Duration::from_millis(1_700);
 
 /// How long a reader that did not answer, or was behind, is skipped.
-const SILENT_FOR: Duration = Duration::from_millis(3_000);
+const SILENT_READER_PAUSE: Duration = Duration::from_millis(3_000);
 
-impl Knowledge {
+impl ControlState {
     /// Reads the changes after `after` from this node's reader. Returns `None` if this node has to
     /// read the store itself.
-    pub(crate) async fn changes_by_reader(
+    pub(crate) async fn read_through_reader(
         &self,
         after: Revision,
         known: ReadAt,
     ) -> Option<(Changes, ReadAt)> {
         let (reader, address) = self.reader()?;
         let asked = boot_time();
-        let left = (known.answered + KNOWN_FOR).saturating_sub(asked);
-        let read = self.ask_reader(address, after, left).await;
+        let time_left = (known.answered + MAX_STATE_AGE).saturating_sub(asked);
+        let read = self.query_reader(address, after, time_left).await;
         if read.is_none() {
             self.shared.metrics.reader_silent();
             log_event!(
@@ -73,7 +73,7 @@
     /// The node that reads the store for this one; `None` if this node reads it itself.
     pub(crate) fn reader(&self) -> Option<(NodeId, SocketAddr)> {
         let mut silent = self.silent_readers.borrow_mut();
-        silent.retain(|_, at| at.elapsed() < SILENT_FOR);
+        silent.retain(|_, at| at.elapsed() < SILENT_READER_PAUSE);
         let nodes = self.nodes.borrow();
         let settings = &self.settings;
         let is_silent = |node: &NodeId| silent.contains_key(node);
@@ -86,36 +86,40 @@
         Some((reader.node.clone(), reader.address))
     }
 
-    async fn ask_reader(
+    async fn query_reader(
         &self,
         reader: SocketAddr,
         after: Revision,
-        left: Duration,
-    ) -> Option<ReadChanges> {
+        time_left: Duration,
+    ) -> Option<ReaderAnswer> {
         let path = format!("{CHANGES_PATH}{}/{}", after.era(), after.number());
         let request = Request::get(path).body(Full::new(Bytes::new())).ok()?;
         let address = reader.to_string();
-        let limit = READER_TIMEOUT.min(left);
+        let limit = READER_TIMEOUT.min(time_left);
         let answer = self.call(&address, request, limit).await?;
-        let is_told = answer.status() == StatusCode::OK;
-        let read: ReadChanges = is_told.then(|| postcard::from_bytes(answer.body()).ok())??;
+        let is_ok = answer.status() == StatusCode::OK;
+        let read: ReaderAnswer = is_ok.then(|| postcard::from_bytes(answer.body()).ok())??;
         // A reader whose revision is older than `after` has read the store before this node did.
         (read.revision >= after).then_some(read)
     }
 
     /// Serves the changes after the revision in `path` to another node.
-    pub(crate) async fn tell_changes(&self, path: &str) -> Result<Bytes, StatusCode> {
-        let after = position(path).ok_or(StatusCode::BAD_REQUEST)?;
-        let came = boot_time();
-        // Respond only once the store has answered, so that the other node need not ask more often.
-        let hold = self.change_log.fresh_for().unwrap_or(HOLD).min(HOLD);
+    pub(crate) async fn serve_changes(&self, path: &str) -> Result<Bytes, StatusCode> {
+        let after = parse_revision(path).ok_or(StatusCode::BAD_REQUEST)?;
+        let received_at = boot_time();
+        // Answer only once the store has answered, so that the other node need not ask more often.
+        let hold = self
+            .change_log
+            .fresh_for()
+            .unwrap_or(MAX_HOLD)
+            .min(MAX_HOLD);
         let _ = timeout(hold, self.change_log.answered.notified()).await;
         let read = self
             .change_log
-            .after(after, came)
+            .after(after, received_at)
             .map_err(|why| match why {
-                NotRead::Behind => StatusCode::SERVICE_UNAVAILABLE,
-                NotRead::Forgotten => StatusCode::GONE,
+                ReaderError::Behind => StatusCode::SERVICE_UNAVAILABLE,
+                ReaderError::Dropped => StatusCode::GONE,
             })?;
         let bytes = postcard::to_stdvec(&read).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?;
         Ok(bytes.into())
@@ -123,7 +127,7 @@
 }
 
 /// Parses the revision in a path.
-fn position(path: &str) -> Option<Revision> {
+fn parse_revision(path: &str) -> Option<Revision> {
     let (era, number) = path.strip_prefix(CHANGES_PATH)?.split_once('/')?;
     Some(Revision::of(
         StoreEra(era.parse().ok()?),
--- a/crates/relay-node/src/control/shown_text.rs
+++ b/crates/relay-node/src/control/stored_config.rs
@@ -6,32 +6,32 @@
 
 use nutmegsail_relay::{ModelRef, TextKnown, Versions};
 
-use super::knowledge::Knowledge;
+use super::control_state::ControlState;
 
 /// The operators' configuration and model versions as the store shows them. They may be older than
 /// what this node knows after the store was restored from an older copy.
 #[derive(Debug, Default)]
-pub(crate) struct ShownText {
+pub(crate) struct StoredConfig {
     configuration: Cell<u64>,
     /// Models for which the store shows an older version than this node knows, or none.
     behind: RefCell<HashSet<ModelRef>>,
 }
 
-impl ShownText {
+impl StoredConfig {
     /// Called before all keys are read again.
-    pub(crate) fn begin_whole(&self, known: &Versions) {
+    pub(crate) fn begin_snapshot(&self, known: &Versions) {
         self.configuration.set(0);
         let known = known.latest().map(|(model, _)| model.clone());
         *self.behind.borrow_mut() = known.collect();
     }
 
     /// Records the version of the configuration that the store shows.
-    pub(crate) fn note_configuration(&self, version: u64) {
+    pub(crate) fn record_configuration(&self, version: u64) {
         self.configuration.set(version);
     }
 
     /// Records the version of `model` that the store shows; this node knows version `known`.
-    pub(crate) fn note_version(&self, model: &ModelRef, version: u64, known: u64) {
+    pub(crate) fn record_version(&self, model: &ModelRef, version: u64, known: u64) {
         let mut behind = self.behind.borrow_mut();
         match version < known {
             true => behind.insert(model.clone()),
@@ -46,10 +46,10 @@
     }
 }
 
-impl Knowledge {
+impl ControlState {
     /// The configuration and model versions that this node knows, as a summary to compare with
     /// other nodes.
-    pub(crate) fn text_known(&self) -> TextKnown {
+    pub(crate) fn config_known(&self) -> TextKnown {
         let versions = self.versions.borrow();
         TextKnown {
             configuration: self.configuration_version(),
--- a/crates/relay-node/src/control/upstreams_watch.rs
+++ b/crates/relay-node/src/control/upstreams_watch.rs
@@ -13,47 +13,47 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::knowledge::Knowledge;
-use super::watch::Follower;
+use super::control_state::ControlState;
+use super::watch::Watcher;
 
 /// How long an upstream is kept whose entry disappeared around an outage of the store. Entries
 /// expire while the store is unavailable, and return within some 2 s if the upstream is alive.
 const RETURN_TIME: Duration = Duration::from_millis(2_300);
 
 /// The number of unusable entries that are remembered, so that each is logged once.
-const REJECTED_LIMIT: usize = 256;
+const MAX_REJECTED: usize = 256;
 
 /// Applies changes of the list of upstreams.
-pub(crate) struct UpstreamsFollower {
-    knowledge: Rc<Knowledge>,
+pub(crate) struct UpstreamsWatcher {
+    control: Rc<ControlState>,
     listing: RefCell<Listing>,
     /// The revisions of unusable entries, by key.
     rejected: RefCell<HashMap<Arc<str>, Revision>>,
     /// When the store last failed to answer.
-    lost_at: Cell<Option<Instant>>,
+    store_failed_at: Cell<Option<Instant>>,
     /// Upstreams whose entries disappeared around an outage, and when they are dropped.
     missing: Rc<RefCell<HashMap<UpstreamId, Instant>>>,
 }
 
-impl UpstreamsFollower {
-    pub(crate) fn new(knowledge: Rc<Knowledge>) -> Self {
+impl UpstreamsWatcher {
+    pub(crate) fn new(control: Rc<ControlState>) -> Self {
         Self {
-            knowledge,
+            control,
             listing: RefCell::default(),
             rejected: RefCell::default(),
-            lost_at: Cell::new(None),
+            store_failed_at: Cell::new(None),
             missing: Rc::default(),
         }
     }
 
-    fn take(&self, item: &Item) {
-        let knowledge = &self.knowledge;
-        let entry = match knowledge.dialect.decode_upstream(&item.key, &item.value) {
+    fn apply(&self, item: &Item) {
+        let control = &self.control;
+        let entry = match control.dialect.decode_upstream(&item.key, &item.value) {
             Ok(entry) => entry,
             Err(error) => {
                 // The entry names no upstream, so the one that its key named before is no longer
                 // listed.
-                self.remove_name(self.name_of(&item.key).unwrap_or_default());
+                self.remove_named(self.name_of(&item.key).unwrap_or_default());
                 return self.reject(item, &error.problem);
             }
         };
@@ -62,25 +62,25 @@
             Ok(upstream) => upstream,
             Err(fault) => {
                 if fault == EntryFault::NoStart {
-                    self.remove_name(self.name_of(&item.key).unwrap_or_default());
+                    self.remove_named(self.name_of(&item.key).unwrap_or_default());
                 }
                 return self.reject(item, &fault.to_string());
             }
         };
-        let upstream = knowledge.with_own_word(upstream);
+        let upstream = control.with_own_notice(upstream);
         self.missing.borrow_mut().remove(&upstream.id);
         for started_before in self.ids_of(&upstream.name) {
             if started_before != upstream.id {
-                knowledge.upstreams.borrow_mut().remove(&started_before);
+                control.upstreams.borrow_mut().remove(&started_before);
             }
         }
-        let mut upstreams = knowledge.upstreams.borrow_mut();
+        let mut upstreams = control.upstreams.borrow_mut();
         let took_work = upstreams
             .get(&upstream.id)
             .is_some_and(|known| known.takes_work());
         if took_work && !upstream.takes_work() {
             log_event!(
-                knowledge.log, Event::UpstreamLeaving,
+                control.log, Event::UpstreamLeaving,
                 "upstream" => upstream.id.to_string(), "told_by" => "list"
             );
         }
@@ -90,19 +90,19 @@
     /// Logs an unusable entry, once for each revision.
     fn reject(&self, item: &Item, problem: &str) {
         let mut rejected = self.rejected.borrow_mut();
-        if rejected.len() >= REJECTED_LIMIT {
+        if rejected.len() >= MAX_REJECTED {
             rejected.clear();
         }
         if rejected.insert(Arc::clone(&item.key), item.revision) != Some(item.revision) {
             log_event!(
-                self.knowledge.log, Event::UpstreamEntryRejected,
+                self.control.log, Event::UpstreamEntryRejected,
                 "key" => item.key.to_string(), "revision" => item.revision.to_string(),
                 "problem" => problem.to_owned()
             );
         }
     }
 
-    fn remove_name(&self, name: &str) {
+    fn remove_named(&self, name: &str) {
         for id in self.ids_of(name) {
             self.remove(&id);
         }
@@ -111,66 +111,66 @@
     /// Handles the removal of an entry. Around an outage of the store the entry may only have
     /// expired.
     fn remove(&self, id: &UpstreamId) {
-        let lost_at = self.lost_at.get();
-        let is_doubtful = lost_at.is_some_and(|lost| lost.elapsed() < RETURN_TIME);
+        let store_failed_at = self.store_failed_at.get();
+        let may_have_expired = store_failed_at.is_some_and(|lost| lost.elapsed() < RETURN_TIME);
         let takes_work = |upstream: &Arc<Upstream>| upstream.takes_work();
-        let mut upstreams = self.knowledge.upstreams.borrow_mut();
-        if !is_doubtful || !upstreams.get(id).is_some_and(takes_work) {
+        let mut upstreams = self.control.upstreams.borrow_mut();
+        if !may_have_expired || !upstreams.get(id).is_some_and(takes_work) {
             upstreams.remove(id);
             return;
         }
-        let gone_at = Instant::now() + RETURN_TIME;
+        let drop_at = Instant::now() + RETURN_TIME;
         self.missing
             .borrow_mut()
             .entry(id.clone())
-            .or_insert(gone_at);
-        spawn_local(forget_missing(
-            Rc::clone(&self.knowledge),
+            .or_insert(drop_at);
+        spawn_local(drop_missing(
+            Rc::clone(&self.control),
             Rc::clone(&self.missing),
         ));
     }
 
     fn name_of<'a>(&self, key: &'a str) -> Option<&'a str> {
-        key.strip_prefix(self.knowledge.dialect.upstreams_prefix())
+        key.strip_prefix(self.control.dialect.upstreams_prefix())
     }
 
     /// The upstreams known under `name`, one for each start of its process.
     fn ids_of(&self, name: &str) -> Vec<UpstreamId> {
-        let upstreams = self.knowledge.upstreams.borrow();
-        let its = upstreams.values().filter(|known| &*known.name == name);
-        its.map(|known| known.id.clone()).collect()
+        let upstreams = self.control.upstreams.borrow();
+        let named = upstreams.values().filter(|known| &*known.name == name);
+        named.map(|known| known.id.clone()).collect()
     }
 }
 
 /// Drops upstreams whose entries have not returned in time.
-async fn forget_missing(
-    knowledge: Rc<Knowledge>,
+async fn drop_missing(
+    control: Rc<ControlState>,
     missing: Rc<RefCell<HashMap<UpstreamId, Instant>>>,
 ) {
     sleep(RETURN_TIME).await;
     let now = Instant::now();
-    missing.borrow_mut().retain(|id, gone_at| {
-        let is_gone = *gone_at <= now;
+    missing.borrow_mut().retain(|id, drop_at| {
+        let is_gone = *drop_at <= now;
         if is_gone {
-            knowledge.upstreams.borrow_mut().remove(id);
+            control.upstreams.borrow_mut().remove(id);
         }
         !is_gone
     });
-    knowledge.publish();
+    control.publish();
 }
 
-impl Follower for UpstreamsFollower {
+impl Watcher for UpstreamsWatcher {
     fn prefix(&self) -> &str {
-        self.knowledge.dialect.upstreams_prefix()
+        self.control.dialect.upstreams_prefix()
     }
 
-    fn whole(&self, items: &[&Item]) {
+    fn on_snapshot(&self, items: &[&Item]) {
         let listed: HashSet<&str> = items
             .iter()
             .filter_map(|item| self.name_of(&item.key))
             .collect();
         let known: Vec<Arc<Upstream>> = {
-            let upstreams = self.knowledge.upstreams.borrow();
+            let upstreams = self.control.upstreams.borrow();
             upstreams.values().cloned().collect()
         };
         let unlisted = known.iter().filter(|known| !listed.contains(&*known.name));
@@ -181,40 +181,40 @@
         listing.forget_old(|name| listed.contains(name), Instant::now());
         drop(listing);
         for item in items {
-            self.take(item);
+            self.apply(item);
         }
     }
 
     /// A heartbeat that changes nothing but its counter is not relevant.
-    fn is_news(&self, change: &Change) -> bool {
+    fn is_relevant(&self, change: &Change) -> bool {
         let Change::Put(item) = change else {
             return true;
         };
-        let knowledge = &self.knowledge;
+        let control = &self.control;
         // An entry that cannot be decoded is relevant, so that it is logged.
-        let decoded = knowledge.dialect.decode_upstream(&item.key, &item.value);
+        let decoded = control.dialect.decode_upstream(&item.key, &item.value);
         decoded.map_or(true, |entry| {
-            let known = knowledge.upstream(&entry.upstream.id);
+            let known = control.upstream(&entry.upstream.id);
             let is_missing = self.missing.borrow().contains_key(&entry.upstream.id);
-            let listed = knowledge.with_own_word(entry.upstream);
+            let listed = control.with_own_notice(entry.upstream);
             is_missing || known.is_none_or(|known| *known != listed)
         })
     }
 
-    fn changes(&self, changes: &[&Change]) {
+    fn on_changes(&self, changes: &[&Change]) {
         for change in changes {
             match change {
-                Change::Put(item) => self.take(item),
+                Change::Put(item) => self.apply(item),
                 Change::Removed { key, .. } => {
                     if let Some(name) = self.name_of(key) {
-                        self.remove_name(name);
+                        self.remove_named(name);
                     }
                 }
             }
         }
     }
 
-    fn lost(&self) {
-        self.lost_at.set(Some(Instant::now()));
+    fn on_unavailable(&self) {
+        self.store_failed_at.set(Some(Instant::now()));
     }
 }
--- a/crates/relay-node/src/control/watch.rs
+++ b/crates/relay-node/src/control/watch.rs
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 
 use super::change_log::ReadAt;
-use super::knowledge::Knowledge;
+use super::control_state::ControlState;
 use crate::clock::boot_time;
 
 /// The prefix of every key.
@@ -22,185 +22,186 @@
 
 /// How long one watch waits for a change. Upstreams write only what has changed, so in an idle
 /// system nothing arrives; the watch ends anyway, which shows that the connection still works.
-const WAIT: Duration = Duration::from_millis(500);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The pause between two watches. Every heartbeat is an event, so without a pause each would cost a
 /// call. The pause is limited because within 2 s a leaving upstream must get no new requests and a
 /// new configuration must be in force.
-const PAUSE: Duration = Duration::from_millis(600);
+const WATCH_PAUSE: Duration = Duration::from_millis(600);
 
 /// The number of watches that may fail in a row before all keys are read again, as events may have
 /// been lost.
-const FAILURES_LIMIT: u32 = 3;
+const MAX_FAILURES: u32 = 3;
 
 /// The largest number of pages read in one go, at 500 items each.
-const PAGES_LIMIT: usize = 200;
+const MAX_PAGES: usize = 200;
 
 /// Receives the items under a key prefix, and their changes.
-pub(crate) trait Follower {
+pub(crate) trait Watcher {
     /// The prefix of its keys.
     fn prefix(&self) -> &str;
     /// Receives all its items, after a start or when the store's history was lost.
-    fn whole(&self, items: &[&Item]);
+    fn on_snapshot(&self, items: &[&Item]);
     /// Whether a change of one of its keys is worth passing on.
-    fn is_news(&self, _change: &Change) -> bool {
+    fn is_relevant(&self, _change: &Change) -> bool {
         true
     }
     /// Receives changes, oldest first.
-    fn changes(&self, changes: &[&Change]);
+    fn on_changes(&self, changes: &[&Change]);
     /// Called when the store does not answer.
-    fn lost(&self) {}
+    fn on_unavailable(&self) {}
 }
 
 /// Follows the store forever.
-pub(crate) async fn follow(knowledge: &Knowledge, followers: &[Box<dyn Follower>]) {
-    let mut is_lost = false;
+pub(crate) async fn run(control: &ControlState, watchers: &[Box<dyn Watcher>]) {
+    let mut is_unavailable = false;
     loop {
         let asked = boot_time();
-        let read = read_all(knowledge, ALL_KEYS).await;
-        knowledge.check_era();
+        let read = read_all(control, ALL_KEYS).await;
+        control.check_era();
         match read {
             Ok((items, revision)) => {
                 let read_at = ReadAt::since(asked);
-                if std::mem::take(&mut is_lost) {
-                    log_event!(knowledge.log, Event::PlatformReturned, "revision" => revision.to_string());
+                if std::mem::take(&mut is_unavailable) {
+                    log_event!(control.log, Event::PlatformReturned, "revision" => revision.to_string());
                 }
-                knowledge.change_log.restart(revision, read_at);
-                tell_whole(knowledge, followers, &items);
-                knowledge.shared.note_news(asked);
-                let error = follow_changes(knowledge, followers, revision, read_at).await;
-                log_lost(knowledge, &error);
-                is_lost = true;
+                control.change_log.restart(revision, read_at);
+                dispatch_snapshot(control, watchers, &items);
+                control.shared.note_news(asked);
+                let error = follow_changes(control, watchers, revision, read_at).await;
+                log_unavailable(control, &error);
+                is_unavailable = true;
             }
             Err(error) => {
-                if !std::mem::replace(&mut is_lost, true) {
-                    log_lost(knowledge, &error);
+                if !std::mem::replace(&mut is_unavailable, true) {
+                    log_unavailable(control, &error);
                 }
-                followers.iter().for_each(|follower| follower.lost());
-                sleep(knowledge.store_pause()).await;
+                watchers.iter().for_each(|watcher| watcher.on_unavailable());
+                sleep(control.store_pause()).await;
             }
         }
     }
 }
 
-fn tell_whole(knowledge: &Knowledge, followers: &[Box<dyn Follower>], items: &[Item]) {
-    for follower in followers {
-        let is_its = |item: &&Item| item.key.starts_with(follower.prefix());
-        let items: Vec<&Item> = items.iter().filter(is_its).collect();
-        follower.whole(&items);
+fn dispatch_snapshot(control: &ControlState, watchers: &[Box<dyn Watcher>], items: &[Item]) {
+    for watcher in watchers {
+        let is_match = |item: &&Item| item.key.starts_with(watcher.prefix());
+        let items: Vec<&Item> = items.iter().filter(is_match).collect();
+        watcher.on_snapshot(&items);
     }
-    knowledge.publish();
+    control.publish();
 }
 
-fn tell_changes(knowledge: &Knowledge, followers: &[Box<dyn Follower>], changes: &[Change]) {
-    for follower in followers {
-        let is_its = |change: &&Change| change.key().starts_with(follower.prefix());
-        let changes: Vec<&Change> = changes.iter().filter(is_its).collect();
+fn dispatch_changes(control: &ControlState, watchers: &[Box<dyn Watcher>], changes: &[Change]) {
+    for watcher in watchers {
+        let is_match = |change: &&Change| change.key().starts_with(watcher.prefix());
+        let changes: Vec<&Change> = changes.iter().filter(is_match).collect();
         if !changes.is_empty() {
-            follower.changes(&changes);
+            watcher.on_changes(&changes);
         }
     }
-    knowledge.publish();
+    control.publish();
 }
 
 /// Drops changes that no watcher needs, which are most upstream heartbeats.
-fn keep_news(followers: &[Box<dyn Follower>], changes: &mut Vec<Change>) {
+fn drop_irrelevant(watchers: &[Box<dyn Watcher>], changes: &mut Vec<Change>) {
     changes.retain(|change| {
-        let mut followers = followers.iter();
-        followers
-            .any(|follower| change.key().starts_with(follower.prefix()) && follower.is_news(change))
+        let mut watchers = watchers.iter();
+        watchers.any(|watcher| {
+            change.key().starts_with(watcher.prefix()) && watcher.is_relevant(change)
+        })
     });
 }
 
 /// Follows the changes after `revision` until all keys have to be read again.
 async fn follow_changes(
-    knowledge: &Knowledge,
-    followers: &[Box<dyn Follower>],
+    control: &ControlState,
+    watchers: &[Box<dyn Watcher>],
     revision: Revision,
     mut read_at: ReadAt,
 ) -> KeyValueError {
     let mut after = revision;
     let mut failures = 0;
     loop {
-        if let Some((changes, at)) = knowledge.changes_by_reader(after, read_at).await {
+        if let Some((changes, at)) = control.read_through_reader(after, read_at).await {
             read_at = at;
-            note_reader_era(knowledge, followers, after, changes.revision);
-            take_changes(knowledge, followers, &mut after, &changes, read_at);
+            apply_reader_era(control, watchers, after, changes.revision);
+            apply_changes(control, watchers, &mut after, &changes, read_at);
             continue;
         }
         let asked = boot_time();
-        let watched = knowledge.store.watch(ALL_KEYS, after, WAIT).await;
-        knowledge.check_era();
+        let watched = control.store.watch(ALL_KEYS, after, WATCH_TIMEOUT).await;
+        control.check_era();
         match watched {
             Ok(mut changes) => {
                 failures = 0;
                 read_at = ReadAt::since(asked);
-                keep_news(followers, &mut changes.changes);
-                take_changes(knowledge, followers, &mut after, &changes, read_at);
-                sleep(PAUSE).await;
+                drop_irrelevant(watchers, &mut changes.changes);
+                apply_changes(control, watchers, &mut after, &changes, read_at);
+                sleep(WATCH_PAUSE).await;
             }
             Err(error) => {
                 failures += 1;
-                knowledge.change_log.lost();
-                followers.iter().for_each(|follower| follower.lost());
-                if let ControlFlow::Break(error) = judge(error, failures) {
+                control.change_log.mark_lost();
+                watchers.iter().for_each(|watcher| watcher.on_unavailable());
+                if let ControlFlow::Break(error) = check_failure(error, failures) {
                     return error;
                 }
-                sleep(knowledge.store_pause()).await;
+                sleep(control.store_pause()).await;
             }
         }
     }
 }
 
 /// Handles a reader that has already read the store after it was restored from an older copy.
-fn note_reader_era(
-    knowledge: &Knowledge,
-    followers: &[Box<dyn Follower>],
+fn apply_reader_era(
+    control: &ControlState,
+    watchers: &[Box<dyn Watcher>],
     after: Revision,
     read: Revision,
 ) {
     if read.era() > after.era() {
-        knowledge.note_era(Some(read.era()));
-        followers.iter().for_each(|follower| follower.lost());
+        control.record_era(Some(read.era()));
+        watchers.iter().for_each(|watcher| watcher.on_unavailable());
     }
 }
 
-fn take_changes(
-    knowledge: &Knowledge,
-    followers: &[Box<dyn Follower>],
+fn apply_changes(
+    control: &ControlState,
+    watchers: &[Box<dyn Watcher>],
     after: &mut Revision,
     changes: &Changes,
     read_at: ReadAt,
 ) {
     *after = (*after).max(changes.revision);
-    knowledge.change_log.push(changes, read_at);
-    tell_changes(knowledge, followers, &changes.changes);
-    knowledge.confirm_seen(read_at.asked);
-    knowledge.confirm_lender(read_at.asked);
-    knowledge.shared.note_news(read_at.asked);
+    control.change_log.push(changes, read_at);
+    dispatch_changes(control, watchers, &changes.changes);
+    control.confirm_from_watch(read_at.asked);
+    control.confirm_lender(read_at.asked);
+    control.shared.note_news(read_at.asked);
     let answered_ms = u64::try_from(read_at.answered.as_millis()).unwrap_or(u64::MAX);
-    let answered = &knowledge.shared.store_answered_ms;
+    let answered = &control.shared.store_answered_ms;
     answered.store(answered_ms, Ordering::Relaxed);
 }
 
 /// Whether the watch can go on from its current revision.
-fn judge(error: KeyValueError, failures: u32) -> ControlFlow<KeyValueError> {
+fn check_failure(error: KeyValueError, failures: u32) -> ControlFlow<KeyValueError> {
     match error {
         KeyValueError::Compacted => ControlFlow::Break(error),
-        _ if failures >= FAILURES_LIMIT => ControlFlow::Break(error),
+        _ if failures >= MAX_FAILURES => ControlFlow::Break(error),
         _ => ControlFlow::Continue(()),
     }
 }
 
 async fn read_all(
-    knowledge: &Knowledge,
+    control: &ControlState,
     prefix: &str,
 ) -> Result<(Vec<Item>, Revision), KeyValueError> {
     let mut items: Vec<Item> = Vec::new();
     let mut revision = None;
-    for _ in 0..PAGES_LIMIT {
+    for _ in 0..MAX_PAGES {
         let after = items.last().map(|item| item.key.clone());
-        let page = knowledge.store.range(prefix, after.as_deref()).await?;
+        let page = control.store.range(prefix, after.as_deref()).await?;
         // The pages are not a snapshot. Changes made while they were read arrive again, as the
         // watch starts at the first page's revision.
         let first = *revision.get_or_insert(page.revision);
@@ -213,9 +214,11 @@
             return Ok((items, first));
         }
     }
-    Err(KeyValueError::Malformed("the range has no end".to_owned()))
+    Err(KeyValueError::Malformed(
+        "the key range has too many pages".to_owned(),
+    ))
 }
 
-fn log_lost(knowledge: &Knowledge, error: &KeyValueError) {
-    log_event!(knowledge.log, Event::PlatformUnavailable, "error" => error.to_string());
+fn log_unavailable(control: &ControlState, error: &KeyValueError) {
+    log_event!(control.log, Event::PlatformUnavailable, "error" => error.to_string());
 }
