--- a/crates/relay-node/src/control/change_log.rs
+++ b/crates/relay-node/src/control/change_log.rs
@@ -67,7 +67,7 @@
 pub(crate) struct ChangeLog {
     state: RefCell<State>,
     /// Notified when a call to the store has succeeded or failed.
-    pub(crate) answered: Notify,
+    pub(crate) call_ended: Notify,
 }
 
 #[derive(Debug, Default)]
@@ -103,13 +103,13 @@
         state.revision = state.revision.max(changes.revision);
         state.read_at = Some(read_at);
         drop(state);
-        self.answered.notify_waiters();
+        self.call_ended.notify_waiters();
     }
 
     /// Records that the store did not answer.
     pub(crate) fn mark_lost(&self) {
         self.state.borrow_mut().read_at = None;
-        self.answered.notify_waiters();
+        self.call_ended.notify_waiters();
     }
 
     /// How much longer the store's last answer may be passed on; `None` if it is too old.
--- a/crates/relay-node/src/control/claims.rs
+++ b/crates/relay-node/src/control/claims.rs
@@ -55,7 +55,7 @@
     let engines: Vec<&Upstream> = engines.iter().map(|engine| &**engine).collect();
     let nodes: Vec<NodeRecord> = control.nodes.borrow().values().cloned().collect();
     let owners = owners_of(control, &engines);
-    let me = &control.settings.node;
+    let own_node = &control.settings.node;
     // If an engine restarts, the owner of its previous process claims it again, if that owner is
     // alive. It may send orders at once; any other node would first have to wait until the owner's
     // orders have arrived.
@@ -64,9 +64,9 @@
         .partition(|engine| has_living_last_owner(control, engine, &owners));
     let restarted = restarted
         .into_iter()
-        .filter(|engine| control.last_owner(&engine.address).as_ref() == Some(me));
+        .filter(|engine| control.last_owner(&engine.address).as_ref() == Some(own_node));
     let restarted: Vec<UpstreamId> = restarted.map(|engine| engine.id.clone()).collect();
-    let mut claims = unowned_to_claim(me, &nodes, &engines, &owners);
+    let mut claims = unowned_to_claim(own_node, &nodes, &engines, &owners);
     claims.extend(restarted);
     claims
 }
--- a/crates/relay-node/src/control/confirmation.rs
+++ b/crates/relay-node/src/control/confirmation.rs
@@ -42,7 +42,7 @@
 /// After a failure the store is not called for [`CONFIRM_RETRY_PAUSE`]. Otherwise, during an
 /// outage, each waiting load and its callers would wait for a call of their own to time out.
 pub(crate) async fn confirm(control: &ControlState) {
-    let _one_at_a_time = control.confirming.lock().await;
+    let _confirm_guard = control.confirm_lock.lock().await;
     let failed = control.confirm_failed.get();
     if failed.is_some_and(|at| at.elapsed() < CONFIRM_RETRY_PAUSE) || !needs_confirmation(control) {
         return;
--- a/crates/relay-node/src/control/control_state.rs
+++ b/crates/relay-node/src/control/control_state.rs
@@ -84,7 +84,7 @@
     host_reports: RefCell<HashMap<UpstreamId, (HostReport, Instant)>>,
     pub(crate) lease: Cell<LeaseId>,
     /// Held while ownership is confirmed, so that waiting loads share one call.
-    pub(crate) confirming: tokio::sync::Mutex<()>,
+    pub(crate) confirm_lock: tokio::sync::Mutex<()>,
     /// When this node last sent an order.
     pub(crate) last_order: Cell<Option<Instant>>,
     /// When a confirmation last failed.
@@ -109,7 +109,7 @@
     /// The last owner of the engine at each address, and when it was last seen as such.
     pub(crate) last_owners: RefCell<HashMap<SocketAddr, (NodeId, Instant)>>,
     /// Whether to ask other nodes for the requests under which upstreams ended.
-    pub(crate) needs_suspects: Cell<bool>,
+    pub(crate) must_query_suspects: Cell<bool>,
     /// The store's eras and the recovery after a restore.
     pub(crate) eras: Eras,
     /// Watches whether engines are owned as they should be.
@@ -117,7 +117,7 @@
     /// The operators' configuration and model versions as last seen in the store.
     pub(crate) stored_config: StoredConfig,
     /// Nodes that are kept although the store does not list them.
-    pub(crate) returning: ReturningNodes,
+    pub(crate) returning_nodes: ReturningNodes,
     /// The lenders of the teams' quotas.
     pub(crate) lending: Lending,
     /// The upstream slots that this node grants.
@@ -151,7 +151,7 @@
             model_demand: RefCell::default(),
             host_reports: RefCell::default(),
             lease: Cell::default(),
-            confirming: tokio::sync::Mutex::new(()),
+            confirm_lock: tokio::sync::Mutex::new(()),
             last_order: Cell::new(None),
             confirm_failed: Cell::new(None),
             load_times: Cell::default(),
@@ -163,14 +163,14 @@
             change_log: ChangeLog::default(),
             silent_readers: RefCell::default(),
             last_owners: RefCell::default(),
-            needs_suspects: Cell::new(true),
+            must_query_suspects: Cell::new(true),
             eras: Eras::new(
                 ownership_rules(&parts.settings),
                 parts.settings.is_first_start,
             ),
             ownership_watch: RefCell::default(),
             stored_config: StoredConfig::default(),
-            returning: ReturningNodes::default(),
+            returning_nodes: ReturningNodes::default(),
             lending: Lending::default(),
             slots: Slots::default(),
             boot: boot_id(),
@@ -387,9 +387,11 @@
     /// How long this node waits after a failed call to the store.
     pub(crate) fn store_pause(&self) -> Duration {
         let nodes = self.nodes.borrow();
-        let here = &self.settings.failure_domain;
-        let near = nodes.values().filter(|node| node.failure_domain == *here);
-        retry_pause(near.count()).mul_f64(1.0 + rand::random::<f64>())
+        let own_domain = &self.settings.failure_domain;
+        let local = nodes
+            .values()
+            .filter(|node| node.failure_domain == *own_domain);
+        retry_pause(local.count()).mul_f64(1.0 + rand::random::<f64>())
     }
 
     /// Records the base models of another owner's engine.
--- a/crates/relay-node/src/control/exchange.rs
+++ b/crates/relay-node/src/control/exchange.rs
@@ -92,7 +92,7 @@
     /// Demand for base models.
     Models {
         from: NodeId,
-        asked: ModelDemandUpdate,
+        update: ModelDemandUpdate,
     },
     /// Requests under which upstreams ended.
     Suspects {
@@ -162,7 +162,7 @@
 
 /// Reports to each owner what this node has in flight at its engines.
 fn report_usage(control: &ControlState, socket: &UdpSocket) {
-    let me = &control.settings.node;
+    let own_node = &control.settings.node;
     let mut reports: HashMap<NodeId, Vec<EngineUsageReport>> = HashMap::new();
     let owners = control.owners.borrow();
     let reports_to_all = control.nodes.borrow().len() <= FULL_EXCHANGE_NODES;
@@ -170,7 +170,7 @@
         let used = control.shared.uses.take(engine);
         if let Some(owned) = control.owned(engine) {
             record_own_usage(control, &owned, &used);
-        } else if owner.node != *me && (reports_to_all || used != EngineUse::default()) {
+        } else if owner.node != *own_node && (reports_to_all || used != EngineUse::default()) {
             let engines = reports.entry(owner.node.clone()).or_default();
             engines.push(usage_report(control, engine, used));
         }
@@ -178,7 +178,7 @@
     drop(owners);
     for (owner, engines) in reports {
         let address = control.nodes.borrow().get(&owner).map(|node| node.address);
-        let from = me.clone();
+        let from = own_node.clone();
         if let Some(address) = address {
             send(socket, &Message::Uses { from, engines }, address);
         }
@@ -198,8 +198,8 @@
 
 /// Records what this node itself has in flight at an engine that it owns.
 fn record_own_usage(control: &ControlState, owned: &OwnedEngine, used: &EngineUse) {
-    let here = &control.settings.failure_domain;
-    record_adapter_demand(control, owned, here, used.asked.iter());
+    let own_domain = &control.settings.failure_domain;
+    record_adapter_demand(control, owned, own_domain, used.asked.iter());
     want_copies(control, owned, used);
     owned.set_free_adapter_slots(room(control, owned));
     let load = load_excluding(control, owned, &control.settings.node);
@@ -260,13 +260,16 @@
         return;
     }
     let readers = readers_by_domain(nodes.values());
-    let (here, me) = (&control.settings.failure_domain, &control.settings.node);
+    let (own_domain, own_node) = (&control.settings.failure_domain, &control.settings.node);
     let is_reader = readers
-        .get(here)
-        .is_some_and(|readers| readers.iter().any(|reader| reader.node == *me));
-    let far = readers.iter().filter(|(domain, _)| **domain != here);
-    for reader in far.flat_map(|(_, readers)| readers).filter(|_| is_reader) {
-        let from = me.clone();
+        .get(own_domain)
+        .is_some_and(|readers| readers.iter().any(|reader| reader.node == *own_node));
+    let remote = readers.iter().filter(|(domain, _)| **domain != own_domain);
+    for reader in remote
+        .flat_map(|(_, readers)| readers)
+        .filter(|_| is_reader)
+    {
+        let from = own_node.clone();
         send(socket, &Message::Alive { from }, reader.address);
     }
 }
@@ -332,9 +335,9 @@
 fn send_model_demand(control: &ControlState, socket: &UdpSocket) {
     let own = control.shared.models_asked.take();
     let mut demand = control.model_demand.borrow_mut();
-    for (asked, address) in demand.next_messages(control, own) {
+    for (update, address) in demand.next_messages(control, own) {
         let from = control.settings.node.clone();
-        send(socket, &Message::Models { from, asked }, address);
+        send(socket, &Message::Models { from, update }, address);
     }
 }
 
@@ -404,7 +407,7 @@
         }) => {
             control.apply_suspects(&from, &suspects);
             if is_answer {
-                control.needs_suspects.set(false);
+                control.must_query_suspects.set(false);
             }
             control.record_contact(from);
         }
@@ -432,13 +435,13 @@
             control.record_contact(from);
             send_era(control, socket, sender);
         }
-        Ok(Message::Models { from, asked }) => {
+        Ok(Message::Models { from, update }) => {
             control.record_contact(from.clone());
             let nodes = control.nodes.borrow();
             if let Some(node) = nodes.get(&from) {
-                let here = &control.settings.failure_domain;
+                let own_domain = &control.settings.failure_domain;
                 let mut demand = control.model_demand.borrow_mut();
-                demand.apply(here, &node.failure_domain, &asked);
+                demand.apply(own_domain, &node.failure_domain, &update);
             }
         }
         Err(error) => {
--- a/crates/relay-node/src/control/lending.rs
+++ b/crates/relay-node/src/control/lending.rs
@@ -108,12 +108,12 @@
     pub(crate) fn lender_addresses(&self) -> Vec<SocketAddr> {
         let lenders = self.lending.lenders.borrow();
         let nodes = self.nodes.borrow();
-        let here = &self.settings.failure_domain;
+        let own_domain = &self.settings.failure_domain;
         let mut found: Vec<(bool, &FailureDomain, SocketAddr)> = lenders
             .iter()
             .filter_map(|(domain, owner)| {
                 let node = nodes.get(&owner.node)?;
-                Some((domain != here, domain, node.address))
+                Some((domain != own_domain, domain, node.address))
             })
             .collect();
         found.sort();
@@ -151,8 +151,8 @@
             self.lending.version.set(0);
         }
         if self.lending.version.replace(table.version) != table.version {
-            let none = HashMap::new();
-            let quotas = table.teams().map_or(&none, |teams| teams.quotas());
+            let no_quotas = HashMap::new();
+            let quotas = table.teams().map_or(&no_quotas, |teams| teams.quotas());
             own.lender.set_quotas(quotas, boot_time());
         }
     }
@@ -210,9 +210,9 @@
     }
 
     fn other_lenders(&self) -> Vec<SocketAddr> {
-        let me = self.settings.nodes_address;
+        let own_address = self.settings.nodes_address;
         let lenders = self.lender_addresses().into_iter();
-        lenders.filter(|address| *address != me).collect()
+        lenders.filter(|address| *address != own_address).collect()
     }
 
     /// Records that the lender's claim was lost when the store was restored from an older copy.
@@ -248,9 +248,11 @@
     /// ones already read the store for the others.
     fn is_preferred_lender(&self) -> bool {
         let nodes = self.nodes.borrow();
-        let here = &self.settings.failure_domain;
-        let near = nodes.values().filter(|node| node.failure_domain == *here);
-        let last: Option<&NodeRecord> = near.max_by(|a, b| a.node.cmp(&b.node));
+        let own_domain = &self.settings.failure_domain;
+        let local = nodes
+            .values()
+            .filter(|node| node.failure_domain == *own_domain);
+        let last: Option<&NodeRecord> = local.max_by(|a, b| a.node.cmp(&b.node));
         last.is_some_and(|last| last.node == self.settings.node)
     }
 
--- a/crates/relay-node/src/control/limit_gossip.rs
+++ b/crates/relay-node/src/control/limit_gossip.rs
@@ -46,11 +46,11 @@
             control.publish();
         }
         let mut messages = Vec::new();
-        let me = control.settings.nodes_address;
+        let own_address = control.settings.nodes_address;
         let issuers = control.slot_nodes();
         for limit in known.iter().filter(|_| has_changed) {
             let to = match issuers.get(&limit.upstream) {
-                Some(node) if *node == me => other_nodes(control),
+                Some(node) if *node == own_address => other_nodes(control),
                 Some(node) if is_own => vec![*node],
                 // Once a limit has ended, no node grants turns for it.
                 None if is_own => other_nodes(control),
--- a/crates/relay-node/src/control/load_aggregator.rs
+++ b/crates/relay-node/src/control/load_aggregator.rs
@@ -112,37 +112,37 @@
         let known = self.loads.iter();
         let known = known.map(|(engine, received)| (*engine, received.load.is_idle()));
         let news = self.idle_filter.turn(known);
-        let near = news.iter().filter_map(|engine| {
+        let local = news.iter().filter_map(|engine| {
             let received = self.loads.get(engine)?;
             received
                 .is_local
                 .then_some((*engine, received.load.in_flight))
         });
-        let near: Vec<_> = near.collect();
-        let to_far = self.remote_filter.turn(near);
-        let near = self.batch(&to_far, |received| received.is_local);
+        let local: Vec<_> = local.collect();
+        let to_remote = self.remote_filter.turn(local);
+        let local = self.batch(&to_remote, |received| received.is_local);
         let mut all = self.batch(&news, |received| received.is_local || received.is_new);
         for received in self.loads.values_mut() {
             received.is_new = false;
         }
         all.domains = control.domain_contacts.borrow().ages(now);
         let nodes = control.nodes.borrow();
-        let here = &control.settings.failure_domain;
-        let me = &control.settings.node;
-        let others = nodes.values().filter(|node| node.node != *me);
-        let (local_nodes, far): (Vec<&NodeRecord>, Vec<&NodeRecord>) =
-            others.partition(|node| node.failure_domain == *here);
-        let mut sends: Vec<(LoadBatch, SocketAddr)> = local_nodes
+        let own_domain = &control.settings.failure_domain;
+        let own_node = &control.settings.node;
+        let others = nodes.values().filter(|node| node.node != *own_node);
+        let (local_nodes, remote): (Vec<&NodeRecord>, Vec<&NodeRecord>) =
+            others.partition(|node| node.failure_domain == *own_domain);
+        let mut messages: Vec<(LoadBatch, SocketAddr)> = local_nodes
             .iter()
             .map(|node| (all.clone(), node.address))
             .collect();
-        if !to_far.is_empty() {
-            let aggregators = readers_by_domain(far)
+        if !to_remote.is_empty() {
+            let aggregators = readers_by_domain(remote)
                 .into_values()
                 .filter_map(|nodes| nodes.into_iter().next());
-            sends.extend(aggregators.map(|node| (near.clone(), node.address)));
+            messages.extend(aggregators.map(|node| (local.clone(), node.address)));
         }
-        sends
+        messages
     }
 
     fn put(&mut self, engine: EngineDigest, load: EngineLoad, is_local: bool) {
@@ -155,11 +155,15 @@
         self.loads.insert(engine, received);
     }
 
-    /// The loads of those of `engines` for which `is_in` returns true.
-    fn batch(&self, engines: &[EngineDigest], is_in: impl Fn(&ReceivedLoad) -> bool) -> LoadBatch {
+    /// The loads of those of `engines` for which `includes` returns true.
+    fn batch(
+        &self,
+        engines: &[EngineDigest],
+        includes: impl Fn(&ReceivedLoad) -> bool,
+    ) -> LoadBatch {
         let loads = engines.iter().filter_map(|engine| {
             let received = self.loads.get(engine)?;
-            is_in(received).then(|| (*engine, received.load.clone()))
+            includes(received).then(|| (*engine, received.load.clone()))
         });
         LoadBatch::of(loads.collect())
     }
@@ -179,10 +183,10 @@
             let Some(id) = known.get(&engine) else {
                 continue;
             };
-            let here = &control.settings.failure_domain;
+            let own_domain = &control.settings.failure_domain;
             let is_local = upstreams
                 .get(*id)
-                .is_some_and(|upstream| upstream.failure_domain == *here);
+                .is_some_and(|upstream| upstream.failure_domain == *own_domain);
             self.put(engine, load.clone(), is_local);
             publish_load(control, id, load);
         }
--- a/crates/relay-node/src/control/loader.rs
+++ b/crates/relay-node/src/control/loader.rs
@@ -102,24 +102,26 @@
         }
         last_copies.insert(wanted.model.clone(), Instant::now());
         let ranked = self.rank_engines(&wanted.model, want.engines);
-        for place in ranked.into_iter().take(want.copies) {
+        for candidate in ranked.into_iter().take(want.copies) {
             let (this, wanted) = (Rc::clone(self), wanted.clone());
-            spawn_local(async move { this.load_at_first_available(&wanted, vec![place]).await });
+            spawn_local(
+                async move { this.load_at_first_available(&wanted, vec![candidate]).await },
+            );
         }
     }
 
     async fn load_at_first_available(&self, wanted: &Wanted, engines: Vec<LoadPlace>) -> Loaded {
         let ranked = self.rank_engines(&wanted.model, engines);
-        for place in ranked.into_iter().take(MAX_ENGINES_TRIED) {
-            let engine = &place.engine;
+        for candidate in ranked.into_iter().take(MAX_ENGINES_TRIED) {
+            let engine = &candidate.engine;
             let loaded = match self.control.owned(engine) {
                 Some(owned) => {
-                    load_into_owned(&self.control, &owned, wanted, place.is_recent).await
+                    load_into_owned(&self.control, &owned, wanted, candidate.is_recent).await
                 }
-                None => self.load_through_owner(&place, wanted).await,
+                None => self.load_through_owner(&candidate, wanted).await,
             };
             match loaded {
-                Ok(holdings) => return Some((place.engine, holdings)),
+                Ok(holdings) => return Some((candidate.engine, holdings)),
                 Err(failure) => {
                     let is_store_busy = failure == LoadFailure::from(LoadRefusal::LeftToMisses);
                     self.control.shared.metrics.load(failure.to_string());
@@ -144,14 +146,14 @@
     /// load. Engines with about the same expected wait are therefore ordered by a hash that all
     /// nodes compute alike, so that both nodes ask the same owner, which loads the adapter once.
     fn rank_engines(&self, model: &ModelRef, mut engines: Vec<LoadPlace>) -> Vec<LoadPlace> {
-        engines.retain(|place| self.is_reachable(&place.engine));
-        let min_ms = engines.iter().map(|place| place.wait_ms);
+        engines.retain(|candidate| self.is_reachable(&candidate.engine));
+        let min_ms = engines.iter().map(|candidate| candidate.wait_ms);
         let min_ms = min_ms.fold(f64::INFINITY, f64::min);
         let load = self.control.load_times.get().usual(0.0);
         let step_ms = load.as_secs_f64() * 1_000.0 * WAIT_STEP_LOADS;
-        engines.sort_by_cached_key(|place| {
-            let steps = ((place.wait_ms - min_ms) / step_ms) as u64;
-            let hash = xxh3_64(format!("{model} {}", place.engine).as_bytes());
+        engines.sort_by_cached_key(|candidate| {
+            let steps = ((candidate.wait_ms - min_ms) / step_ms) as u64;
+            let hash = xxh3_64(format!("{model} {}", candidate.engine).as_bytes());
             (steps, hash)
         });
         engines
@@ -179,15 +181,15 @@
 
     async fn load_through_owner(
         &self,
-        place: &LoadPlace,
+        candidate: &LoadPlace,
         wanted: &Wanted,
     ) -> Result<Holdings, LoadFailure> {
-        let address = self.owner_address(&place.engine);
+        let address = self.owner_address(&candidate.engine);
         let address = address.ok_or(LoadFailure::NoOwnerAnswer)?;
         let request = OwnerLoadRequest {
-            engine: place.engine.clone(),
+            engine: candidate.engine.clone(),
             wanted: wanted.clone(),
-            is_recent: place.is_recent,
+            is_recent: candidate.is_recent,
         };
         request.send(&self.control, address, OWNER_TIMEOUT).await
     }
--- a/crates/relay-node/src/control/mod.rs
+++ b/crates/relay-node/src/control/mod.rs
@@ -111,7 +111,7 @@
         ticks.tick().await;
         if let Some(stalled) = watch.check(boot_time()) {
             control.shared.metrics.stalled(stalled);
-            control.needs_suspects.set(true);
+            control.must_query_suspects.set(true);
             log_event!(control.log, Event::NodeResumed, "stalled_ms" => stalled.as_millis());
         }
     }
--- a/crates/relay-node/src/control/model_demand.rs
+++ b/crates/relay-node/src/control/model_demand.rs
@@ -47,17 +47,17 @@
     /// Demand from all nodes as far as reported, in milliseconds of engine time.
     demand: Demand<ModelDigest>,
     /// Demand from this failure domain that was not sent yet.
-    near: DemandSums,
+    local: DemandSums,
     /// Demand from the other failure domains that was not sent yet.
-    far: DemandSums,
+    remote: DemandSums,
 }
 
 impl Default for ModelDemand {
     fn default() -> Self {
         Self {
             demand: Demand::new(HALF_LIFE),
-            near: DemandSums::new(),
-            far: DemandSums::new(),
+            local: DemandSums::new(),
+            remote: DemandSums::new(),
         }
     }
 }
@@ -76,57 +76,57 @@
         own: Vec<(ModelDigest, f32)>,
     ) -> Vec<(ModelDemandUpdate, SocketAddr)> {
         if let Some((_, reader)) = control.reader() {
-            self.near.clear();
-            self.far.clear();
+            self.local.clear();
+            self.remote.clear();
             let scope = Scope::Node;
             return match own.is_empty() {
                 true => Vec::new(),
                 false => vec![(ModelDemandUpdate { scope, models: own }, reader)],
             };
         }
-        add(&mut self.near, &own);
-        let (near, far) = (
-            std::mem::take(&mut self.near),
-            std::mem::take(&mut self.far),
+        add(&mut self.local, &own);
+        let (local, remote) = (
+            std::mem::take(&mut self.local),
+            std::mem::take(&mut self.remote),
         );
-        let near: Vec<_> = near.into_iter().collect();
-        let all: Vec<_> = near.iter().copied().chain(far).collect();
+        let local: Vec<_> = local.into_iter().collect();
+        let all: Vec<_> = local.iter().copied().chain(remote).collect();
         if all.is_empty() {
             return Vec::new();
         }
         self.count(&all);
         let nodes = control.nodes.borrow();
-        let (here, me) = (&control.settings.failure_domain, &control.settings.node);
-        let others = nodes.values().filter(|node| node.node != *me);
-        let (local_nodes, far): (Vec<_>, Vec<_>) =
-            others.partition(|node| node.failure_domain == *here);
-        let asked = |scope, models: &Vec<_>| ModelDemandUpdate {
+        let (own_domain, own_node) = (&control.settings.failure_domain, &control.settings.node);
+        let others = nodes.values().filter(|node| node.node != *own_node);
+        let (local_nodes, remote): (Vec<_>, Vec<_>) =
+            others.partition(|node| node.failure_domain == *own_domain);
+        let update = |scope, models: &Vec<_>| ModelDemandUpdate {
             scope,
             models: models.clone(),
         };
         let to_domain = local_nodes.iter().map(|node| node.address);
-        let mut sends: Vec<_> = to_domain
-            .map(|address| (asked(Scope::Fleet, &all), address))
+        let mut messages: Vec<_> = to_domain
+            .map(|address| (update(Scope::Fleet, &all), address))
             .collect();
-        if !near.is_empty() {
+        if !local.is_empty() {
             // Sent to all candidate readers, as only the active one keeps it.
-            let readers = readers_by_domain(far).into_values().flatten();
-            sends.extend(readers.map(|node| (asked(Scope::Domain, &near), node.address)));
+            let readers = readers_by_domain(remote).into_values().flatten();
+            messages.extend(readers.map(|node| (update(Scope::Domain, &local), node.address)));
         }
-        sends
+        messages
     }
 
-    /// Applies a message from a node in `domain`, received in the domain `here`.
+    /// Applies a message from a node in `domain`, received in the domain `own_domain`.
     pub(crate) fn apply(
         &mut self,
-        here: &FailureDomain,
+        own_domain: &FailureDomain,
         domain: &FailureDomain,
-        asked: &ModelDemandUpdate,
+        update: &ModelDemandUpdate,
     ) {
-        match asked.scope {
-            Scope::Node if domain == here => add(&mut self.near, &asked.models),
-            Scope::Domain if domain != here => add(&mut self.far, &asked.models),
-            Scope::Fleet if domain == here => self.count(&asked.models),
+        match update.scope {
+            Scope::Node if domain == own_domain => add(&mut self.local, &update.models),
+            Scope::Domain if domain != own_domain => add(&mut self.remote, &update.models),
+            Scope::Fleet if domain == own_domain => self.count(&update.models),
             // The sender has a wrong failure domain on record for this node.
             Scope::Node | Scope::Domain | Scope::Fleet => {}
         }
--- a/crates/relay-node/src/control/owners.rs
+++ b/crates/relay-node/src/control/owners.rs
@@ -40,7 +40,7 @@
         } else if let Some(name) = item.key.strip_prefix(NODE_PREFIX) {
             match serde_json::from_slice::<NodeRecord>(&item.value) {
                 Ok(record) => {
-                    self.0.returning.record_listed(&name.into());
+                    self.0.returning_nodes.record_listed(&name.into());
                     self.0.nodes.borrow_mut().insert(name.into(), record);
                 }
                 Err(error) => self.log_unreadable(&item.key, &error),
@@ -81,7 +81,7 @@
 
     fn remove(&self, key: &str) {
         if let Some(name) = key.strip_prefix(NODE_PREFIX) {
-            if !self.0.returning.record_missing(&name.into()) {
+            if !self.0.returning_nodes.record_missing(&name.into()) {
                 self.0.nodes.borrow_mut().remove(name);
             }
         } else if let Some(engine) = key.strip_prefix(OWNER_PREFIX) {
--- a/crates/relay-node/src/control/returning_nodes.rs
+++ b/crates/relay-node/src/control/returning_nodes.rs
@@ -46,7 +46,7 @@
 impl ControlState {
     /// Drops nodes that have not registered again in time.
     pub(crate) fn drop_missing_nodes(&self) {
-        let mut missing = self.returning.missing.borrow_mut();
+        let mut missing = self.returning_nodes.missing.borrow_mut();
         missing.retain(|node, since| {
             let is_gone = since.elapsed() >= RETURN_TIME;
             if is_gone {
--- a/crates/relay-node/src/control/store_reader.rs
+++ b/crates/relay-node/src/control/store_reader.rs
@@ -113,7 +113,7 @@
             .fresh_for()
             .unwrap_or(MAX_HOLD)
             .min(MAX_HOLD);
-        let _ = timeout(hold, self.change_log.answered.notified()).await;
+        let _ = timeout(hold, self.change_log.call_ended.notified()).await;
         let read = self
             .change_log
             .after(after, received_at)
--- a/crates/relay-node/src/control/suspect_gossip.rs
+++ b/crates/relay-node/src/control/suspect_gossip.rs
@@ -33,7 +33,7 @@
 impl SuspectGossip {
     /// The nodes to ask for their suspects, until one has answered.
     pub(super) fn query_targets(&self, control: &ControlState) -> Vec<SocketAddr> {
-        match control.needs_suspects.get() {
+        match control.must_query_suspects.get() {
             true => random_nodes(control),
             false => Vec::new(),
         }
@@ -60,8 +60,8 @@
             self.resent_at = Some(now);
         }
         if !resent.is_empty() {
-            let some = random_nodes(control).into_iter();
-            messages.extend(some.map(|to| (resent.clone(), to)));
+            let nodes = random_nodes(control).into_iter();
+            messages.extend(nodes.map(|to| (resent.clone(), to)));
         }
         messages
     }
@@ -128,11 +128,12 @@
 /// The addresses of a few random nodes of the own failure domain and of others.
 pub(super) fn random_nodes(control: &ControlState) -> Vec<SocketAddr> {
     let nodes = control.nodes.borrow();
-    let here = &control.settings.failure_domain;
+    let own_domain = &control.settings.failure_domain;
     let others = nodes.values().filter(|node| !is_self(control, node));
-    let (near, far): (Vec<_>, Vec<_>) = others.partition(|node| node.failure_domain == *here);
+    let (local, remote): (Vec<_>, Vec<_>) =
+        others.partition(|node| node.failure_domain == *own_domain);
     let mut random = rand::rng();
-    let drawn = [near, far].map(|nodes| nodes.into_iter().sample(&mut random, RESEND_NODES));
+    let drawn = [local, remote].map(|nodes| nodes.into_iter().sample(&mut random, RESEND_NODES));
     drawn
         .into_iter()
         .flatten()
--- a/crates/relay-node/src/control/upstreams_watch.rs
+++ b/crates/relay-node/src/control/upstreams_watch.rs
@@ -112,7 +112,7 @@
     /// expired.
     fn remove(&self, id: &UpstreamId) {
         let store_failed_at = self.store_failed_at.get();
-        let may_have_expired = store_failed_at.is_some_and(|lost| lost.elapsed() < RETURN_TIME);
+        let may_have_expired = store_failed_at.is_some_and(|at| at.elapsed() < RETURN_TIME);
         let takes_work = |upstream: &Arc<Upstream>| upstream.takes_work();
         let mut upstreams = self.control.upstreams.borrow_mut();
         if !may_have_expired || !upstreams.get(id).is_some_and(takes_work) {
--- a/crates/relay-node/src/control/watch.rs
+++ b/crates/relay-node/src/control/watch.rs
@@ -204,14 +204,14 @@
         let page = control.store.range(prefix, after.as_deref()).await?;
         // The pages are not a snapshot. Changes made while they were read arrive again, as the
         // watch starts at the first page's revision.
-        let first = *revision.get_or_insert(page.revision);
-        if first.era() != page.revision.era() {
+        let first_revision = *revision.get_or_insert(page.revision);
+        if first_revision.era() != page.revision.era() {
             return Err(KeyValueError::Compacted);
         }
         let is_last = !page.has_more || page.items.is_empty();
         items.extend(page.items);
         if is_last {
-            return Ok((items, first));
+            return Ok((items, first_revision));
         }
     }
     Err(KeyValueError::Malformed(
