--- a/crates/relay-node/src/control/eras.rs
+++ b/crates/relay-node/src/control/eras.rs
@@ -70,7 +70,8 @@
         self.watch.borrow().is_settled(boot_time())
     }
 
-    /// Whether this node waits for another node's answer about the era before it claims anything.
+    /// Whether this node waits for another node's update about the store era before it claims
+    /// anything.
     pub(crate) fn awaits_word(&self) -> bool {
         self.watch.borrow().awaits_word(boot_time())
     }
@@ -82,12 +83,12 @@
 }
 
 impl ControlState {
-    /// Checks whether the store has reported a later era.
+    /// Checks whether the store has reported a later store era.
     pub(crate) fn check_era(&self) {
         self.record_era(self.store.era());
     }
 
-    /// Records the store's current era.
+    /// Records the current store era.
     pub(crate) fn record_era(&self, era: Option<StoreEra>) {
         let rise = self.eras.watch.borrow_mut().see(era, boot_time());
         if let Some(era) = era {
@@ -139,7 +140,9 @@
         }
     }
 
-    /// Whether this node uses the operators' configuration that it has read.
+    /// Whether this node uses the operators' configuration that it has read. The store may have
+    /// been restored from an older copy, so a node that starts first waits until it has caught up
+    /// with the other nodes.
     pub(crate) fn uses_config(&self) -> bool {
         let mut watch = self.eras.watch.borrow_mut();
         if watch.has_text() {
@@ -164,22 +167,22 @@
         }
     }
 
-    /// What this node tells others about the store's era; `None` while it is itself waiting for
-    /// their answers.
-    pub(crate) fn era_report(&self) -> Option<EraTold> {
+    /// What this node tells others about the store era; `None` while it is itself waiting for their
+    /// updates.
+    pub(crate) fn era_update(&self) -> Option<EraTold> {
         let watch = self.eras.watch.borrow();
         watch.told(self.config_known(), boot_time())
     }
 
-    /// Applies what another node tells about the store's era.
-    pub(crate) fn apply_era_report(&self, report: EraTold) {
-        let is_newer = self.eras.watch.borrow_mut().take_told(report, boot_time());
+    /// Applies another node's update about the store era.
+    pub(crate) fn apply_era_update(&self, update: EraTold) {
+        let is_newer = self.eras.watch.borrow_mut().take_told(update, boot_time());
         if is_newer {
             self.eras.is_store_call_due.set(true);
         }
     }
 
-    /// The nodes to ask about the store's era.
+    /// The nodes to ask about the store era.
     pub(super) fn era_query_targets(&self) -> Vec<SocketAddr> {
         match self.eras.watch.borrow().asks(boot_time()) {
             true => random_nodes(self),
--- a/crates/relay-node/src/control/exchange.rs
+++ b/crates/relay-node/src/control/exchange.rs
@@ -57,7 +57,7 @@
     known_holdings_version: u64,
 }
 
-/// An owner's status report of one engine to one node.
+/// An owner's update about one engine to one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct EngineLoadUpdate {
     engine: UpstreamId,
@@ -84,8 +84,8 @@
     },
     /// Sent by an owner to the node that aggregates loads for its failure domain, or by that node.
     AggregatedLoads { from: NodeId, batch: LoadBatch },
-    /// Sent by a reader to the readers of other failure domains, which might otherwise not hear
-    /// from its domain for a while.
+    /// A heartbeat from a reader to the readers of other failure domains, which might otherwise not
+    /// hear from its domain for a while.
     Alive { from: NodeId },
     /// Sent or received by a traffic thread.
     Traffic(TrafficMessage),
@@ -110,8 +110,8 @@
     Leaving { upstreams: Vec<UpstreamId> },
     /// Asks for all suspects, after a start or a stall of the sender.
     SuspectsQuery { from: NodeId },
-    /// What the sender knows of the store's era.
-    Era { from: NodeId, report: EraTold },
+    /// What the sender knows of the store era.
+    Era { from: NodeId, update: EraTold },
     /// Asks for [`Message::Era`], after a start of the sender.
     EraQuery { from: NodeId },
 }
@@ -251,8 +251,7 @@
     control.shared.news.want_copies(news);
 }
 
-/// Sends a sign of life to the readers of other failure domains, if this node is a reader of its
-/// own.
+/// Sends a heartbeat to the readers of other failure domains, if this node is a reader of its own.
 fn send_alive(control: &ControlState, socket: &UdpSocket) {
     let nodes = control.nodes.borrow();
     if nodes.len() <= FULL_EXCHANGE_NODES {
@@ -307,7 +306,7 @@
     }
 }
 
-/// Tells other nodes of a recent restore of the store, or asks them for its era.
+/// Tells other nodes of a recent restore of the store, or asks them for the store era.
 fn send_era_messages(control: &ControlState, socket: &UdpSocket) {
     for address in control.era_announcement_targets() {
         send_era(control, socket, address);
@@ -319,9 +318,9 @@
 }
 
 fn send_era(control: &ControlState, socket: &UdpSocket, address: SocketAddr) {
-    if let Some(report) = control.era_report() {
+    if let Some(update) = control.era_update() {
         let from = control.settings.node.clone();
-        send(socket, &Message::Era { from, report }, address);
+        send(socket, &Message::Era { from, update }, address);
     }
 }
 
@@ -341,8 +340,8 @@
     }
 }
 
-/// The holdings as an owner reports them: it omits them from a report only if they have not
-/// changed.
+/// The holdings as an owner reports them. An owner leaves them out of a report only if the receiver
+/// has the current version.
 fn holdings_report(holdings: Option<Holdings>) -> HoldingsTold {
     holdings.map_or(HoldingsTold::Unchanged, HoldingsTold::Changed)
 }
@@ -427,8 +426,8 @@
                 send(socket, &message, sender);
             }
         }
-        Ok(Message::Era { from, report }) => {
-            control.apply_era_report(report);
+        Ok(Message::Era { from, update }) => {
+            control.apply_era_update(update);
             control.record_contact(from);
         }
         Ok(Message::EraQuery { from }) => {
--- a/crates/relay-node/src/control/leaving_gossip.rs
+++ b/crates/relay-node/src/control/leaving_gossip.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Whether an upstream has asked this node to send nothing for now.
+    /// Whether an upstream has asked this node to back off for now.
     pub(crate) fn is_resting(&self, upstream: &UpstreamId) -> bool {
         let notices = self.shared.notices();
         notices.is_resting(upstream, Instant::now())
--- a/crates/relay-node/src/control/limit_gossip.rs
+++ b/crates/relay-node/src/control/limit_gossip.rs
@@ -28,8 +28,8 @@
 impl LimitGossip {
     /// The messages to send now, with their addresses.
     ///
-    /// The node that learns of a limit first sends it to the node that grants the upstream's turns,
-    /// which sends it to all others.
+    /// The node that learns of a limit first sends it to the upstream's slot issuer, which sends it
+    /// to all others.
     pub(super) fn next_messages(
         &mut self,
         control: &ControlState,
@@ -42,7 +42,7 @@
         let has_changed = std::mem::replace(&mut self.changes, changes) != changes;
         let is_own = std::mem::replace(&mut self.own_changes, own_changes) != own_changes;
         if has_changed {
-            // Which node grants turns depends on the limits.
+            // Which upstreams have a slot issuer depends on the limits.
             control.publish();
         }
         let mut messages = Vec::new();
@@ -52,7 +52,7 @@
             let to = match issuers.get(&limit.upstream) {
                 Some(node) if *node == own_address => other_nodes(control),
                 Some(node) if is_own => vec![*node],
-                // Once a limit has ended, no node grants turns for it.
+                // Once a limit has ended, the upstream may have no slot issuer.
                 None if is_own => other_nodes(control),
                 _ => Vec::new(),
             };
--- a/crates/relay-node/src/control/slots.rs
+++ b/crates/relay-node/src/control/slots.rs
@@ -23,23 +23,25 @@
 /// here.
 const UNLIMITED_SLOTS: u32 = u32::MAX;
 
-/// The slots and rate limits that nodes grant for upstreams.
+/// The slots and rate-limited turns that this node grants, and the slot issuers of all upstreams.
 #[derive(Debug, Default)]
 pub(crate) struct Slots {
     /// The gates of upstreams for which other nodes ask this one.
     gates: RefCell<Gates>,
-    /// The node that grants the slots of each plain upstream.
+    /// The slot issuer of each plain or rate-limited upstream: the node that grants its slots and
+    /// turns.
     issuers: RefCell<Arc<HashMap<UpstreamId, SocketAddr>>>,
     /// The nodes from which `issuers` was computed.
     nodes_hashed: RefCell<HashMap<NodeId, NodeRecord>>,
 }
 
 impl ControlState {
-    /// The node that grants the slots of each plain upstream and the turns at each rate-limited
-    /// one.
+    /// The slot issuer of each plain or rate-limited upstream: the node that grants its slots and
+    /// turns.
     ///
-    /// Nodes are chosen by hash, so nodes with the same list choose alike without a message. While
-    /// their lists differ, two nodes may grant the same slots, and the upstream queues the excess.
+    /// Issuers are chosen by hash, so nodes with the same list of nodes choose alike without a
+    /// message. While their lists differ, two nodes may grant the same slots, and the upstream
+    /// queues the excess.
     pub(crate) fn slot_nodes(&self) -> Arc<HashMap<UpstreamId, SocketAddr>> {
         let upstreams = self.upstreams.borrow();
         let nodes = self.nodes.borrow();
--- a/crates/relay-node/src/control/stored_config.rs
+++ b/crates/relay-node/src/control/stored_config.rs
@@ -8,8 +8,8 @@
 
 use super::control_state::ControlState;
 
-/// The operators' configuration and model versions as the store shows them. They may be older than
-/// what this node knows after the store was restored from an older copy.
+/// The operators' configuration and model versions as the store shows them. After the store was
+/// restored from an older copy they may be older than what this node knows.
 #[derive(Debug, Default)]
 pub(crate) struct StoredConfig {
     configuration: Cell<u64>,
--- a/crates/relay-node/src/control/suspect_gossip.rs
+++ b/crates/relay-node/src/control/suspect_gossip.rs
@@ -26,7 +26,7 @@
 /// Tracks when this node sends its suspects.
 #[derive(Debug, Default)]
 pub(crate) struct SuspectGossip {
-    /// When it last sent suspects again.
+    /// When it last sent known suspects again.
     resent_at: Option<Instant>,
 }
 
