--- a/crates/relay-node/src/control/eras.rs
+++ b/crates/relay-node/src/control/eras.rs
@@ -1,6 +1,8 @@
-//! What this node does when the store comes back from an older copy of itself.
+//! Recovery after the store was restored from an older copy of itself.
 //!
-//! Claims of before are gone then, or will be; they are made anew, and nothing is done on them in between.
+//! Each restore begins a new store era. Claims written in the previous era are missing from the
+//! copy, or will expire; engines and lenders claimed by them are claimed again, and no order is
+//! sent under the old claims.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,78 +16,80 @@
 use nutmegsail_telemetry::{Event, log_event};
 use serde::{Deserialize, Serialize};
 
+use super::control_state::ControlState;
 use super::engine::OwnedEngine;
-use super::knowledge::Knowledge;
 use super::owners::to_json;
-use super::suspect_news::some_others;
+use super::suspect_gossip::random_nodes;
 use crate::clock::boot_time;
 
-/// The mark of the last era for which all is as it was: no claim of before counts, and the operators' text is there.
-pub(crate) const MARK_KEY: &str = "nutmegsail/era";
+/// The key of the last store era that is settled: no claim of an earlier era is in use, and the
+/// operators' configuration and model versions are complete again.
+pub(crate) const SETTLED_ERA_KEY: &str = "nutmegsail/era";
 
-/// How often a few nodes are told of an era that rose lately.
-const TELL_INTERVAL: Duration = Duration::from_millis(500);
+/// How often a few nodes are told of a recent restore.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The mark as it is written.
+/// The value of the era key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Mark {
+struct SettledEra {
     era: StoreEra,
 }
 
-/// The store's eras, and what is open since the last one began.
+/// The store eras, and what remains to be done since the last restore.
 #[derive(Debug)]
 pub(crate) struct Eras {
     pub(crate) watch: RefCell<EraWatch>,
-    /// Engines whose claims went with the store's history.
-    pub(crate) lapsed: RefCell<HashMap<UpstreamId, Rc<OwnedEngine>>>,
-    /// Whether the store is to be asked at once, as another node knows of a later era.
-    is_to_ask: Cell<bool>,
-    mark_revision: Cell<Revision>,
-    is_held_logged: Cell<bool>,
-    told: Cell<Option<Instant>>,
+    /// Owned engines whose claims were lost in a restore.
+    pub(crate) lost_claims: RefCell<HashMap<UpstreamId, Rc<OwnedEngine>>>,
+    /// Whether to call the store at once, because another node knows of a later era.
+    is_store_call_due: Cell<bool>,
+    settled_revision: Cell<Revision>,
+    is_hold_back_logged: Cell<bool>,
+    announced_at: Cell<Option<Instant>>,
 }
 
 impl Eras {
     pub(crate) fn new(rules: OwnershipRules, is_first_start: bool) -> Self {
         Self {
             watch: RefCell::new(EraWatch::new(rules.wait(), is_first_start)),
-            lapsed: RefCell::default(),
-            is_to_ask: Cell::default(),
-            mark_revision: Cell::default(),
-            is_held_logged: Cell::default(),
-            told: Cell::default(),
+            lost_claims: RefCell::default(),
+            is_store_call_due: Cell::default(),
+            settled_revision: Cell::default(),
+            is_hold_back_logged: Cell::default(),
+            announced_at: Cell::default(),
         }
     }
 
-    /// Whether the store is to be asked at once. Told once.
-    pub(crate) fn is_to_ask(&self) -> bool {
-        self.is_to_ask.take()
+    /// Whether to call the store at once. Reading this resets it.
+    pub(crate) fn is_store_call_due(&self) -> bool {
+        self.is_store_call_due.take()
     }
 
-    /// Whether no claim of an earlier era holds any more.
+    /// Whether all claims of earlier eras have expired.
     pub(crate) fn is_settled(&self) -> bool {
         self.watch.borrow().is_settled(boot_time())
     }
 
-    /// Whether the node waits for another one's word before it claims anything.
+    /// Whether this node waits for another node's update about the store era before it claims
+    /// anything.
     pub(crate) fn awaits_word(&self) -> bool {
         self.watch.borrow().awaits_word(boot_time())
     }
 
-    /// Takes in that all that the store shows comes next.
-    pub(crate) fn begin_whole(&self) {
-        self.mark_revision.set(Revision::NONE);
+    /// Called before all keys are read again.
+    pub(crate) fn begin_snapshot(&self) {
+        self.settled_revision.set(Revision::NONE);
     }
 }
 
-impl Knowledge {
-    /// Looks whether the store has told of a later era.
+impl ControlState {
+    /// Checks whether the store has reported a later store era.
     pub(crate) fn check_era(&self) {
-        self.note_era(self.store.era());
+        self.record_era(self.store.era());
     }
 
-    /// Takes in the era that the store is in.
-    pub(crate) fn note_era(&self, era: Option<StoreEra>) {
+    /// Records the current store era.
+    pub(crate) fn record_era(&self, era: Option<StoreEra>) {
         let rise = self.eras.watch.borrow_mut().see(era, boot_time());
         if let Some(era) = era {
             self.shared.metrics.store_era(era);
@@ -102,10 +106,10 @@
         for engine in owned.values() {
             engine.ownership.borrow_mut().lapse(now);
         }
-        self.eras.lapsed.borrow_mut().extend(owned);
-        let was_lending = self.lapse_lender(now);
-        self.returning.note_restored();
-        self.eras.is_to_ask.set(true);
+        self.eras.lost_claims.borrow_mut().extend(owned);
+        let was_lending = self.lose_lender_claim(now);
+        self.returning_nodes.record_restored();
+        self.eras.is_store_call_due.set(true);
         log_event!(
             self.log, Event::StoreEraRose,
             "from" => rise.from.0, "to" => rise.to.0, "engines" => engines,
@@ -113,9 +117,10 @@
         );
     }
 
-    /// Drops an engine whose claim went with the store's history, as another node has claimed it or it is listed no more.
-    pub(crate) fn forget_lapsed(&self, engine: &UpstreamId, why: &str) {
-        if self.eras.lapsed.borrow_mut().remove(engine).is_some() {
+    /// Drops an engine whose claim was lost in a restore, because another node has claimed it
+    /// since.
+    pub(crate) fn drop_lost_claim(&self, engine: &UpstreamId, why: &str) {
+        if self.eras.lost_claims.borrow_mut().remove(engine).is_some() {
             log_event!(
                 self.log, Event::EngineReleased,
                 "upstream" => engine.to_string(), "why" => why.to_owned()
@@ -123,11 +128,11 @@
         }
     }
 
-    /// Takes in the store's mark.
-    pub(crate) fn take_mark(&self, item: &Item) {
-        self.eras.mark_revision.set(item.revision);
-        match serde_json::from_slice::<Mark>(&item.value) {
-            Ok(mark) => self.eras.watch.borrow_mut().take_mark(mark.era),
+    /// Applies the settled era from the store.
+    pub(crate) fn apply_settled_era(&self, item: &Item) {
+        self.eras.settled_revision.set(item.revision);
+        match serde_json::from_slice::<SettledEra>(&item.value) {
+            Ok(settled) => self.eras.watch.borrow_mut().take_mark(settled.era),
             Err(error) => log_event!(
                 self.log, Event::MessageUndecodable,
                 "key" => item.key.to_string(), "problem" => error.to_string()
@@ -135,91 +140,96 @@
         }
     }
 
-    /// Whether the node goes by the operators' text that it knows.
-    pub(crate) fn goes_by_text(&self) -> bool {
+    /// Whether this node uses the operators' configuration that it has read. The store may have
+    /// been restored from an older copy, so a node that starts first waits until it has caught up
+    /// with the other nodes.
+    pub(crate) fn uses_config(&self) -> bool {
         let mut watch = self.eras.watch.borrow_mut();
         if watch.has_text() {
             return true;
         }
-        let known = self.text_known();
-        let goes_by = known.configuration > 0 && watch.goes_by(known, boot_time());
-        if watch.is_behind(known) && !self.eras.is_held_logged.replace(true) {
+        let known = self.config_known();
+        let uses_config = known.configuration > 0 && watch.goes_by(known, boot_time());
+        if watch.is_behind(known) && !self.eras.is_hold_back_logged.replace(true) {
             log_event!(
                 self.log, Event::TextHeldBack,
                 "version" => known.configuration
             );
         }
-        goes_by
+        uses_config
     }
 
-    /// Goes by the operators' text from now on, if nothing holds it back any more.
-    pub(crate) fn look_at_text(&self) {
-        let has_text = self.eras.watch.borrow().has_text();
-        if !has_text && self.goes_by_text() {
+    /// Starts using the operators' configuration, if nothing prevents it any more.
+    pub(crate) fn check_config(&self) {
+        let uses_config = self.eras.watch.borrow().has_text();
+        if !uses_config && self.uses_config() {
             self.publish();
         }
     }
 
-    /// What this node tells others of the store; nothing while it waits to hear from them itself.
-    pub(crate) fn era_told(&self) -> Option<EraTold> {
+    /// What this node tells others about the store era; `None` while it is itself waiting for their
+    /// updates.
+    pub(crate) fn era_update(&self) -> Option<EraTold> {
         let watch = self.eras.watch.borrow();
-        watch.told(self.text_known(), boot_time())
+        watch.told(self.config_known(), boot_time())
     }
 
-    /// Takes in what another node tells of the store.
-    pub(crate) fn take_era_told(&self, told: EraTold) {
-        let is_newer = self.eras.watch.borrow_mut().take_told(told, boot_time());
+    /// Applies another node's update about the store era.
+    pub(crate) fn apply_era_update(&self, update: EraTold) {
+        let is_newer = self.eras.watch.borrow_mut().take_told(update, boot_time());
         if is_newer {
-            self.eras.is_to_ask.set(true);
+            self.eras.is_store_call_due.set(true);
         }
     }
 
-    /// Whom to ask what they know of the store.
-    pub(super) fn era_asks(&self) -> Vec<SocketAddr> {
+    /// The nodes to ask about the store era.
+    pub(super) fn era_query_targets(&self) -> Vec<SocketAddr> {
         match self.eras.watch.borrow().asks(boot_time()) {
-            true => some_others(self),
+            true => random_nodes(self),
             false => Vec::new(),
         }
     }
 
-    /// Whom to tell now of an era that rose lately.
-    pub(super) fn era_news(&self) -> Vec<SocketAddr> {
-        let told = self.eras.told.get();
-        let is_due = told.is_none_or(|told| told.elapsed() >= TELL_INTERVAL);
+    /// The nodes to tell now of a recent restore.
+    pub(super) fn era_announcement_targets(&self) -> Vec<SocketAddr> {
+        let announced_at = self.eras.announced_at.get();
+        let is_due = announced_at.is_none_or(|at| at.elapsed() >= ANNOUNCE_INTERVAL);
         if !is_due || !self.eras.watch.borrow().is_news(boot_time()) {
             return Vec::new();
         }
-        self.eras.told.set(Some(Instant::now()));
-        some_others(self)
+        self.eras.announced_at.set(Some(Instant::now()));
+        random_nodes(self)
     }
 }
 
-/// Marks the era at the store once all is as it was, if this node reads the store for others.
-pub(crate) async fn mark_era(knowledge: &Knowledge) {
-    let is_behind = knowledge.shown.is_behind(knowledge.configuration_version());
+/// Writes the era to the store once it is settled, if this node reads the store for others.
+pub(crate) async fn write_settled_era(control: &ControlState) {
+    let is_behind = control
+        .stored_config
+        .is_behind(control.configuration_version());
     let due = {
-        let watch = knowledge.eras.watch.borrow();
+        let watch = control.eras.watch.borrow();
         watch.mark_due(is_behind, boot_time())
     };
-    let Some(era) = due.filter(|_| knowledge.reader().is_none()) else {
+    let Some(era) = due.filter(|_| control.reader().is_none()) else {
         return;
     };
     let txn = Txn {
         expects: vec![Expect {
-            key: MARK_KEY.into(),
-            revision: knowledge.eras.mark_revision.get(),
+            key: SETTLED_ERA_KEY.into(),
+            revision: control.eras.settled_revision.get(),
         }],
         puts: vec![Put {
-            key: MARK_KEY.into(),
-            value: to_json(&Mark { era }),
+            key: SETTLED_ERA_KEY.into(),
+            value: to_json(&SettledEra { era }),
             lease: LeaseId::NONE,
         }],
         ..Txn::default()
     };
-    // A mark that another node wrote first shows up in the watch.
-    if let Ok(revision) = knowledge.store.commit(txn).await {
-        knowledge.eras.mark_revision.set(revision);
-        knowledge.eras.watch.borrow_mut().take_mark(era);
-        log_event!(knowledge.log, Event::StoreEraSettled, "era" => era.0);
+    // If another node wrote the key first, the watch delivers it.
+    if let Ok(revision) = control.store.commit(txn).await {
+        control.eras.settled_revision.set(revision);
+        control.eras.watch.borrow_mut().take_mark(era);
+        log_event!(control.log, Event::StoreEraSettled, "era" => era.0);
     }
 }
--- /dev/null
+++ b/crates/relay-node/src/control/leaving_gossip.rs
@@ -0,0 +1,130 @@
+//! Upstreams that announce that they are leaving: how this node applies that, and which nodes it
+//! tells.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use nutmegsail_base::UpstreamId;
+use nutmegsail_relay::{RestSaid, Upstream};
+use nutmegsail_telemetry::{Event, log_event};
+
+use super::control_state::ControlState;
+use super::suspect_gossip::random_nodes;
+use crate::OwnWord;
+
+/// How often all leaving upstreams are sent to a few random nodes, for nodes that started or were
+/// reachable only later.
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
+
+/// In how many intervals a new announcement is sent, each time to other random nodes, so that it
+/// reaches all nodes of a large fleet within a second.
+const NEW_SENDS: u8 = 4;
+
+/// Upstreams per datagram, at some 30 bytes each.
+const UPSTREAMS_PER_DATAGRAM: usize = 30;
+
+/// Which announcements this node has applied and sent.
+#[derive(Debug, Default)]
+pub(crate) struct LeavingGossip {
+    /// The number of announcements that were applied.
+    applied: u64,
+    sends_left: u8,
+    sent_at: Option<Instant>,
+}
+
+impl LeavingGossip {
+    /// Applies new announcements, and returns the messages to send now with their addresses.
+    pub(super) fn next_messages(
+        &mut self,
+        control: &ControlState,
+    ) -> Vec<(Vec<UpstreamId>, SocketAddr)> {
+        let leavings = control.shared.notices().leavings();
+        if std::mem::replace(&mut self.applied, leavings) != leavings {
+            control.mark_leaving();
+            self.sends_left = NEW_SENDS;
+        }
+        let now = Instant::now();
+        let is_resend_due = |at| now.duration_since(at) >= RESEND_INTERVAL;
+        if self.sends_left == 0 && !self.sent_at.is_none_or(is_resend_due) {
+            return Vec::new();
+        }
+        self.sends_left = self.sends_left.saturating_sub(1);
+        self.sent_at = Some(now);
+        let leaving = control.listed_leaving();
+        let to = random_nodes(control);
+        let parts = leaving.chunks(UPSTREAMS_PER_DATAGRAM);
+        parts
+            .flat_map(|part| to.iter().map(|to| (part.to_vec(), *to)))
+            .collect()
+    }
+}
+
+impl ControlState {
+    /// Whether an upstream is listed and neither the list nor the upstream itself says that it is
+    /// leaving.
+    pub(crate) fn is_to_stay(&self, id: &UpstreamId) -> bool {
+        let upstream = self.upstream(id);
+        upstream.is_some_and(|upstream| upstream.takes_work())
+            && !self.shared.notices().is_leaving(id)
+    }
+
+    /// Adds an upstream's own announcement that it is leaving to its listed state.
+    pub(crate) fn with_own_notice(&self, upstream: Upstream) -> Upstream {
+        match self.shared.notices().is_leaving(&upstream.id) {
+            true => upstream.leaving(),
+            false => upstream,
+        }
+    }
+
+    /// Applies announcements that other nodes sent.
+    pub(crate) fn apply_leaving(&self, upstreams: &[UpstreamId]) {
+        for upstream in upstreams {
+            self.note_leaving(upstream, "node");
+        }
+    }
+
+    /// Applies what an engine says about itself in an answer to its owner.
+    pub(super) fn apply_engine_notice(&self, engine: &UpstreamId, notice: OwnWord) {
+        if notice.is_leaving {
+            self.note_leaving(engine, "engine");
+        }
+        if let RestSaid::For(rest) = notice.rest {
+            let (mut notices, now) = (self.shared.notices(), Instant::now());
+            notices.note_rest(engine, rest, now, &mut rand::rng());
+        }
+    }
+
+    /// Whether an upstream has asked this node to back off for now.
+    pub(crate) fn is_resting(&self, upstream: &UpstreamId) -> bool {
+        let notices = self.shared.notices();
+        notices.is_resting(upstream, Instant::now())
+    }
+
+    fn note_leaving(&self, upstream: &UpstreamId, told_by: &str) {
+        let is_new = self.shared.notices().note_leaving(upstream, Instant::now());
+        if is_new {
+            log_event!(
+                self.log, Event::UpstreamLeaving,
+                "upstream" => upstream.to_string(), "told_by" => told_by.to_owned()
+            );
+        }
+    }
+
+    /// Applies the announcements of listed upstreams.
+    fn mark_leaving(&self) {
+        for id in self.listed_leaving() {
+            let mut upstreams = self.upstreams.borrow_mut();
+            if let Some(upstream) = upstreams.get_mut(&id) {
+                *upstream = Arc::new(Upstream::clone(upstream).leaving());
+            }
+        }
+        self.publish();
+    }
+
+    fn listed_leaving(&self) -> Vec<UpstreamId> {
+        let (notices, upstreams) = (self.shared.notices(), self.upstreams.borrow());
+        let leaving = notices.leaving().filter(|id| upstreams.contains_key(*id));
+        leaving.cloned().collect()
+    }
+}
--- a/crates/relay-node/src/control/model_demand.rs
+++ b/crates/relay-node/src/control/model_demand.rs
@@ -1,10 +1,10 @@
-//! What callers ask of each base model, summed over all nodes.
+//! The demand for each base model, summed over all nodes.
 //!
-//! A node sees only its own callers, and an engine's owner only requests for what the engine holds. A
-//! model that no engine holds would be asked for everywhere and known nowhere. So each node tells the
-//! node that reads the store for its failure domain; that one tells the sum to its domain and to the
-//! readers of the others. A node's messages do not grow with the fleet, and nothing is told of services
-//! with one model.
+//! A node sees only its own callers' requests, and an engine's owner only those for models that the
+//! engine holds, so no node would see the total demand for a model that no engine holds. Each node
+//! therefore sends its demand to the node that reads the store for its failure domain; that reader
+//! sends the sum to its domain and to the readers of the other domains. The number of messages that
+//! a node sends does not grow with the fleet. Nothing is sent for services with a single model.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,118 +14,120 @@
 use nutmegsail_relay::{Demand, ModelDigest, readers_by_domain};
 use serde::{Deserialize, Serialize};
 
-use super::knowledge::Knowledge;
+use super::control_state::ControlState;
 
-/// In this time what was asked counts half. Some requests of a model that is seldom asked fall into it,
-/// and a model that callers turn to shows within a second.
+/// The half-life of demand: long enough to cover some requests for a rarely used model, short
+/// enough that a model newly in demand shows within a second.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// Whose callers asked.
+/// Whose demand a message contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Scope {
-    /// Those of one node, told to the reader of its failure domain.
+    /// That of one node, sent to the reader of its failure domain.
     Node,
-    /// Those of one failure domain, told to the readers of the others.
+    /// That of one failure domain, sent to the readers of the others.
     Domain,
-    /// Those of all nodes, told by a reader to its failure domain.
+    /// That of all nodes, sent by a reader to its failure domain.
     Fleet,
 }
 
-/// What was asked since the last message.
+/// Demand since the last message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct ModelsAsked {
+pub(crate) struct ModelDemandUpdate {
     scope: Scope,
-    /// For how long the requests for each model take up an engine, in milliseconds.
+    /// Engine time taken up by the requests for each model, in milliseconds.
     models: Vec<(ModelDigest, f32)>,
 }
 
-type Sums = HashMap<ModelDigest, f32>;
+type DemandSums = HashMap<ModelDigest, f32>;
 
-/// What callers ask of each base model.
+/// The demand for each base model.
 #[derive(Debug)]
 pub(crate) struct ModelDemand {
-    /// Of all nodes, as far as was told, in milliseconds of engines.
+    /// Demand from all nodes as far as reported, in milliseconds of engine time.
     demand: Demand<ModelDigest>,
-    /// Of this failure domain, not told yet.
-    near: Sums,
-    /// Of the other failure domains, not told yet.
-    far: Sums,
+    /// Demand from this failure domain that was not sent yet.
+    local: DemandSums,
+    /// Demand from the other failure domains that was not sent yet.
+    remote: DemandSums,
 }
 
 impl Default for ModelDemand {
     fn default() -> Self {
         Self {
             demand: Demand::new(HALF_LIFE),
-            near: Sums::new(),
-            far: Sums::new(),
+            local: DemandSums::new(),
+            remote: DemandSums::new(),
         }
     }
 }
 
 impl ModelDemand {
-    /// The work that there is for a model, in engines.
+    /// The number of engines that the demand for a model keeps busy.
     pub(crate) fn work(&self, model: ModelDigest, now: Instant) -> f64 {
         self.demand.rate_per_s(&model, now) / 1_000.0
     }
 
-    /// What is to be told now, and where to, with what callers of this node asked.
-    pub(crate) fn turn(
+    /// The messages to send now, with their addresses, including `own` demand from this node's
+    /// callers.
+    pub(crate) fn next_messages(
         &mut self,
-        knowledge: &Knowledge,
+        control: &ControlState,
         own: Vec<(ModelDigest, f32)>,
-    ) -> Vec<(ModelsAsked, SocketAddr)> {
-        if let Some((_, reader)) = knowledge.reader() {
-            self.near.clear();
-            self.far.clear();
+    ) -> Vec<(ModelDemandUpdate, SocketAddr)> {
+        if let Some((_, reader)) = control.reader() {
+            self.local.clear();
+            self.remote.clear();
             let scope = Scope::Node;
             return match own.is_empty() {
                 true => Vec::new(),
-                false => vec![(ModelsAsked { scope, models: own }, reader)],
+                false => vec![(ModelDemandUpdate { scope, models: own }, reader)],
             };
         }
-        add(&mut self.near, &own);
-        let (near, far) = (
-            std::mem::take(&mut self.near),
-            std::mem::take(&mut self.far),
+        add(&mut self.local, &own);
+        let (local, remote) = (
+            std::mem::take(&mut self.local),
+            std::mem::take(&mut self.remote),
         );
-        let near: Vec<_> = near.into_iter().collect();
-        let all: Vec<_> = near.iter().copied().chain(far).collect();
+        let local: Vec<_> = local.into_iter().collect();
+        let all: Vec<_> = local.iter().copied().chain(remote).collect();
         if all.is_empty() {
             return Vec::new();
         }
         self.count(&all);
-        let nodes = knowledge.nodes.borrow();
-        let (here, me) = (&knowledge.settings.failure_domain, &knowledge.settings.node);
-        let others = nodes.values().filter(|node| node.node != *me);
-        let (beside, far): (Vec<_>, Vec<_>) = others.partition(|node| node.failure_domain == *here);
-        let asked = |scope, models: &Vec<_>| ModelsAsked {
+        let nodes = control.nodes.borrow();
+        let (own_domain, own_node) = (&control.settings.failure_domain, &control.settings.node);
+        let others = nodes.values().filter(|node| node.node != *own_node);
+        let (local_nodes, remote): (Vec<_>, Vec<_>) =
+            others.partition(|node| node.failure_domain == *own_domain);
+        let update = |scope, models: &Vec<_>| ModelDemandUpdate {
             scope,
             models: models.clone(),
         };
-        let to_domain = beside.iter().map(|node| node.address);
-        let mut sends: Vec<_> = to_domain
-            .map(|address| (asked(Scope::Fleet, &all), address))
+        let to_domain = local_nodes.iter().map(|node| node.address);
+        let mut messages: Vec<_> = to_domain
+            .map(|address| (update(Scope::Fleet, &all), address))
             .collect();
-        if !near.is_empty() {
-            // Only the one that reads keeps what it is told.
-            let readers = readers_by_domain(far).into_values().flatten();
-            sends.extend(readers.map(|node| (asked(Scope::Domain, &near), node.address)));
+        if !local.is_empty() {
+            // Sent to all candidate readers, as only the active one keeps it.
+            let readers = readers_by_domain(remote).into_values().flatten();
+            messages.extend(readers.map(|node| (update(Scope::Domain, &local), node.address)));
         }
-        sends
+        messages
     }
 
-    /// Takes in what a node of `domain` told a node of `here`.
-    pub(crate) fn take(
+    /// Applies a message from a node in `domain`, received in the domain `own_domain`.
+    pub(crate) fn apply(
         &mut self,
-        here: &FailureDomain,
+        own_domain: &FailureDomain,
         domain: &FailureDomain,
-        asked: &ModelsAsked,
+        update: &ModelDemandUpdate,
     ) {
-        match asked.scope {
-            Scope::Node if domain == here => add(&mut self.near, &asked.models),
-            Scope::Domain if domain != here => add(&mut self.far, &asked.models),
-            Scope::Fleet if domain == here => self.count(&asked.models),
-            // The sender took this node for one of another failure domain.
+        match update.scope {
+            Scope::Node if domain == own_domain => add(&mut self.local, &update.models),
+            Scope::Domain if domain != own_domain => add(&mut self.remote, &update.models),
+            Scope::Fleet if domain == own_domain => self.count(&update.models),
+            // The sender has a wrong failure domain on record for this node.
             Scope::Node | Scope::Domain | Scope::Fleet => {}
         }
     }
@@ -138,7 +140,7 @@
     }
 }
 
-fn add(sums: &mut Sums, models: &[(ModelDigest, f32)]) {
+fn add(sums: &mut DemandSums, models: &[(ModelDigest, f32)]) {
     for (model, engine_ms) in models {
         *sums.entry(*model).or_default() += engine_ms;
     }
--- a/crates/relay-node/src/control/returning_nodes.rs
+++ b/crates/relay-node/src/control/returning_nodes.rs
@@ -1,4 +1,5 @@
-//! Nodes that the store lists no more after it came back from a copy, and that are listed anew in a moment.
+//! Nodes missing from the store after it was restored from an older copy, which usually register
+//! again soon.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -6,27 +7,27 @@
 
 use nutmegsail_base::NodeId;
 
-use super::knowledge::Knowledge;
+use super::control_state::ControlState;
 
-/// How long nodes may take to be listed anew: three renewals of leases.
+/// How long nodes have to register again: three lease renewals.
 const RETURN_TIME: Duration = Duration::from_millis(3_600);
 
-/// Nodes that are kept though the store does not list them.
+/// Nodes that are kept although the store does not list them.
 #[derive(Debug, Default)]
 pub(crate) struct ReturningNodes {
-    /// When the store came back from a copy.
+    /// When the store was last restored from an older copy.
     restored: Cell<Option<Instant>>,
     missing: RefCell<HashMap<NodeId, Instant>>,
 }
 
 impl ReturningNodes {
-    /// Takes in that the store came back from a copy.
-    pub(crate) fn note_restored(&self) {
+    /// Records that the store was restored from an older copy.
+    pub(crate) fn record_restored(&self) {
         self.restored.set(Some(Instant::now()));
     }
 
-    /// Takes in that a node is not listed any more. Returns whether it is kept.
-    pub(crate) fn note_missing(&self, node: &NodeId) -> bool {
+    /// Records that a node is no longer listed. Returns whether it is kept for now.
+    pub(crate) fn record_missing(&self, node: &NodeId) -> bool {
         let restored = self.restored.get();
         let is_kept = restored.is_some_and(|restored| restored.elapsed() < RETURN_TIME);
         if is_kept {
@@ -36,16 +37,16 @@
         is_kept
     }
 
-    /// Takes in that a node is listed.
-    pub(crate) fn note_listed(&self, node: &NodeId) {
+    /// Records that a node is listed.
+    pub(crate) fn record_listed(&self, node: &NodeId) {
         self.missing.borrow_mut().remove(node);
     }
 }
 
-impl Knowledge {
-    /// Drops nodes that were not listed anew in time.
-    pub(crate) fn forget_missing_nodes(&self) {
-        let mut missing = self.returning.missing.borrow_mut();
+impl ControlState {
+    /// Drops nodes that have not registered again in time.
+    pub(crate) fn drop_missing_nodes(&self) {
+        let mut missing = self.returning_nodes.missing.borrow_mut();
         missing.retain(|node, since| {
             let is_gone = since.elapsed() >= RETURN_TIME;
             if is_gone {
