--- a/crates/relay-node/src/dialect.rs
+++ b/crates/relay-node/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What a platform's adapter translates.
+//! The interface to a platform's protocol: its headers, paths, keys and formats.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -10,227 +10,228 @@
 };
 use thiserror::Error;
 
-/// What a caller's headers say.
+/// The information in a caller's headers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallMeta {
-    /// The id of this attempt of the caller.
+    /// The caller's id for this attempt.
     pub request_id: Option<HeaderValue>,
-    /// The key that tells the caller's team.
+    /// The API key, which identifies the caller's team.
     pub key: CallerKey,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub deadline: Option<Duration>,
-    /// The model that is asked for.
+    /// The requested model.
     pub model: Option<ModelRef>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the prompt and, at most, of the answer, if they are stated.
+    /// Number of tokens in the prompt and at most in the answer, if stated.
     pub all_tokens: Option<u32>,
-    /// The parts of the prompt, as far as they are told.
+    /// The parts of the prompt that the caller listed.
     pub prompt_parts: Vec<PromptPart>,
 }
 
-/// What is told to an upstream beside what the caller sent.
+/// The information that is sent to an upstream in addition to the caller's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SendMeta<'a> {
     /// How long the caller still waits.
     pub remaining: Duration,
-    /// The name of the upstream that is meant; another one at the address refuses.
+    /// The name of the intended upstream; another one at the address refuses the request.
     pub upstream: &'a str,
     /// The name of the caller's team.
     pub team: Option<&'a str>,
-    /// The version of the model that is meant.
+    /// The version of the model that has to be used.
     pub version: Option<u64>,
-    /// The rank among requests in the engine; 0 is first.
+    /// The priority among the requests in the engine; 0 goes first.
     pub priority: Option<u8>,
 }
 
-/// What an upstream's answer says about the request.
+/// How an upstream's answer treats the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It answered.
+    /// The upstream answered it.
     Answered,
-    /// It has no room; the request did not run.
+    /// The upstream had no capacity and did not run the request.
     Full,
-    /// It is another upstream, or does not hold the model; the request did not run.
+    /// Another upstream is at the address, or it does not hold the model; the request did not run.
     Misdirected,
 }
 
-/// The head of an upstream's answer.
+/// The information in the head of an upstream's answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnswerMeta {
-    /// The id of the request that it answers.
+    /// The id of the request that is answered.
     pub request_id: Option<HeaderValue>,
-    /// What it says about the request.
+    /// How the request was treated.
     pub verdict: Verdict,
-    /// Whether it carries the upstream's signature, without which it is not the upstream's own.
+    /// Whether the answer has the upstream's signature. One without it was not produced by the
+    /// upstream.
     pub is_sealed: bool,
-    /// The name of the upstream that answered, if it says so.
+    /// The name of the upstream that answered, if stated.
     pub upstream: Option<HeaderValue>,
-    /// What the upstream says of itself.
+    /// What the upstream states about itself.
     pub own: OwnWord,
 }
 
-/// What an upstream says of itself in the head of any answer.
+/// What an upstream states about itself in the head of any answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OwnWord {
-    /// Whether it leaves.
+    /// Whether it is leaving, that is, about to stop.
     pub is_leaving: bool,
-    /// For how long it wants nothing more from this node.
+    /// For how long it asks this node to send it nothing more.
     pub rest: RestSaid,
-    /// The rate that it limits all nodes to.
+    /// Its rate limit for all nodes together.
     pub limit: LimitSaid,
 }
 
-/// What an engine reports about itself.
+/// The content of an engine's report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineState {
-    /// When its process started, in milliseconds of Unix time, if it says so.
+    /// When its process started, in milliseconds of Unix time, if stated.
     pub started_ms: Option<u64>,
-    /// Orders that it has accepted.
+    /// The number of orders that it has accepted.
     pub order_seq: u64,
-    /// What it holds.
+    /// The models and adapters that it holds.
     pub holdings: Holdings,
-    /// Adapters on their way to it.
+    /// Adapters that are being loaded into it.
     pub coming: Vec<ModelRef>,
     /// Whether an order is being carried out.
     pub is_busy: bool,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub queued: u32,
 }
 
-/// What an engine is ordered to do.
+/// What an order asks an engine to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderStep {
-    /// Bring a model or an adapter, in a version if one is given.
+    /// Load a model or an adapter, in the given version if there is one.
     Load(ModelRef, Option<u64>),
-    /// Drop it.
+    /// Unload a model or an adapter.
     Unload(ModelRef),
 }
 
 /// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order<'a> {
-    /// What to do.
+    /// What the engine should do.
     pub step: OrderStep,
-    /// The name of the engine that is meant.
+    /// The name of the intended engine.
     pub upstream: &'a str,
-    /// Orders that it has accepted; it refuses if that differs.
+    /// The number of orders that the engine must have accepted so far; otherwise it refuses.
     pub expected_seq: u64,
-    /// Who orders.
+    /// The name of the node that sends the order.
     pub holder: &'a str,
-    /// The holder's fencing number.
+    /// The fencing number of that node.
     pub fence: u64,
 }
 
-/// A call to an engine as it goes out.
+/// An HTTP request to an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineCall {
     /// The method.
     pub method: Method,
     /// The path.
     pub path: &'static str,
-    /// Headers.
+    /// The headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
 }
 
-/// What an engine said to an order.
+/// An engine's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is carrying the order out.
+    /// The engine is carrying out the order.
     Accepted,
-    /// The order is carried out already.
+    /// The order had already been carried out.
     Done,
-    /// Another order is under way, or the engine has accepted others meanwhile.
+    /// Another order is in progress, or the engine has accepted other orders in the meantime.
     Conflict,
-    /// It has seen a higher fencing number.
+    /// The engine has seen a higher fencing number.
     Fenced,
-    /// It does not know what is meant, or another upstream is at the address.
+    /// The engine does not know the model or adapter, or another upstream is at the address.
     Refused,
 }
 
-/// A version of a model or adapter that was named.
+/// A version of a model or adapter that operators have released.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedVersion {
-    /// What it is a version of.
+    /// The model or adapter.
     pub model: ModelRef,
     /// The version.
     pub version: u64,
 }
 
-/// A header that cannot be read.
+/// A header that could not be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("the header {header} cannot be read: {problem}")]
 pub struct BadHeader {
-    /// The header.
+    /// The name of the header.
     pub header: &'static str,
-    /// What is wrong.
+    /// Why it could not be read.
     pub problem: String,
 }
 
-/// A value of the store or a body of an upstream that cannot be read.
+/// A stored value or an upstream's body that could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{what} cannot be read: {problem}")]
 pub struct DecodeError {
-    /// What was read.
+    /// What was being decoded.
     pub what: String,
-    /// What is wrong.
+    /// Why it could not be decoded.
     pub problem: String,
 }
 
-/// Names and formats of one platform. It translates and decides nothing.
+/// Translates the names and formats of one platform. It makes no decisions.
 pub trait Dialect: Send + Sync + Debug {
-    /// Reads a caller's headers, and takes the key out of them.
+    /// Reads a caller's headers, and removes the API key from them.
     ///
     /// # Errors
     ///
-    /// [`BadHeader`] for a value that cannot be read.
+    /// [`BadHeader`] for a header that cannot be read.
     fn read_call(&self, headers: &mut HeaderMap) -> Result<CallMeta, BadHeader>;
     /// Sets the headers of a request to an upstream.
     fn write_send(&self, headers: &mut HeaderMap, send: &SendMeta<'_>);
     /// Reads the head of an upstream's answer to a request.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMeta;
-    /// Reads what an upstream says of itself in the head of any answer.
+    /// Reads what an upstream states about itself in the head of any answer.
     fn read_own_word(&self, status: StatusCode, headers: &HeaderMap) -> OwnWord;
-    /// The path at which the platform asks whether the node takes callers.
+    /// The path of the platform's readiness check.
     fn ready_path(&self) -> &'static str;
-    /// Asks an engine for its report; another upstream at its address refuses.
+    /// Builds the request for an engine's report; another upstream at the address refuses it.
     fn write_report_call(&self, upstream: &str) -> EngineCall;
-    /// Reads an engine's report.
+    /// Decodes an engine's report.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] for a body that cannot be read, as for all that follow.
+    /// [`DecodeError`] for a body that cannot be decoded.
     fn decode_report(&self, body: &[u8]) -> Result<EngineState, DecodeError>;
-    /// Writes an order.
+    /// Builds the request that carries an order.
     fn write_order(&self, order: &Order<'_>) -> EngineCall;
-    /// Reads the answer to an order; nothing if it says neither yes nor no.
+    /// Reads the answer to an order; `None` if it does not tell whether the order was accepted.
     fn read_order_answer(&self, status: StatusCode) -> Option<OrderAnswer>;
-    /// The prefix of the keys that operators write.
+    /// The prefix of the store keys that operators write.
     fn operators_prefix(&self) -> &'static str;
-    /// The key of the configuration.
+    /// The store key of the configuration.
     fn configuration_key(&self) -> &'static str;
-    /// Reads the configuration.
+    /// Decodes the configuration.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] for a value that cannot be read.
+    /// [`DecodeError`] for a value that cannot be decoded.
     fn decode_configuration(&self, value: &[u8]) -> Result<RouteTable, DecodeError>;
-    /// Reads another of the operators' keys; nothing if it names no version.
+    /// Decodes another key of the operators; `None` if it is not about a version.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] for a value that cannot be read.
+    /// [`DecodeError`] for a value that cannot be decoded.
     fn decode_version(&self, key: &str, value: &[u8]) -> Result<Option<NamedVersion>, DecodeError>;
-    /// The prefix of the upstreams' keys.
+    /// The prefix of the store keys of upstreams.
     fn upstreams_prefix(&self) -> &'static str;
-    /// Reads an upstream's entry.
+    /// Decodes an upstream's entry.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] for a value that cannot be read.
+    /// [`DecodeError`] for a value that cannot be decoded.
     fn decode_upstream(&self, key: &str, value: &[u8]) -> Result<UpstreamEntry, DecodeError>;
 }
--- a/crates/relay-node/src/lib.rs
+++ b/crates/relay-node/src/lib.rs
@@ -1,8 +1,9 @@
-//! A node that passes requests on unchanged, by host and path.
+//! A node that routes requests to upstreams by host and path, and forwards them unchanged.
 //!
-//! It owns sockets, threads and clocks; what to do is decided in `nutmegsail-relay`, and how the
-//! platform speaks is behind [`Dialect`]. The control thread watches the store and orders loads;
-//! the traffic thread carries requests and chooses their upstreams. Start at [`RelayNode::start`].
+//! This crate holds the sockets, threads and clocks. Decisions are made in `nutmegsail-relay`, and
+//! the platform's protocol is behind [`Dialect`]. The control thread watches the store and orders
+//! loads; the traffic thread chooses upstreams and forwards requests. Start reading at
+//! [`RelayNode::start`].
 
 mod clock;
 mod control;
@@ -17,8 +18,8 @@
 mod traffic;
 mod traffic_message;
 
-/// How long opening a connection may take. A crossing takes some 1 ms; an upstream or a node behind
-/// a partition never answers, and meanwhile another one could.
+/// The timeout for opening a connection. A round trip takes about 1 ms. An upstream or node behind
+/// a network partition never answers, while another one could serve the request.
 const CONNECT_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(300);
 
 pub use dialect::{
--- a/crates/relay-node/src/metrics.rs
+++ b/crates/relay-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the node counts and measures.
+//! The node's metrics.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 
 use crate::team_metrics::TeamMetrics;
 
-/// Upper bounds of the buckets for times, in milliseconds: around the latency objectives of plain
-/// calls (150 ms) and streams (600 to 1,000 ms).
+/// Upper bounds of the histogram buckets for times, in milliseconds. They are finest around the
+/// latency objectives of plain calls (150 ms) and streams (600 to 1,000 ms).
 const TIME_MS: [f64; 12] = [
     5.0, 20.0, 50.0, 100.0, 150.0, 250.0, 400.0, 600.0, 800.0, 1_000.0, 2_000.0, 5_000.0,
 ];
@@ -145,100 +145,102 @@
         }
     }
 
-    /// A request ended with a whole answer, or with `code`. `model` is the base model that it named, if the
-    /// configuration has it: any other name is a caller's, and there is no end of those.
+    /// Counts a request that ended with a complete answer, or with `code`. `model` is the base
+    /// model that it named, if the configuration has it: other names are made up by callers, and
+    /// their number has no limit.
     pub(crate) fn request_ended(&self, code: Option<ResultCode>, model: Option<&ModelRef>) {
         let attributes = [Some(result(code)), model.map(base_model)];
         let attributes: Vec<KeyValue> = attributes.into_iter().flatten().collect();
         self.requests.add(1, &attributes);
     }
 
-    /// A send came to something.
+    /// Counts a send by its outcome.
     pub(crate) fn sent(&self, outcome: &'static str) {
         self.sends.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// A send's first event came, `waited` after the request had arrived and `took` after the send.
+    /// Records the first event of a send, `waited` after the request arrived and `took` after the
+    /// send.
     pub(crate) fn first_event(&self, waited: Duration, took: Duration, model: Option<&ModelRef>) {
         let attributes: Vec<KeyValue> = model.map(base_model).into_iter().collect();
         self.wait.record(millis(waited), &attributes);
         self.first_event.record(millis(took), &[]);
     }
 
-    /// A load ended, or was not ordered; `result` says why.
+    /// Counts a load that ended or was not ordered; `result` gives the reason.
     pub(crate) fn load(&self, result: String) {
         self.loads.add(1, &[KeyValue::new("result", result)]);
     }
 
-    /// A report showed a load as done.
+    /// Counts a load that a report shows as done.
     pub(crate) fn load_done(&self, took: Duration) {
         self.load("done".to_owned());
         self.load_time.record(millis(took), &[]);
     }
 
-    /// The process did not run for a while.
+    /// Records a time during which the process did not run.
     pub(crate) fn stalled(&self, duration: Duration) {
         self.stall.record(millis(duration), &[]);
     }
 
-    /// The node's reader did not answer.
+    /// Counts a missing answer of the node that reads the store for this one.
     pub(crate) fn reader_silent(&self) {
         self.reader_silent.add(1, &[]);
     }
 
-    /// An upstream ended while requests began there.
+    /// Counts an upstream that ended while requests began there.
     pub(crate) fn upstream_ended(&self) {
         self.upstream_ends.add(1, &[]);
     }
 
-    /// Requests that are refused as upstreams ended under them, and others that upstreams ended under.
+    /// Records how many requests that crashed upstreams are refused, and how many are not.
     pub(crate) fn suspects(&self, refused: usize, others: usize) {
         let is_refused = |is: bool| [KeyValue::new("refused", is)];
         self.suspects.record(refused as u64, &is_refused(true));
         self.suspects.record(others as u64, &is_refused(false));
     }
 
-    /// A request was held back from an upstream for its limit.
+    /// Counts a request that was held back by an upstream's rate limit.
     pub(crate) fn held_back(&self) {
         self.held_back.add(1, &[]);
     }
 
-    /// How many upstreams limit the requests that they take.
+    /// Records the number of rate-limited upstreams.
     pub(crate) fn limited_upstreams(&self, upstreams: usize) {
         self.limited_upstreams.record(upstreams as u64, &[]);
     }
 
-    /// Takes in how many upstreams leave, and how many rest.
+    /// Records how many upstreams are leaving, and how many have asked for back-off.
     pub(crate) fn notices(&self, leaving: usize, resting: usize) {
         self.leaving_upstreams.record(leaving as u64, &[]);
         self.resting_upstreams.record(resting as u64, &[]);
     }
 
-    /// Takes in whether engines are owned otherwise than they should be.
+    /// Records whether engines are owned in a way that they should not be.
     pub(crate) fn owner_concern(&self, concern: &OwnershipConcern, is_on: bool) {
         let concern = KeyValue::new("concern", concern.to_string());
         self.owner_concerns.record(u64::from(is_on), &[concern]);
     }
 
-    /// The era that the store is in.
+    /// Records the store's era, which rises when the store was restored from an older copy.
     pub(crate) fn store_era(&self, era: StoreEra) {
         self.store_era.record(era.0, &[]);
     }
 
-    /// What is known now.
+    /// Records the current configuration version and numbers of upstreams and owned engines.
     pub(crate) fn known(&self, configuration: u64, upstreams: usize, owned_engines: usize) {
         self.configuration.record(configuration, &[]);
         self.upstreams.record(upstreams as u64, &[]);
         self.owned_engines.record(owned_engines as u64, &[]);
     }
 
-    /// How many engines hold a base model now.
+    /// Records how many engines hold a base model.
     pub(crate) fn model_engines(&self, model: &str, engines: usize) {
         let model = KeyValue::new("model", model.to_owned());
         self.model_engines.record(engines as u64, &[model]);
     }
 
-    /// What holds when the page is asked for.
+    /// Records the values that are measured when the metrics page is rendered.
     pub(crate) fn asked(&self, connections: usize, store_age: Option<Duration>) {
         self.connections.record(connections as u64, &[]);
         if let Some(age) = store_age {
--- a/crates/relay-node/src/node.rs
+++ b/crates/relay-node/src/node.rs
@@ -1,4 +1,4 @@
-//! A running node.
+//! Starts and shuts down a node.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
 use crate::traffic::{self, Gateway, GatewayParts, Link};
 use crate::{Dialect, RelaySettings, ready};
 
-/// Why a node did not start.
+/// Why a node could not start.
 #[derive(Debug, Error)]
 pub enum RelayNodeError {
     /// An address could not be listened on.
@@ -34,7 +34,7 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The operating system's error.
         problem: std::io::Error,
     },
     /// The metrics page could not be set up.
@@ -48,17 +48,17 @@
     Control(std::io::Error),
 }
 
-/// How long a leaving node goes on as before, so that the platform stops sending callers: it
-/// notices after two questions, one a second.
+/// How long a node that shuts down keeps working as before, until the platform stops sending
+/// callers: it needs two readiness checks, one a second.
 const OUT_OF_ROTATION: Duration = Duration::from_millis(3_200);
 
-/// The end of the grace time that is left for the process itself to end.
+/// The last part of the grace period, left for the process to exit.
 const END_MARGIN: Duration = Duration::from_millis(500);
 
-/// How often a leaving node looks whether its last answers have ended.
+/// How often a node that shuts down checks whether its connections are closed.
 const LEAVING_STEP: Duration = Duration::from_millis(50);
 
-/// A running node. It lives on a `LocalSet`; its control side has a thread of its own.
+/// A running node. It runs on a `LocalSet`; its control part has its own thread.
 pub struct RelayNode {
     gateway: Rc<Gateway>,
     shared: Arc<Shared>,
@@ -71,7 +71,7 @@
 }
 
 impl RelayNode {
-    /// Opens the node's sockets and starts its threads. Call it within a `LocalSet`.
+    /// Opens the node's sockets and starts its threads. Must be called within a `LocalSet`.
     ///
     /// # Errors
     ///
@@ -165,13 +165,13 @@
         })
     }
 
-    /// Where callers connect.
+    /// The address on which callers connect.
     pub fn callers_address(&self) -> SocketAddr {
         self.callers_address
     }
 
-    /// Leaves: not ready first, then no connections without a request, then everything in progress
-    /// to its end, then engines and lease back.
+    /// Shuts down in order: reports not ready, closes connections without a request, waits for
+    /// requests in progress, and then releases the engines and the lease.
     pub async fn shutdown(self) {
         let began = Instant::now();
         log_event!(self.log, Event::NodeLeaving, "connections" => self.gateway.connections());
@@ -203,7 +203,7 @@
     listener.map_err(|problem| RelayNodeError::Listen { address, problem })
 }
 
-/// What the control thread takes with it.
+/// The arguments of the control thread.
 struct StartControl {
     settings: RelaySettings,
     store: Arc<dyn KeyValue>,
--- a/crates/relay-node/src/nodes_sockets.rs
+++ b/crates/relay-node/src/nodes_sockets.rs
@@ -5,17 +5,17 @@
 
 use tokio::net::{TcpListener, UdpSocket};
 
-/// How many free ports are tried, if any will do.
+/// How many free ports are tried if any port may be used.
 const PORTS_TRIED: usize = 16;
 
-/// A listener and a socket for datagrams at one address.
+/// A TCP listener and a UDP socket on the same address and port.
 pub(crate) struct NodesSockets {
     pub(crate) listener: TcpListener,
     pub(crate) datagrams: UdpSocket,
 }
 
 impl NodesSockets {
-    /// Opens both at `address`; with port 0 at a port that is free for both.
+    /// Opens both at `address`; port 0 selects a port that is free for both.
     pub(crate) async fn open(address: SocketAddr) -> io::Result<Self> {
         Self::open_with(address, UdpSocket::bind).await
     }
--- a/crates/relay-node/src/nodes_sockets/tests.rs
+++ b/crates/relay-node/src/nodes_sockets/tests.rs
@@ -1,4 +1,4 @@
-//! Ports that are free for one of the sockets only.
+//! Tests with ports that are free for only one of the two sockets.
 
 use std::cell::Cell;
 use std::io;
@@ -8,7 +8,8 @@
 
 use super::NodesSockets;
 
-/// Finds the first port taken, as if another process had a socket for datagrams there.
+/// Opens sockets at `address`; the first bind of the UDP socket fails, as if another process had
+/// one on that port. Also returns the number of binds.
 async fn open(address: &str) -> (io::Result<NodesSockets>, usize) {
     let binds = Cell::new(0);
     let bind = async |address: SocketAddr| match binds.replace(binds.get() + 1) {
@@ -20,7 +21,8 @@
     (opened, binds.get())
 }
 
-// Guards against a start that fails as another process's socket for datagrams has the port that was free for the listener.
+// Guards against a failed start: another process's UDP socket can have the port that was free for
+// the TCP listener.
 #[tokio::test]
 async fn another_port_is_tried_if_any_will_do() {
     let (opened, binds) = open("127.0.0.1:0").await;
@@ -35,7 +37,7 @@
 
 #[tokio::test]
 async fn a_given_port_is_tried_once() {
-    // No other test uses this address of the loopback, so no port of it is taken.
+    // No other test uses this loopback address, so all its ports are free.
     let (opened, binds) = open("127.77.33.1:7380").await;
     assert!(opened.is_err());
     assert_eq!(binds, 1);
--- a/crates/relay-node/src/ready.rs
+++ b/crates/relay-node/src/ready.rs
@@ -1,4 +1,4 @@
-//! Small pages that the platform asks for: whether the node takes callers, and its metrics.
+//! HTTP pages for the platform: readiness and metrics.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -16,13 +16,13 @@
 use crate::Dialect;
 use crate::shared::Shared;
 
-/// The path of the metrics.
+/// The path of the metrics page.
 const METRICS_PATH: &str = "/metrics";
 
-/// The type of the text format of metrics.
+/// The content type of the Prometheus text format.
 const METRICS_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Answers whether the node takes callers, until the task is dropped.
+/// Serves the readiness page until the task is dropped.
 pub(crate) async fn serve(listener: TcpListener, shared: Arc<Shared>, dialect: Arc<dyn Dialect>) {
     let answer = move |path: &str| {
         with_status(match path == dialect.ready_path() {
@@ -34,7 +34,7 @@
     serve_pages(listener, answer).await;
 }
 
-/// Answers with the metrics, until the task is dropped.
+/// Serves the metrics page until the task is dropped.
 pub(crate) async fn serve_metrics(listener: TcpListener, page: MetricsPage, shared: Arc<Shared>) {
     let answer = move |path: &str| {
         if path != METRICS_PATH {
@@ -65,7 +65,7 @@
     let answer = Arc::new(answer);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of descriptors for a moment; the connection waits in the kernel's queue.
+            // Out of file descriptors for a moment; the connection waits in the kernel's queue.
             tokio::time::sleep(crate::traffic::ACCEPT_PAUSE).await;
             continue;
         };
@@ -75,7 +75,7 @@
             async move { Ok::<_, Infallible>(answer) }
         });
         tokio::spawn(async move {
-            // An error here is a caller that went away.
+            // An error means that the client disconnected.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
--- a/crates/relay-node/src/settings.rs
+++ b/crates/relay-node/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a node that passes requests on, in TOML.
+//! A node's settings, in TOML.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Everything that differs from one node to the next.
+/// The settings of one node.
 ///
 /// ```
 /// use nutmegsail_relay_node::RelaySettings;
@@ -31,41 +31,41 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelaySettings {
-    /// The node's name, the same over restarts.
+    /// The node's name. It stays the same over restarts.
     pub node: NodeId,
-    /// Where it stands.
+    /// The failure domain in which the node runs.
     pub failure_domain: FailureDomain,
-    /// All failure domains, this one among them. Each lends a part of teams' quotas.
+    /// All failure domains, including this one. Each lends a part of the teams' quotas.
     #[serde(default)]
     pub failure_domains: Vec<FailureDomain>,
-    /// Where callers connect.
+    /// The address for callers.
     pub callers_address: SocketAddr,
-    /// Where the platform asks whether the node takes callers.
+    /// The address for the platform's readiness check.
     pub ready_address: SocketAddr,
-    /// Where other nodes connect.
+    /// The address for other nodes.
     pub nodes_address: SocketAddr,
-    /// Where metrics are served in the text format of metrics tools, under `/metrics`; nowhere if it is
-    /// left out.
+    /// The address for metrics, served under `/metrics` in the Prometheus text format. No metrics
+    /// are served if it is left out.
     #[serde(default)]
     pub metrics_address: Option<SocketAddr>,
-    /// Whether the whole system starts for the first time, so that no engine had an owner yet.
+    /// Whether the whole system starts for the first time, so that no engine can have had an owner.
     #[serde(default)]
     pub is_first_start: bool,
-    /// The store.
+    /// The key-value store.
     pub store: StoreSettings,
-    /// Times that hold between the system and its surroundings.
+    /// Times and ratios agreed between operators and the platform.
     #[serde(default)]
     pub bounds: BoundSettings,
-    /// Logs.
+    /// Log settings.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Where the store is.
+/// Settings of the key-value store.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Its address.
+    /// The store's address.
     pub address: SocketAddr,
 }
 
@@ -73,29 +73,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BoundSettings {
-    /// How long a process may run on after SIGTERM, in seconds.
+    /// How long a process may keep running after SIGTERM, in seconds.
     pub grace_s: f64,
-    /// How long an upstream that leaves may still get requests, in milliseconds.
+    /// How long a leaving upstream may still get requests, in milliseconds.
     pub drain_ms: u64,
-    /// The distance in time between orders of two owners to one engine, in milliseconds.
+    /// The shortest time between orders of two successive owners to one engine, in milliseconds.
     pub hand_over_ms: u64,
-    /// How long after a new version was named requests may begin on the one before, in
+    /// How long requests may still start on the previous version after a new one was released, in
     /// milliseconds.
     pub version_ms: u64,
-    /// Further sends of requests, in proportion to first sends.
+    /// Retries as a fraction of first sends.
     pub retry_ratio: f64,
-    /// Further sends that are allowed besides in one window, over all nodes.
+    /// Retries allowed in addition in one window, over all nodes.
     pub retry_slack: f64,
     /// The window in which sends are counted, in seconds.
     pub retry_window_s: f64,
-    /// How long after a key was taken away it may still be accepted, by any node, in milliseconds; without it a
-    /// node that reaches nobody accepts what it knows.
+    /// How long after its removal a key may still be accepted by any node, in milliseconds. If this
+    /// is left out, a node without contact to the store or to other nodes keeps accepting the keys
+    /// it knows.
     pub revoke_ms: Option<u64>,
     /// The window in which teams' tokens are counted, in seconds.
     pub quota_window_s: f64,
-    /// How far all nodes together may pass a quota in a window, as a part of the quota.
+    /// How far all nodes together may exceed a quota in a window, as a fraction of the quota.
     pub quota_over: f64,
-    /// Tokens by which they may pass it besides.
+    /// The number of tokens by which they may exceed it in addition.
     pub quota_slack_tokens: f64,
 }
 
@@ -117,20 +118,20 @@
     }
 }
 
-/// Why settings cannot be used.
+/// Settings that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{} the settings have faults: {problems}", ResultCode::SettingsInvalid)]
 pub struct RelaySettingsError {
-    /// What is wrong, and where.
+    /// The faults, with the keys that they concern.
     pub problems: String,
 }
 
 impl RelaySettings {
-    /// Reads settings and reports every fault that can be seen.
+    /// Parses settings and reports all faults that can be found.
     ///
     /// # Errors
     ///
-    /// [`RelaySettingsError`] with the keys at fault.
+    /// [`RelaySettingsError`] with the faulty keys.
     pub fn parse(text: &str) -> Result<Self, RelaySettingsError> {
         let settings: Self = toml::from_str(text).map_err(|error| RelaySettingsError {
             problems: error.to_string(),
@@ -144,7 +145,7 @@
         })
     }
 
-    /// How exactly teams' quotas are kept.
+    /// How exactly teams' quotas are enforced.
     pub fn quota_bounds(&self) -> QuotaBounds {
         let bounds = &self.bounds;
         QuotaBounds {
@@ -205,7 +206,7 @@
 }
 
 impl BoundSettings {
-    /// On what news keys are accepted.
+    /// The rules for accepting API keys.
     pub fn access(&self) -> AccessRules {
         AccessRules {
             revocation: self.revoke_ms.map(Duration::from_millis),
--- a/crates/relay-node/src/shared.rs
+++ b/crates/relay-node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the control thread and the traffic thread tell each other.
+//! The state that the control thread and the traffic thread share.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,86 +18,87 @@
 use crate::clock::boot_time;
 use crate::metrics::RelayMetrics;
 
-/// Asks for loads that wait for the control thread. Each is a request that waits; more than this
-/// many could not be served in time.
+/// The largest number of load requests queued for the control thread. A caller's request waits for
+/// each; more could not be served in time.
 const WANTS_QUEUE: usize = 512;
 
-/// What the control thread knows, swapped whole.
+/// A snapshot of what the control thread knows, replaced as a whole.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct View {
-    /// Rises with every view.
+    /// Increases with every view.
     pub(crate) number: u64,
     /// The configuration in force.
     pub(crate) table: Option<Arc<RouteTable>>,
-    /// The upstreams.
+    /// The listed upstreams.
     pub(crate) upstreams: Arc<[Arc<Upstream>]>,
-    /// The versions that were named.
+    /// The released versions of models and adapters.
     pub(crate) versions: Arc<Versions>,
-    /// Nodes that are known, this one included.
+    /// Number of known nodes, including this one.
     pub(crate) nodes: usize,
-    /// How long loads take.
+    /// The load times of models and adapters.
     pub(crate) load_times: LoadTimes,
-    /// Where teams' quotas are lent, the nearest in front.
+    /// The nodes that lend teams' quotas, nearest first.
     pub(crate) lenders: Arc<[SocketAddr]>,
-    /// Which node hands out the slots of each plain upstream.
+    /// The node that issues the slots of each plain upstream.
     pub(crate) slot_nodes: Arc<HashMap<UpstreamId, SocketAddr>>,
 }
 
-/// An adapter that a request waits for.
+/// A load that is asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Wanted {
     pub(crate) model: ModelRef,
-    /// The version to bring; none for the newest.
+    /// The version to load; `None` for the newest.
     pub(crate) version: Option<u64>,
-    /// Whether an engine that was taken to hold it turned the request away.
+    /// Whether an engine that was listed as holding the adapter refused the request.
     pub(crate) was_turned_away: bool,
-    /// What the load is for.
+    /// The purpose of the load.
     pub(crate) purpose: LoadPurpose,
-    /// The rank of the requests that wait for it; 0 is the most urgent.
+    /// The priority of the waiting requests; 0 is the most urgent.
     pub(crate) priority: u8,
 }
 
-/// A request that waits for its adapter.
+/// A request to the control thread to have an adapter loaded.
 #[derive(Debug)]
 pub(crate) struct Want {
     pub(crate) wanted: Wanted,
-    /// Engines that could take it.
+    /// The engines that could load it.
     pub(crate) engines: Vec<LoadPlace>,
-    /// How many of them are to; those that hold it already are not among them.
+    /// The number of engines that should load it, in addition to those that already hold it.
     pub(crate) copies: usize,
-    /// Told when it is there, or that it won't be. Dropped without a word if the ask was lost.
+    /// Receives the result of the load. Dropped without a result if the request was lost.
     pub(crate) ready: oneshot::Sender<Loaded>,
 }
 
-/// An engine that now holds what was wanted; nothing if none could be had.
+/// The engine that now holds the adapter, with its holdings; `None` if no engine could load it.
 pub(crate) type Loaded = Option<(UpstreamId, Holdings)>;
 
-/// What this node has at one engine.
+/// This node's use of one engine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct EngineUse {
-    /// Requests that were sent and have not ended.
+    /// Requests in flight.
     pub(crate) in_flight: u32,
-    /// Prompt tokens that were sent and whose answers have not begun.
+    /// Prompt tokens of the requests in flight whose answers have not begun.
     pub(crate) unread_tokens: u64,
     /// Requests in flight for each adapter.
     pub(crate) models: HashMap<ModelRef, u32>,
-    /// What each adapter was asked for since this was last taken.
+    /// The demand for each adapter since the last call of [`Uses::take`].
     pub(crate) asked: HashMap<ModelRef, Asked>,
 }
 
-/// What an adapter was asked for.
+/// The demand for an adapter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Asked {
     pub(crate) requests: u32,
     pub(crate) prompt_tokens: u32,
 }
 
-/// What this node has at engines. The traffic thread writes it, the control thread tells owners.
+/// This node's use of all engines. The traffic thread writes it, the control thread reports it to
+/// the engines' owners.
 #[derive(Debug, Default)]
 pub(crate) struct Uses(Mutex<HashMap<UpstreamId, EngineUse>>);
 
 impl Uses {
-    /// Counts a request that is sent.
+    /// Counts a request as sent.
     pub(crate) fn begin(&self, engine: &UpstreamId, model: &ModelRef, prompt_tokens: u64) {
         let mut uses = self.lock();
         let used = uses.entry(engine.clone()).or_default();
@@ -110,7 +111,7 @@
         asked.prompt_tokens = asked.prompt_tokens.saturating_add(tokens);
     }
 
-    /// Counts a prompt as read.
+    /// Counts a prompt as processed, so that its tokens are no longer unread.
     pub(crate) fn read(&self, engine: &UpstreamId, prompt_tokens: u64) {
         if let Some(used) = self.lock().get_mut(engine) {
             used.unread_tokens = used.unread_tokens.saturating_sub(prompt_tokens);
@@ -132,21 +133,21 @@
         }
     }
 
-    /// Whether this node has a request for `model` at `engine`.
+    /// Whether this node has a request for `model` in flight at `engine`.
     pub(crate) fn holds(&self, engine: &UpstreamId, model: &ModelRef) -> bool {
         let uses = self.lock();
         uses.get(engine)
             .is_some_and(|used| used.models.contains_key(model))
     }
 
-    /// Requests and unread prompt tokens that this node has at `engine`.
+    /// Requests in flight and unread prompt tokens of this node at `engine`.
     pub(crate) fn peek(&self, engine: &UpstreamId) -> (u32, u64) {
         let uses = self.lock();
         uses.get(engine)
             .map_or((0, 0), |used| (used.in_flight, used.unread_tokens))
     }
 
-    /// What this node has at `engine`; what was asked counts from now on anew.
+    /// Returns the use of `engine` and resets the demand counts.
     pub(crate) fn take(&self, engine: &UpstreamId) -> EngineUse {
         let mut uses = self.lock();
         let Some(used) = uses.get_mut(engine) else {
@@ -170,18 +171,18 @@
     }
 }
 
-/// For how long the requests of callers for each base model take up an engine, in milliseconds. The
-/// traffic thread writes it, the control thread tells the others.
+/// The engine time, in milliseconds, that callers' requests need for each base model. The traffic
+/// thread writes it, the control thread sends it to the other nodes.
 #[derive(Debug, Default)]
 pub(crate) struct ModelsAsked(Mutex<HashMap<ModelDigest, f32>>);
 
 impl ModelsAsked {
-    /// Counts a request.
+    /// Adds a request's engine time.
     pub(crate) fn count(&self, model: ModelDigest, engine_ms: f32) {
         *self.lock().entry(model).or_default() += engine_ms;
     }
 
-    /// What was asked since this was last taken.
+    /// Returns and resets the counts.
     pub(crate) fn take(&self) -> Vec<(ModelDigest, f32)> {
         std::mem::take(&mut *self.lock()).into_iter().collect()
     }
@@ -191,44 +192,44 @@
     }
 }
 
-/// News of an engine from its owner.
+/// An update about an engine from its owner.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EngineNews {
     pub(crate) engine: UpstreamId,
     pub(crate) report: Report,
-    /// What it says of the engine's holdings.
+    /// The part of the update about the engine's holdings.
     pub(crate) holdings: HoldingsTold,
 }
 
-/// Copies that an engine's owner wants of what its engine holds.
+/// Copies of an adapter that an engine's owner asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct CopyNews {
     pub(crate) service: ServiceName,
     pub(crate) wanted: WantedCopies,
 }
 
-/// News that the traffic thread has not taken yet.
+/// Updates that the traffic thread has not processed yet.
 #[derive(Debug, Default)]
 pub(crate) struct Waiting {
-    /// The newest of each engine.
+    /// The newest update of each engine.
     pub(crate) engines: HashMap<UpstreamId, EngineNews>,
-    /// When failure domains were heard.
+    /// When each failure domain was last heard from.
     pub(crate) domains: DomainsHeard,
-    /// Copies that are wanted.
+    /// The copies that owners ask for.
     pub(crate) copies: Vec<CopyNews>,
 }
 
-/// What owners told, on its way to the traffic thread.
+/// Updates for the traffic thread from engines' owners and failure domains.
 #[derive(Debug, Default)]
 pub(crate) struct News(Mutex<Waiting>);
 
 impl News {
-    /// Tells when a failure domain was heard.
+    /// Records when a failure domain was heard from.
     pub(crate) fn put_domain(&self, domain: &FailureDomain, at: Instant) {
         self.lock().domains.note(domain, at);
     }
 
-    /// Tells when failure domains were heard.
+    /// Records when failure domains were heard from.
     pub(crate) fn put_domains(&self, domains: &DomainsHeard) {
         self.lock().domains.merge(domains);
     }
@@ -237,7 +238,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds copies that are wanted.
+    /// Adds copies that owners ask for.
     pub(crate) fn want_copies(&self, copies: impl IntoIterator<Item = CopyNews>) {
         self.lock().copies.extend(copies);
     }
@@ -256,15 +257,15 @@
     }
 }
 
-/// Whether the node takes callers.
+/// Whether the node accepts callers.
 #[derive(Clone, Copy, Debug, Default)]
 struct Readiness {
-    /// Whether it knows a configuration and upstreams.
+    /// Whether the node knows a configuration and upstreams.
     is_knowing: bool,
     is_leaving: bool,
 }
 
-/// The two threads' common ground.
+/// The state that both threads share.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) view: ArcSwap<View>,
@@ -277,12 +278,12 @@
     notices: Mutex<Notices>,
     pub(crate) wants: mpsc::Sender<Want>,
     pub(crate) metrics: RelayMetrics,
-    /// Open connections of callers.
+    /// Number of open caller connections.
     pub(crate) connections: AtomicUsize,
-    /// When the store's last answer came, in milliseconds of the clock that counts suspension.
+    /// When the store last answered, in milliseconds of [`boot_time`].
     pub(crate) store_answered_ms: AtomicU64,
-    /// When the read was asked for that the newest view goes by, in milliseconds of the same clock; 0 before the
-    /// first.
+    /// When the store read behind the newest view was sent, in milliseconds of [`boot_time`]; 0
+    /// before the first.
     news_asked_ms: AtomicU64,
     access: AccessRules,
 }
@@ -314,7 +315,7 @@
 }
 
 impl Shared {
-    /// Brings gauges up to date for a page that is asked for.
+    /// Updates the gauges before the metrics page is rendered.
     pub(crate) fn refresh_metrics(&self) {
         let answered_ms = self.store_answered_ms.load(Ordering::Relaxed);
         let answered = (answered_ms > 0).then(|| Duration::from_millis(answered_ms));
@@ -328,32 +329,33 @@
             .asked(self.connections.load(Ordering::Relaxed), age);
     }
 
-    /// The requests that upstreams ended under.
+    /// The requests under which upstreams crashed.
     pub(crate) fn suspects(&self) -> MutexGuard<'_, Suspects> {
         self.suspects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The limits that upstreams have named.
+    /// The rate limits that upstreams have stated.
     pub(crate) fn limits(&self) -> MutexGuard<'_, Limits> {
         self.limits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What upstreams have said of themselves.
+    /// Upstreams' notices about themselves: leaving and back-off.
     pub(crate) fn notices(&self) -> MutexGuard<'_, Notices> {
         self.notices.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in that the node knows enough to serve. It stays so while the store is away.
+    /// Records that the node knows enough to serve callers. This holds also while the store is
+    /// unavailable.
     pub(crate) fn note_knowing(&self) {
         self.readiness().is_knowing = true;
     }
 
-    /// Takes in that the node shuts down.
+    /// Records that the node shuts down.
     pub(crate) fn note_leaving(&self) {
         self.readiness().is_leaving = true;
     }
 
-    /// Whether the node takes callers.
+    /// Whether the node accepts callers.
     pub(crate) fn is_ready(&self) -> bool {
         let readiness = *self.readiness();
         let (age, view) = (self.news_age(), self.view.load());
@@ -362,21 +364,22 @@
         readiness.is_knowing && !readiness.is_leaving && knows_keys
     }
 
-    /// Takes in that the view goes by a read of the store that was asked for at `asked`.
+    /// Records that the view is based on a store read that was sent at `asked`.
     ///
-    /// Told after the view: whoever looks at the age first and at the view then never takes an old view for newer.
+    /// Called after the view is published. A thread that reads the age first and the view second
+    /// then never takes an old view for a newer one.
     pub(crate) fn note_news(&self, asked: Duration) {
         let asked_ms = u64::try_from(asked.as_millis()).unwrap_or(0);
         self.news_asked_ms.fetch_max(asked_ms, Ordering::Release);
     }
 
-    /// How old the news are that the view goes by.
+    /// The age of the data that the view is based on, counted from when the store read was sent.
     pub(crate) fn news_age(&self) -> Duration {
         let asked_ms = self.news_asked_ms.load(Ordering::Acquire);
         boot_time().saturating_sub(Duration::from_millis(asked_ms))
     }
 
-    /// On what news keys are accepted.
+    /// The rules for accepting API keys.
     pub(crate) fn access(&self) -> AccessRules {
         self.access
     }
--- a/crates/relay-node/src/team_metrics.rs
+++ b/crates/relay-node/src/team_metrics.rs
@@ -1,4 +1,4 @@
-//! What is counted for each team.
+//! Metrics for each team.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,19 +9,20 @@
 
 use crate::metrics::result;
 
-/// Teams with values of their own; any more are counted together. Each costs memory at every node.
+/// The number of teams with metrics of their own; further teams are counted together. Each team
+/// costs memory at every node.
 const TEAMS_LIMIT: usize = 64;
 
-/// The name that stands for the teams beyond the limit.
+/// The label value for teams beyond the limit.
 const OTHERS: &str = "others";
 
-/// The instruments of teams.
+/// The instruments for teams.
 #[derive(Clone, Debug)]
 pub(crate) struct TeamMetrics {
     requests: Counter<u64>,
     tokens: Counter<u64>,
     tokens_left: Gauge<f64>,
-    /// Teams that have values of their own.
+    /// Teams with metrics of their own.
     known: Arc<Mutex<HashSet<TeamName>>>,
 }
 
@@ -48,17 +49,17 @@
         }
     }
 
-    /// A request of `team` ended with a whole answer, or with `code`.
+    /// Counts a request of `team` that ended with a complete answer, or with `code`.
     pub(crate) fn request_ended(&self, team: &TeamName, code: Option<ResultCode>) {
         self.requests.add(1, &[self.team(team), result(code)]);
     }
 
-    /// A request of `team` was sent that counts so many tokens.
+    /// Counts the quota tokens of a request of `team` that was sent.
     pub(crate) fn spent(&self, team: &TeamName, tokens: u32) {
         self.tokens.add(u64::from(tokens), &[self.team(team)]);
     }
 
-    /// What is left of a team's quota here.
+    /// Records how many tokens of a team's quota this node can still lend.
     pub(crate) fn left(&self, team: &TeamName, tokens: f64) {
         self.tokens_left.record(tokens, &[self.team(team)]);
     }
--- a/crates/relay-node/src/traffic/adapter_wait.rs
+++ b/crates/relay-node/src/traffic/adapter_wait.rs
@@ -1,4 +1,4 @@
-//! Adapters that requests wait for, and copies that owners want.
+//! Requests that wait for their adapters, and loads of the copies that owners ask for.
 
 use std::time::{Duration, Instant};
 
@@ -9,23 +9,25 @@
 use super::gateway::{Gateway, Sends};
 use crate::shared::{CopyNews, Loaded, View, Want, Wanted};
 
-/// How long a request waits for its adapter at most: two loads in turn, of 250 ms each, with the
-/// queue for transfers.
+/// The longest time that a request waits for its adapter: two loads of 250 ms each, one after the
+/// other, plus the queue for transfers.
 const ADAPTER_PATIENCE: Duration = Duration::from_millis(2_500);
 
-/// How long a request waits for a further copy of its adapter: two loads in turn.
+/// The longest time that a request waits for another copy of its adapter: two loads, one after the
+/// other.
 pub(super) const LOAD_PATIENCE: Duration = Duration::from_millis(600);
 
-/// A wait, as a part of the time after which a caller leaves, from which a request is as good as lost: it
-/// has waited here before, and waits are expected too short as often as too long.
+/// The fraction of its caller's wait limit from which an expected wait counts as a lost request. It
+/// is below 1 because the request has already waited here, and estimates are too short as often as
+/// too long.
 const LOST_WAIT_SHARE: f64 = 0.5;
 
-/// The rank of the copies that an owner wants. An adapter that takes up its engine holds up all other
-/// requests there, the urgent ones too.
+/// The priority of copies that an owner asks for: the highest, as an adapter that fills its engine
+/// delays all other requests there, including urgent ones.
 const COPY_PRIORITY: u8 = 0;
 
 impl Gateway {
-    /// Has copies loaded that an engine's owner wants.
+    /// Orders loads of the copies that an engine's owner asks for.
     pub(super) fn want_copies(&self, view: &View, news: CopyNews) {
         let (service, now) = (&news.service, Instant::now());
         let WantedCopies {
@@ -58,11 +60,11 @@
             copies,
             ready,
         };
-        // A full queue has requests that wait; they go first.
+        // Dropped if the queue is full: it then holds loads that requests wait for, which go first.
         let _ = self.shared.wants.try_send(want);
     }
 
-    /// Has the adapter that `call` names loaded, and waits for it.
+    /// Orders a load of the adapter that `call` names, and waits for it up to `wait`.
     pub(super) async fn bring_adapter(
         &self,
         call: &Call,
@@ -109,7 +111,7 @@
         Some(answer)
     }
 
-    /// Engines that could take the adapter.
+    /// Engines on which the adapter could be loaded.
     fn engines_for(&self, call: &Call, now: Instant) -> Vec<LoadPlace> {
         let Some(model) = &call.meta.model else {
             return Vec::new();
@@ -120,14 +122,14 @@
     }
 }
 
-/// Until when `call` waits for its adapter, from now on.
+/// The time until which `call` waits for its adapter, counted from now.
 pub(super) fn adapter_patience(call: &Call) -> Instant {
     let now = Instant::now();
     now + ADAPTER_PATIENCE.min(call.remaining(now) / 2)
 }
 
-/// What a copy is for that `call` would be answered sooner by than by `choice`. Where its caller would have
-/// left by then, it is as good as a miss.
+/// The purpose of a load that would get `call` answered sooner than `choice` would. If the caller
+/// would give up before `choice` answers, the load counts as a miss.
 pub(super) fn copy_purpose(call: &Call, choice: &Choice) -> LoadPurpose {
     let expected = Duration::from_secs_f64(choice.expected_ms.max(0.0) / 1_000.0);
     match expected > call.first_event_patience().mul_f64(LOST_WAIT_SHARE) {
--- a/crates/relay-node/src/traffic/admission.rs
+++ b/crates/relay-node/src/traffic/admission.rs
@@ -1,4 +1,4 @@
-//! Who calls, and whether their team may ask for more.
+//! Checks API keys and teams' quotas.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
@@ -15,16 +15,17 @@
 use super::refuse::GivenUp;
 use crate::clock::boot_time;
 
-/// How long a request with an unknown key waits for news that may bring it.
+/// How long a request with an unknown key waits for an update that may contain the key.
 const NEW_KEY_PATIENCE: Duration = Duration::from_millis(400);
 
-/// How often it looks for them.
+/// How often a waiting request checks for updates.
 const NEW_KEY_LOOK: Duration = Duration::from_millis(50);
 
-/// Requests of one node that wait so. Whoever guesses keys is turned away at once beyond them.
+/// At most this many requests per node wait for their keys; others are refused at once, so that
+/// callers who guess keys cannot fill the node.
 const NEW_KEY_WAITS: usize = 32;
 
-/// When a caller is asked to return whose request another node can serve.
+/// Retry-After when another node may be able to serve the request.
 const ELSEWHERE_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 impl From<Denied> for GivenUp {
@@ -57,26 +58,27 @@
     }
 }
 
-/// What a request has of its team's quota.
+/// The state of a request's quota tokens.
 #[derive(Default)]
 pub(crate) struct Tokens(RefCell<Held>);
 
 #[derive(Default)]
 enum Held {
-    /// None are needed, or none were taken yet.
+    /// No tokens are needed, or none have been reserved yet.
     #[default]
     None,
-    /// Given back if the request is dropped before it is sent.
+    /// Reserved; returned if the request is dropped before it is sent.
     Reserved(TokenLease),
-    /// The request was sent and may have run.
+    /// Spent: the request was sent and may have run.
     Sent(Reservation),
 }
 
 impl Gateway {
-    /// Who sends a request with `key` on `route`.
+    /// Finds the caller that `key` belongs to on `route`.
     ///
-    /// An unknown key may be one that was just added. It is turned away once the news are from after the
-    /// request came; if they don't come, another node may know it.
+    /// An unknown key may have been added just now. It is rejected only once this node's data is
+    /// newer than the request. If no update arrives in time, the caller is sent to another node,
+    /// which may know the key.
     pub(super) async fn identify(&self, route: &Route, key: &CallerKey) -> Result<Caller, Denied> {
         let began = Instant::now();
         loop {
@@ -94,7 +96,8 @@
     }
 
     fn judge(&self, route: &Route, key: &CallerKey) -> Result<Caller, Denied> {
-        // The age first: a view that is published between the two is newer than it says.
+        // Read the age before the view: a view published between the two reads is then newer than
+        // `age` says, never older.
         let age = self.shared.news_age();
         let view = self.shared.view.load();
         let Some(table) = &view.table else {
@@ -119,7 +122,8 @@
         );
     }
 
-    /// Whether `call` may be sent now: its key is in force still, and its team's quota has room.
+    /// Checks whether `call` may be sent now: its key is still valid and its team's quota has
+    /// tokens left.
     pub(super) async fn admit(&self, call: &Call) -> Result<(), GivenUp> {
         let Some(team) = call.caller.team() else {
             return Ok(());
@@ -144,14 +148,14 @@
             return Ok(());
         };
         match &*call.tokens.0.borrow() {
-            // A repeat is the same request; it is charged once.
+            // A retry of the same request is charged only once.
             Held::Sent(_) => return Ok(()),
             Held::Reserved(lease) if lease.is_valid(boot_time()) => return Ok(()),
             Held::Reserved(_) | Held::None => {}
         }
         let tokens = quota.cost_tokens(call.meta.all_tokens);
         let lenders = self.shared.view.load().lenders.clone();
-        // A request that waits longer than that is late before it is sent.
+        // A longer wait would use up the request's latency objective before it is sent.
         let patience = call.route.objective / 2;
         let reserved = self.quotas.reserve(&team.name, tokens, &lenders, patience);
         match reserved.await {
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Takes in that `call` is sent.
+    /// Marks the tokens of `call` as spent, because it is being sent.
     pub(super) fn spend_tokens(&self, call: &Call) {
         let held = match call.tokens.0.take() {
             Held::Reserved(lease) => {
@@ -192,7 +196,7 @@
         }
     }
 
-    /// Puts back the tokens of a request that has not run.
+    /// Returns the tokens of a request that has not run.
     pub(super) fn return_tokens(&self, call: &Call) {
         if let Held::Sent(reservation) = call.tokens.0.take() {
             self.quotas.give_back(reservation);
--- a/crates/relay-node/src/traffic/answer_body.rs
+++ b/crates/relay-node/src/traffic/answer_body.rs
@@ -13,19 +13,20 @@
 use super::flight::Flight;
 use super::resumable_body::ResumableBody;
 
-/// Why an answer ends early. The caller's connection is closed, so that it does not look whole.
+/// Why an answer ends early. The caller's connection is then closed, so that the answer does not
+/// look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum AnswerCut {
-    /// The upstream broke off.
+    /// The upstream broke off its answer.
     #[error("the upstream broke off its answer")]
     Upstream,
-    /// The time of the request is over.
-    #[error("the time of the request is over")]
+    /// The request's deadline passed.
+    #[error("the request's deadline passed")]
     TimedOut,
 }
 
 impl AnswerCut {
-    /// The numbered result.
+    /// The numbered result code.
     pub(crate) fn code(self) -> ResultCode {
         match self {
             Self::Upstream => ResultCode::UpstreamFailed,
@@ -34,21 +35,21 @@
     }
 }
 
-/// A body of our own, or an upstream's as it arrives.
+/// A body produced by this node, or an upstream's body as it arrives.
 pub(crate) enum AnswerBody {
-    /// Words of our own; taken when they were sent.
+    /// Produced by this node; `None` once it was sent.
     Own(Option<Bytes>),
-    /// The bytes of an upstream.
+    /// Forwarded from an upstream.
     Passed(Box<PassedBody>),
-    /// A stream that another upstream may go on with.
+    /// A stream that another upstream may resume.
     Resumable(Box<ResumableBody>),
 }
 
-/// An upstream's body with the request's place in the books.
+/// An upstream's body and the accounting of its send.
 pub(crate) struct PassedBody {
     body: PooledBody,
     flight: Flight,
-    /// Ends when the request's time is over.
+    /// Fires at the request's deadline.
     cutoff: Pin<Box<Sleep>>,
 }
 
@@ -63,9 +64,9 @@
         passed
     }
 
-    /// Settles the books with the last byte of a body whose length was told: nobody asks for more of it.
-    /// Left to the end that a poll finds, answers of plain services never counted, and an upstream was
-    /// paused at its third failure however many answers lay between.
+    /// Ends the accounting with the last byte of a body of known length, as nothing polls
+    /// such a body again. Otherwise the answers of plain services would never count, and an
+    /// upstream would be paused at its third failure however many answers came between.
     fn note_end(&mut self) {
         if self.body.is_end_stream() {
             self.flight.note_whole();
--- a/crates/relay-node/src/traffic/call.rs
+++ b/crates/relay-node/src/traffic/call.rs
@@ -1,4 +1,4 @@
-//! A request that was read whole.
+//! A request that was read completely.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 use super::slot_client::SlotPermit;
 use crate::{CallMeta, Dialect, SendMeta};
 
-/// After which event a stream goes on, by the standard of server-sent events.
+/// The event after which a stream is resumed, as in the standard for server-sent events.
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
-/// Headers that concern one connection only, beside those that `Connection` names.
+/// Headers that apply to one connection only, besides those that `Connection` names.
 const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -31,7 +31,7 @@
     header::EXPECT,
 ];
 
-/// Removes what concerns one connection only.
+/// Removes the headers that apply to one connection only.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -45,49 +45,49 @@
     }
 }
 
-/// A caller's request with what decides its way.
+/// A caller's request and what its routing depends on.
 pub(crate) struct Call {
     pub(crate) parts: Parts,
     pub(crate) body: Bytes,
     pub(crate) meta: CallMeta,
-    /// The id that the caller gave this attempt.
+    /// The caller's id for this attempt.
     pub(crate) id: RequestId,
-    /// Its content, which is the same in each attempt.
+    /// Digest of the content, the same for every attempt.
     pub(crate) digest: RequestDigest,
     pub(crate) route: Arc<Route>,
     pub(crate) service: ServiceName,
     /// Who sent it.
     pub(crate) caller: Caller,
-    /// What it has of its team's quota.
+    /// Its tokens of the team's quota.
     pub(super) tokens: Tokens,
-    /// The parts of its prompt.
+    /// The parts of its prompt, which guide the choice of an engine.
     pub(crate) prompt: PromptChain,
-    /// The versions of the model that it may begin on.
+    /// The versions of the model that it may start on.
     pub(crate) version: VersionRule,
-    /// The slot that it has at a plain upstream, until it is sent.
+    /// Its concurrency slot at a plain upstream, until it is sent.
     pub(super) slot: RefCell<Option<SlotPermit>>,
-    /// How long its caller has waited before it sent this request.
+    /// How long the caller waited, with earlier attempts, before it sent this one.
     pub(crate) waited_before: Duration,
     /// When its head was read.
     pub(crate) began: Instant,
-    /// When the caller, or the route's timeout, gives it up.
+    /// The deadline: of the caller or the route's timeout, whichever is earlier.
     pub(crate) due: Instant,
 }
 
 impl Call {
-    /// The time that is left.
+    /// The time left until the deadline.
     pub(crate) fn remaining(&self, now: Instant) -> Duration {
         self.due.saturating_duration_since(now)
     }
 
-    /// Its rank: the team's, or else the route's; 0 is the most urgent.
+    /// The priority of the team or else of the route; 0 is the most urgent.
     pub(crate) fn priority(&self) -> u8 {
         let team = self.caller.team();
         let own = team.and_then(|team| team.priority);
         own.unwrap_or(self.route.priority)
     }
 
-    /// How long after its beginning the caller leaves without a first event.
+    /// How long after the request began the caller gives up if no event has arrived.
     pub(crate) fn first_event_patience(&self) -> Duration {
         let patience = self.due.duration_since(self.began);
         match self.route.kind {
@@ -96,9 +96,9 @@
         }
     }
 
-    /// The request as an upstream gets it: method, path, query and body unchanged.
+    /// Builds the request for an upstream, with method, path, query and body unchanged.
     ///
-    /// With `last_event` the upstream goes on with a stream after that event.
+    /// With `last_event`, the upstream resumes a stream after that event.
     pub(crate) fn to_upstream(
         &self,
         dialect: &dyn Dialect,
@@ -110,7 +110,7 @@
         *request.uri_mut() = origin_form(&self.parts.uri);
         let mut headers = self.parts.headers.clone();
         strip_hop_by_hop(&mut headers);
-        // The body goes out with a length of its own, whichever way it came in.
+        // The body is sent with its known length, however the caller framed it.
         headers.remove(header::CONTENT_LENGTH);
         if let Some(id) = last_event {
             headers.insert(LAST_EVENT_ID, HeaderValue::from(id));
@@ -121,7 +121,7 @@
     }
 }
 
-/// The path and query without scheme and host.
+/// The path and query, without scheme and host.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| Uri::from_static("/"), Uri::from)
--- a/crates/relay-node/src/traffic/crash_check.rs
+++ b/crates/relay-node/src/traffic/crash_check.rs
@@ -1,4 +1,5 @@
-//! Looks for upstreams whose connections break, and keeps requests that upstreams end under from others.
+//! Detects upstreams that crash while they handle a request, and refuses requests that have crashed
+//! several.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,24 +16,24 @@
 use super::gateway::Gateway;
 use super::refuse::GivenUp;
 
-/// How long a request waits while others like it show whether they crash their upstreams. They begin to run, or
-/// end with their upstream, within some hundred milliseconds.
+/// How long a request waits while identical requests show whether they crash their upstreams. They
+/// start to run, or crash the upstream, within a few hundred milliseconds.
 const TRIAL_PATIENCE: Duration = Duration::from_millis(1_000);
 
-/// How long the sockets of a process that ends may take to close.
+/// How long the kernel may take to close the sockets of a process that ends.
 const CLOSING_TIME: Duration = Duration::from_millis(30);
 
-/// How often it looks.
+/// How often a waiting request checks again.
 const TRIAL_LOOK: Duration = Duration::from_millis(10);
 
-/// A request at an upstream, after others ended under it.
+/// Counts a send of a request that is suspected of crashing upstreams.
 pub(super) struct Trial {
     gateway: Rc<Gateway>,
     digest: RequestDigest,
 }
 
 impl Trial {
-    /// Counts a request that is sent, if upstreams ended under it before.
+    /// Counts a send if upstreams crashed under earlier sends of the same request.
     pub(super) fn begin(gateway: &Rc<Gateway>, digest: RequestDigest) -> Option<Self> {
         let mut suspects = gateway.shared.suspects();
         let is_trial = suspects.begin_trial(&digest, Instant::now());
@@ -50,8 +51,8 @@
 }
 
 impl Gateway {
-    /// Lets a request go on unless upstreams end under it. One whose upstream may just have ended, or of which others are
-    /// on trial, waits for what comes of that.
+    /// Refuses a request that crashes upstreams. A request waits while its upstream is checked for
+    /// a crash, or while identical requests are on trial.
     pub(super) async fn await_trials(&self, call: &Call) -> Result<(), GivenUp> {
         let until = call.due.min(Instant::now() + TRIAL_PATIENCE);
         loop {
@@ -89,7 +90,7 @@
         );
     }
 
-    /// Takes in that the connection of a request to `upstream` broke before its answer was whole.
+    /// Records that the connection of a request to `upstream` broke before its answer was complete.
     pub(super) fn note_broken(self: &Rc<Self>, upstream: &Arc<Upstream>, broken: BrokenRequest) {
         if !self.is_to_stay(upstream) {
             return;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Whether `upstream` was not about to end anyway.
+    /// Whether `upstream` was not expected to end anyway.
     fn is_to_stay(&self, upstream: &Upstream) -> bool {
         let dispatcher = self.dispatcher.borrow();
         let tracked = dispatcher.tracked(&upstream.id);
--- a/crates/relay-node/src/traffic/flight.rs
+++ b/crates/relay-node/src/traffic/flight.rs
@@ -1,4 +1,4 @@
-//! A request's place in the books while it is at an upstream.
+//! Accounting of a request while it is at an upstream.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use super::gateway::Gateway;
 use super::slot_client::SlotPermit;
 
-/// One send. Dropping it at any point, also because the caller went away, settles the books.
+/// One send in progress. Dropping it, also when the caller disconnects, ends its accounting.
 pub(crate) struct Flight {
     gateway: Rc<Gateway>,
     upstream: Arc<Upstream>,
@@ -24,26 +24,27 @@
     unread_tokens: u64,
     expected_ms: f64,
     sent: Instant,
-    /// When the answer's body began.
+    /// When the first part of the answer's body arrived.
     first: Option<Instant>,
-    /// Whether the upstream's books know what became of it. A failure settles them with the answer's head.
+    /// Whether the outcome was recorded for the upstream. A failure is recorded with the answer's
+    /// head.
     is_settled: bool,
-    /// Whether the end of the answer was counted.
+    /// Whether the request was counted as ended.
     is_ended: bool,
-    /// The slot that it takes at a plain upstream.
+    /// The concurrency slot it holds at a plain upstream.
     slot: Option<SlotPermit>,
-    /// The team of its caller.
+    /// The team of the caller.
     team: Option<TeamName>,
     request: RequestId,
     digest: RequestDigest,
-    /// Present while its upstream may end under it, if others did.
+    /// Set while this send may show whether the request crashes upstreams, as others like it did.
     trial: Option<Trial>,
-    /// How long the request had waited here before it was sent.
+    /// How long the request waited at this node before this send.
     waited: Duration,
 }
 
 impl Flight {
-    /// Counts `call` as sent to the upstream of `choice`, and takes over the slot that it has there.
+    /// Counts `call` as sent to the upstream of `choice`, and takes over its slot there.
     pub(crate) fn begin(gateway: &Rc<Gateway>, call: &Call, choice: &Choice) -> Self {
         let now = Instant::now();
         let upstream = &choice.upstream.id;
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Counts the request as ended.
+    /// Counts the request as ended in the metrics.
     fn count_end(&self, code: Option<ResultCode>) {
         let metrics = &self.gateway.shared.metrics;
         metrics.request_ended(code, self.model.as_ref());
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Part of the answer's body came.
+    /// Called when a part of the answer's body arrives.
     pub(crate) fn note_progress(&mut self) {
         if let Some(first) = self.first {
             self.trial.take_if(|_| first.elapsed() > BEGINNING);
@@ -101,7 +102,8 @@
         dispatcher.answer_began(&self.upstream.id, self.expected_ms, took, now);
     }
 
-    /// The answer ended whole. Told with its last byte and again by whoever polls past that.
+    /// Called when the answer is complete: with its last byte, and again if the body is polled
+    /// after that.
     pub(crate) fn note_whole(&mut self) {
         if std::mem::replace(&mut self.is_ended, true) {
             return;
@@ -110,7 +112,8 @@
             let mut dispatcher = self.gateway.dispatcher.borrow_mut();
             dispatcher.note_run(first.elapsed());
         }
-        // How long an engine takes for its answer says nothing of when its limit has room.
+        // Only plain requests report their duration: that of an engine's answer does not tell when
+        // a rate limit has room again.
         if let Some(mut slot) = self.slot.take().filter(|_| self.model.is_none()) {
             slot.note_answered(self.sent.elapsed());
         }
@@ -122,7 +125,7 @@
         self.settle(Outcome::Answered);
     }
 
-    /// The answer's body ended early.
+    /// Called when the answer's body ends early.
     pub(crate) fn note_cut(&mut self, cut: AnswerCut) {
         self.count_end(Some(cut.code()));
         if cut == AnswerCut::Upstream {
@@ -137,12 +140,12 @@
         );
     }
 
-    /// The answer broke off, or was none.
+    /// Records that the answer broke off, or that none came.
     pub(crate) fn note_broken(&mut self) {
         self.settle(Outcome::Failed);
     }
 
-    /// The connection to the upstream broke: it may have ended.
+    /// Records that the connection to the upstream broke; the upstream may have crashed.
     pub(crate) fn note_disconnected(&mut self) {
         self.note_broken();
         let broken = BrokenRequest {
@@ -152,7 +155,7 @@
         self.gateway.note_broken(&self.upstream, broken);
     }
 
-    /// The upstream had no room.
+    /// Records that the upstream refused the request because it is full.
     pub(crate) fn note_full(&mut self) {
         self.settle(Outcome::Full);
     }
--- a/crates/relay-node/src/traffic/gateway.rs
+++ b/crates/relay-node/src/traffic/gateway.rs
@@ -1,4 +1,4 @@
-//! Carries requests from callers to upstreams.
+//! Routes callers' requests to upstreams, with waits, retries and refusals.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -32,33 +32,34 @@
 use crate::shared::{Shared, View};
 use crate::{BoundSettings, CONNECT_TIMEOUT, Dialect, Verdict};
 
-/// How long a connection is kept whose other end did not say how long it keeps it.
+/// Idle time after which a connection is closed if the upstream did not state a keep-alive time.
 const UNSTATED_IDLE: Duration = Duration::from_millis(800);
 
-/// How often one request may be turned away by upstreams before it is given up. Each is an arrival
-/// that draws on the retry budget.
+/// How many upstreams may refuse one request before it is refused to the caller. Every such send
+/// counts against the retry budget.
 const REFUSALS_LIMIT: usize = 4;
 
-/// When a caller whose request found no room is asked to return. Prompts that wait are read in
-/// some 300 ms.
+/// Retry-After when all upstreams are busy. An engine processes its waiting prompts in about 300
+/// ms.
 const BUSY_RETRY_AFTER: Duration = Duration::from_millis(350);
 
-/// When a caller is asked to return if no upstream or no configuration is known.
+/// Retry-After when no upstream or no configuration is known.
 const ABSENT_RETRY_AFTER: Duration = Duration::from_millis(700);
 
-/// The part of the time in which the older version of an adapter may be begun on that is used. The
-/// news takes up to 0.7 s to come here, and under load a prompt waits 2 s and more at an engine
-/// before it begins; the newer version is loaded in half a second.
+/// The fraction used of the period in which requests may still start on an adapter's old version.
+/// Updates take up to 0.7 s to reach this node, and under load a prompt waits 2 s or more at an
+/// engine before it starts. Loading the new version takes half a second.
 const VERSION_OVERLAP_SHARE: f64 = 0.3;
 
-/// The part of the time in which a leaving upstream may get requests that is used, for those that nobody else can serve.
-/// The rest covers what is on its way.
+/// The fraction used of the drain period in which a leaving upstream may still get requests. Only
+/// requests that no other upstream can serve use it; the rest of the period covers requests in
+/// transit.
 const LEAVING_GRACE_SHARE: f64 = 0.8;
 
-/// The least time in which an answer could still come.
+/// A request with less time left than this is refused, as no answer could arrive in time.
 const LEAST_REMAINING: Duration = Duration::from_millis(5);
 
-/// What a [`Gateway`] is made of.
+/// The arguments of [`Gateway::new`].
 pub(crate) struct GatewayParts {
     pub(crate) shared: Arc<Shared>,
     pub(crate) dialect: Arc<dyn Dialect>,
@@ -68,7 +69,7 @@
     pub(crate) log: Logger,
 }
 
-/// The traffic thread's state.
+/// State of the traffic thread.
 pub(crate) struct Gateway {
     pub(crate) shared: Arc<Shared>,
     pub(crate) dialect: Arc<dyn Dialect>,
@@ -76,32 +77,34 @@
     pub(crate) dispatcher: RefCell<Dispatcher>,
     pub(super) crash_watch: RefCell<CrashWatch>,
     pub(super) own_shares: RefCell<OwnShares>,
-    /// The changes of limits that the dispatcher knows.
+    /// The [`Limits`](nutmegsail_relay::Limits) change count that the dispatcher was last updated
+    /// to.
     seen_limits: Cell<u64>,
-    /// The rests that the dispatcher knows.
+    /// The [`Notices`](nutmegsail_relay::Notices) back-off count that the dispatcher was last
+    /// updated to.
     seen_rests: Cell<u64>,
     pub(crate) bounds: BoundSettings,
     pub(crate) link: Rc<Link>,
     pub(crate) quotas: Rc<QuotaClient>,
     pub(crate) slots: Rc<SlotClient>,
-    /// What the callers of each route say how long they wait.
+    /// Per route, the wait limits that callers have stated.
     pub(super) stated_patience: RefCell<HashMap<Arc<str>, StatedPatience>>,
     pub(crate) log: Logger,
-    /// When the node began to leave.
+    /// When the node began to shut down.
     pub(crate) leaving_since: Cell<Option<Instant>>,
-    /// Requests that wait for base models.
+    /// Number of requests waiting for a base model.
     pub(super) model_waits: Cell<usize>,
-    /// Requests that wait for news of their keys.
+    /// Number of requests waiting for updates that may contain their API key.
     pub(super) key_waits: Cell<usize>,
     budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
     seen_view: Cell<u64>,
 }
 
-/// A request between two sends.
+/// A request that is not at an upstream: queued, or to be sent again.
 enum Life {
-    /// No send can have run it.
+    /// No upstream has run it.
     NotRun(Request<Queued>),
-    /// A send may have run it.
+    /// An upstream may have run it.
     MayHaveRun(Request<Uncertain>),
 }
 
@@ -110,7 +113,8 @@
         match self {
             Self::NotRun(request) => Refusal::not_run(request.not_run(), code, detail),
             Self::MayHaveRun(_) => {
-                // A code that callers read as "not run" would have them book a second time.
+                // A code that means "not run" would make callers repeat a request that may have
+                // run.
                 let code = match code {
                     ResultCode::DeadlineUnreachable => ResultCode::DeadlinePassed,
                     ResultCode::CrashesUpstreams => code,
@@ -138,21 +142,21 @@
     }
 }
 
-/// How the sends of one request went.
+/// What happened to the sends of one request so far.
 #[derive(Clone, Default)]
 pub(crate) struct Sends {
-    /// Upstreams that it need not be sent to again.
+    /// Upstreams that are not tried again.
     pub(crate) tried: Vec<UpstreamId>,
-    /// Sends that arrived.
+    /// Sends that reached an upstream.
     pub(crate) arrived: usize,
-    /// Sends that may have run it.
+    /// Sends that the upstream may have run.
     pub(crate) may_have_run: u32,
-    /// Whether an engine that was taken to hold the adapter did not.
+    /// Whether an engine that was listed as holding the adapter did not hold it.
     pub(super) was_misdirected: bool,
 }
 
 impl Sends {
-    /// Counts a send to `upstream` that may have run the request.
+    /// Records a send to `upstream` that may have run the request.
     pub(crate) fn note_run(&mut self, upstream: &UpstreamId) {
         self.arrived += 1;
         self.may_have_run += 1;
@@ -193,12 +197,12 @@
         }
     }
 
-    /// Open connections of callers.
+    /// Number of open caller connections.
     pub(crate) fn connections(&self) -> usize {
         self.shared.connections.load(Ordering::Relaxed)
     }
 
-    /// The newest view, with the dispatcher brought up to it.
+    /// Loads the latest view and applies it, and all other updates, to the dispatcher.
     pub(crate) fn view(&self) -> Arc<View> {
         let view = self.shared.view.load_full();
         let is_new = self.seen_view.replace(view.number) != view.number;
@@ -222,7 +226,7 @@
         view
     }
 
-    /// Brings the dispatcher up to the limits that are known.
+    /// Applies changed upstream rate limits to the dispatcher.
     fn take_limits(&self) {
         let limits = self.shared.limits();
         if self.seen_limits.replace(limits.changes()) != limits.changes() {
@@ -231,7 +235,8 @@
         }
     }
 
-    /// Brings the dispatcher up to the rests that are known, also of upstreams that were listed anew.
+    /// Applies changed back-offs to the dispatcher; on a new view always, as it may list upstreams
+    /// again.
     fn take_rests(&self, is_new_view: bool) {
         let (notices, now) = (self.shared.notices(), Instant::now());
         if self.seen_rests.replace(notices.rests()) != notices.rests() || is_new_view {
@@ -243,12 +248,12 @@
         }
     }
 
-    /// How long the older version of an adapter may be begun on.
+    /// How long requests may still start on the old version of an adapter.
     pub(crate) fn version_overlap(&self) -> Duration {
         self.bounds.version().mul_f64(VERSION_OVERLAP_SHARE)
     }
 
-    /// Finds an answer to `call`.
+    /// Sends `call` to upstreams until one answers, or refuses it.
     pub(crate) async fn carry(self: &Rc<Self>, call: &Rc<Call>) -> Response<AnswerBody> {
         self.count_model(call);
         let mut life = Life::NotRun(Request::accept(call.id.clone()).queue());
@@ -282,7 +287,8 @@
                 Sent::Refused(verdict) => {
                     sends.arrived += 1;
                     if verdict == Verdict::Misdirected && call.meta.model.is_some() {
-                        // It may hold the adapter soon, unlike one that failed.
+                        // Not added to `tried`: unlike a failed upstream, it may hold the adapter
+                        // soon.
                         sends.was_misdirected = true;
                         life = dispatched.refused_by_node(RunState::NotRun).into();
                         continue;
@@ -312,8 +318,8 @@
         }
     }
 
-    /// Whether `call` may be sent once more after `last`: by its kind, its attempts, the budget, and
-    /// an upstream that it was not sent to.
+    /// Whether `call` may be sent again if the send to `last` fails: its kind, the attempts left
+    /// and the retry budget allow it, and another upstream is available.
     fn may_repeat(&self, call: &Call, sends: &Sends, last: &Choice) -> bool {
         let is_allowed =
             call.route.kind.may_repeat() && sends.may_have_run + 1 < call.route.max_attempts;
@@ -329,7 +335,7 @@
         choice.is_ok() && self.with_budget(call, |budget, nodes| budget.has_further(nodes, now))
     }
 
-    /// Ends a request with a refusal, and says in the log what decided it.
+    /// Records a refusal in metrics and the log, and builds the answer.
     fn give_up(&self, call: &Call, refusal: &Refusal, sends: &Sends) -> Response<AnswerBody> {
         if refusal.run_state() == RunState::NotRun {
             self.return_tokens(call);
@@ -357,7 +363,8 @@
         refuse::answer(refusal, &call.id)
     }
 
-    /// The next upstream for `call`, or the code to give it up with and when to return.
+    /// Chooses the next upstream for `call`, waiting for adapters, slots and limits as needed. The
+    /// error says which code to refuse the call with and when the caller may retry.
     pub(crate) async fn next_choice(&self, call: &Call, sends: &Sends) -> Result<Choice, GivenUp> {
         let mut patient_until = adapter_patience(call);
         let mut may_look_elsewhere = sends.arrived == 0;
@@ -377,7 +384,8 @@
                 Ok(choice)
                     if may_look_elsewhere && self.is_sooner_elsewhere(call, &choice, now) =>
                 {
-                    // Whether or not the load comes to anything, the request then goes to the best.
+                    // One attempt only: even if the load fails, the request then goes to the best
+                    // engine.
                     may_look_elsewhere = false;
                     let purpose = copy_purpose(call, &choice);
                     self.bring_adapter(call, sends, purpose, LOAD_PATIENCE)
@@ -436,7 +444,7 @@
         }
     }
 
-    /// Why a request is given up that no upstream can be sent: all are at rest, or none is known.
+    /// The refusal when no upstream can be chosen: all have asked for back-off, or none is known.
     fn without_upstream(&self, call: &Call, sends: &Sends, now: Instant) -> GivenUp {
         let dispatcher = self.dispatcher.borrow();
         let Some(ends) = dispatcher.rest_ends(&need(call, &sends.tried), now) else {
@@ -447,7 +455,8 @@
         GivenUp::until(ResultCode::UpstreamRefused, after)
     }
 
-    /// Whether `choice` is still good after the wait for its slot or turn, which goes back if not.
+    /// Checks that `choice` may still be sent to after the wait for its slot or rate permit, and
+    /// returns the slot if not.
     fn may_send(&self, call: &Call, choice: &Choice) -> bool {
         let dispatcher = self.dispatcher.borrow();
         let may_send = dispatcher.may_send(&choice.upstream.id, Instant::now());
@@ -457,20 +466,20 @@
         may_send
     }
 
-    /// `choice`, once its send is counted.
+    /// Counts the send against the retry budget and returns `choice`.
     fn counted(&self, call: &Call, sends: &Sends, choice: Choice) -> Result<Choice, GivenUp> {
         let now = Instant::now();
         if !self.count_send(call, sends, now) {
             return Err(busy(ResultCode::RetryBudgetSpent));
         }
         if !choice.is_preferred || choice.is_leaving {
-            // It is brought in elsewhere, or in the newer version; nobody waits for it.
+            // Starts a load at another engine, or of the newer version, without waiting for it.
             let _ = self.want(call, false, LoadPurpose::Miss, now);
         }
         Ok(choice)
     }
 
-    /// Takes a turn at an engine, if it names a limit.
+    /// Takes a rate permit at an engine that has a rate limit.
     async fn ask_turn(&self, call: &Call, choice: &Choice) -> Turn {
         match self.shared.limits().per_s(&choice.upstream.id) {
             Some(_) => {}
@@ -495,7 +504,7 @@
         dispatcher.choose(&need, now, &mut rand::rng())
     }
 
-    /// Counts a send, if the budget allows it.
+    /// Counts a send against the retry budget; false if the budget is used up.
     fn count_send(&self, call: &Call, sends: &Sends, now: Instant) -> bool {
         self.with_budget(call, |budget, nodes| match sends.arrived {
             0 => {
@@ -524,7 +533,7 @@
     }
 }
 
-/// A request is given up whose caller may find room in a moment.
+/// A refusal with the Retry-After of a busy service.
 fn busy(code: ResultCode) -> GivenUp {
     GivenUp::until(code, BUSY_RETRY_AFTER)
 }
--- a/crates/relay-node/src/traffic/limits.rs
+++ b/crates/relay-node/src/traffic/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that upstreams name in their answers.
+//! Rate limits that upstreams state in their answers.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,14 +11,15 @@
 use super::gateway::Gateway;
 use super::plain_slot::Turn;
 
-/// How long the shares of a node are kept that nobody asks for. Kept for longer, those of all nodes would add up
-/// to a burst.
+/// How long an unused local rate bucket is kept. If buckets were kept longer, those of all nodes
+/// would together allow a burst.
 const SHARE_LIFE: Duration = Duration::from_secs(5);
 
-/// The longest time for which an upstream's limit is taken to leave no room.
+/// The longest time for which a rate limit is taken to block an upstream.
 const LONGEST_WAIT: Duration = Duration::from_secs(60);
 
-/// What this node may send by itself to upstreams with a limit, while the node that hands out turns is not heard.
+/// The rates at which this node sends to rate-limited upstreams while the node that issues their
+/// permits does not answer.
 #[derive(Debug, Default)]
 pub(super) struct OwnShares(HashMap<UpstreamId, (RateBucket, Instant)>);
 
@@ -38,18 +39,18 @@
 }
 
 impl Gateway {
-    /// Takes a turn at an upstream from the equal part of its limit that is this node's.
+    /// Takes a rate permit at an upstream from this node's equal share of the limit.
     pub(super) fn take_own_share(&self, upstream: &UpstreamId, per_s: f64, nodes: usize) -> Turn {
         let per_s = per_s / nodes.max(1) as f64;
         let mut shares = self.own_shares.borrow_mut();
         shares.take(upstream, per_s, Instant::now())
     }
 
-    /// Takes in that an upstream's limit leaves no room for a request for `wait`.
+    /// Records that an upstream's rate limit blocks a request for `wait`.
     pub(super) fn note_held_back(&self, call: &Call, upstream: &UpstreamId, wait: Duration) {
         let now = Instant::now();
         self.shared.metrics.held_back();
-        // A limit of next to nothing has no room for longer than an instant can tell.
+        // A limit close to zero gives a wait that an `Instant` cannot represent.
         let until = now.checked_add(wait.min(LONGEST_WAIT)).unwrap_or(now);
         let mut dispatcher = self.dispatcher.borrow_mut();
         dispatcher.note_limited(upstream, until);
@@ -61,7 +62,7 @@
         );
     }
 
-    /// Takes in what an answer to `call` says of its upstream's limit.
+    /// Records what an answer to `call` states about its upstream's rate limit.
     pub(super) fn note_limit(&self, call: &Call, upstream: &Upstream, said: LimitSaid) {
         let change = self
             .shared
--- a/crates/relay-node/src/traffic/link.rs
+++ b/crates/relay-node/src/traffic/link.rs
@@ -10,14 +10,15 @@
 use crate::control::{parse_traffic_message, traffic_datagram};
 use crate::traffic_message::{SlotMessage, TrafficMessage};
 
-/// The largest datagram that is read, in bytes.
+/// The largest datagram that is received, in bytes.
 const DATAGRAM_BYTES: usize = 2_048;
 
-/// The traffic thread's socket.
+/// The traffic thread's UDP socket.
 pub(crate) struct Link(pub(crate) UdpSocket);
 
 impl Link {
-    /// Sends a message; one that cannot go now is as good as lost.
+    /// Sends a message. One that cannot be sent at once is dropped, as a datagram may be lost
+    /// anyway.
     pub(super) fn send(&self, message: TrafficMessage, to: SocketAddr) {
         if let Some(datagram) = traffic_datagram(message) {
             let _ = self.0.try_send_to(&datagram, to);
@@ -25,12 +26,12 @@
     }
 }
 
-/// Takes in what other nodes answer, for ever.
+/// Receives the answers of other nodes, for ever.
 pub(crate) async fn take_answers(gateway: Rc<Gateway>) {
     let mut buffer = vec![0; DATAGRAM_BYTES];
     loop {
         let Ok((length, sender)) = gateway.link.0.recv_from(&mut buffer).await else {
-            // An address that nobody listens at; the datagram after it is read as usual.
+            // An earlier datagram was refused at its destination; receiving continues as usual.
             continue;
         };
         match parse_traffic_message(&buffer[..length]) {
--- a/crates/relay-node/src/traffic/listener.rs
+++ b/crates/relay-node/src/traffic/listener.rs
@@ -1,4 +1,4 @@
-//! Callers' connections.
+//! Callers' connections, and reading their requests.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -29,24 +29,25 @@
 use super::refuse::{self, GivenUp};
 use crate::CallMeta;
 
-/// The longest deadline that is used where a caller states none.
+/// The deadline of requests that state none, unless the route's timeout is shorter.
 const UNSTATED_DEADLINE: Duration = Duration::from_secs(60);
 
-/// Limits of a connection while no configuration is known; those of the configuration are taken
-/// when a connection opens.
+/// The idle timeout while no configuration is known. The configured limits apply to connections
+/// that open later.
 const FIRST_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The buffer of a connection where the configuration allows less than hyper takes.
+/// The smallest read buffer that hyper accepts, for configurations that allow less.
 const LEAST_BUFFER_BYTES: usize = 8 * 1024;
 
-/// How long after a node began to leave it still passes new requests on. The platform notices
-/// after two questions, one a second; an answer that begins later may not end in time.
+/// How long a node that shuts down still accepts new requests. The platform stops sending callers
+/// after two readiness checks, one a second. Answers to later requests might not end within the
+/// grace period.
 const LAST_REQUESTS: Duration = Duration::from_millis(3_000);
 
-/// When a caller of a leaving node is asked to return: at once, as another node takes it.
+/// Retry-After at a node that shuts down: almost at once, as another node takes the request.
 const LEAVING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// Accepts callers until the task is dropped; `close` closes connections without a request.
+/// Accepts callers until the task is dropped. `close` closes connections that have no request.
 pub(crate) async fn serve(listener: TcpListener, gateway: Rc<Gateway>, close: CancellationToken) {
     loop {
         match listener.accept().await {
@@ -55,7 +56,7 @@
                 let connection = serve_connection(stream, Rc::clone(&gateway), close.clone());
                 tokio::task::spawn_local(connection);
             }
-            // Out of descriptors for a moment; the connection waits in the kernel's queue.
+            // Out of file descriptors for a moment; the connection waits in the kernel's queue.
             Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
         }
     }
@@ -72,20 +73,20 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // This timer runs from the end of the answer before, so it bounds idle time as well.
+        // This timer starts when the answer before ends, so it also limits idle time.
         .header_read_timeout(idle)
         .max_buf_size(header_bytes.max(LEAST_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
-        // An error is a caller that went away or broke the protocol; nobody is left to tell.
+        // The caller disconnected or broke the protocol; nobody is left to receive an error.
         _ = connection.as_mut() => return,
         () = close.cancelled() => connection.as_mut().graceful_shutdown(),
     }
     let _ = connection.await;
 }
 
-/// Why a request goes no further than its connection.
+/// Why a request is refused before routing.
 struct Turned {
     code: ResultCode,
     detail: String,
@@ -143,7 +144,7 @@
         answer
     }
 
-    /// Reads the request to its end and finds its route.
+    /// Reads the whole request and finds its route and caller.
     async fn read(
         &self,
         parts: Parts,
@@ -159,7 +160,7 @@
             Turned::new(ResultCode::NoTextInForce, "").retry_after(Duration::from_millis(500))
         })?;
         let body = read_body(body, &table).await?;
-        // The configuration may have changed while the body came in.
+        // The configuration may have changed while the body was received.
         let view = self.view();
         let table = view.table.clone().unwrap_or(table);
         let host = host(&parts);
@@ -216,7 +217,7 @@
     }
 }
 
-/// Counts a connection as open.
+/// Counts a connection as open until dropped.
 struct OpenConnection(Rc<Gateway>);
 
 impl OpenConnection {
@@ -246,7 +247,7 @@
     }
 }
 
-/// The host that a request names, without a port.
+/// The host that a request names, without the port.
 fn host(parts: &Parts) -> &str {
     let named = parts.headers.get(header::HOST);
     let named = named.and_then(|host| host.to_str().ok());
--- a/crates/relay-node/src/traffic/mod.rs
+++ b/crates/relay-node/src/traffic/mod.rs
@@ -26,5 +26,5 @@
 pub(crate) use link::{Link, take_answers};
 pub(crate) use listener::serve;
 
-/// How long accepting pauses when the process is out of descriptors.
+/// How long accepting pauses when the process is out of file descriptors.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
--- a/crates/relay-node/src/traffic/model_wait.rs
+++ b/crates/relay-node/src/traffic/model_wait.rs
@@ -1,4 +1,4 @@
-//! Requests for base models that no engine holds.
+//! Requests that wait for a base model which no engine holds.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -8,18 +8,19 @@
 use super::call::Call;
 use super::gateway::Gateway;
 
-/// How long a request waits at most for its base model, as a part of the time after which its caller
-/// leaves. The rest is for the adapter and the first event.
+/// The fraction of its caller's wait limit that a request may wait for its base model. The rest is
+/// left for loading the adapter and for the first event.
 const MODEL_PATIENCE_SHARE: f64 = 0.75;
 
-/// How often a request that waits for its base model looks for it: owners tell every 100 ms.
+/// How often a waiting request checks for its base model. Owners send updates every 100 ms.
 const MODEL_LOOK_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Requests of one node that wait for base models. More could not all be answered once one has come.
+/// At most this many requests per node wait for base models; more could not all be answered once
+/// the model is loaded.
 const MODEL_WAITS_LIMIT: usize = 128;
 
 impl Gateway {
-    /// Counts a request for a base model, if its service has several.
+    /// Counts a request towards the demand for its base model, if its service has several.
     pub(super) fn count_model(&self, call: &Call) {
         let Some(model) = &call.meta.model else {
             return;
@@ -32,7 +33,8 @@
         }
     }
 
-    /// Whether the service of `call` has the base model of `model`, among `least` of them or more.
+    /// Whether the service of `call` is configured with at least `least` base models, that of
+    /// `model` among them.
     pub(super) fn is_configured(&self, call: &Call, model: &ModelRef, least: usize) -> bool {
         let view = self.shared.view.load();
         let table = view.table.as_ref();
@@ -49,11 +51,11 @@
         dispatcher.has_base(&call.service, model, now)
     }
 
-    /// Waits until an engine holds the base model of `call`, which owners see to; for a part of the time
-    /// after which its caller leaves.
+    /// Waits until an engine holds the base model of `call`; owners load it because of the demand.
+    /// The wait is limited to a fraction of the caller's wait limit.
     ///
-    /// Refused at once, a request for a model that few ask for would never be served: its callers come
-    /// too seldom to find the engine that the one before had it loaded into.
+    /// Without the wait, a request for a rarely used model would never be served: its callers come
+    /// too seldom to find the engine that loaded the model for the one before.
     pub(super) async fn await_base(&self, call: &Call) -> bool {
         let model = call.meta.model.as_ref();
         let is_configured = model.is_some_and(|model| self.is_configured(call, model, 1));
@@ -74,7 +76,7 @@
     }
 }
 
-/// Counts a request out of those that wait when it is dropped: its caller may go away meanwhile.
+/// Counts a waiting request until dropped, as its caller may disconnect during the wait.
 pub(super) struct Wait<'a>(&'a Cell<usize>);
 
 impl<'a> Wait<'a> {
--- a/crates/relay-node/src/traffic/own_words.rs
+++ b/crates/relay-node/src/traffic/own_words.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves in their answers.
+//! What upstreams state about themselves in their answers: leaving, back-off and rate limits.
 
 use std::time::{Duration, Instant};
 
@@ -10,10 +10,10 @@
 use crate::{AnswerMeta, Verdict};
 
 impl Gateway {
-    /// Takes in what the process says of itself that answered a send of `call` to `upstream`.
+    /// Records what the upstream's answer to a send of `call` states about the upstream.
     ///
-    /// An answer to another request comes from the same process, which has the connection. So does one that is spoilt;
-    /// that the process leaves is not in its body.
+    /// This holds even if the answer belongs to another request, as it came over the upstream's
+    /// connection, or if its body is corrupt, as the notice is in the head.
     pub(super) fn note_own_word(&self, call: &Call, upstream: &Upstream, answer: &AnswerMeta) {
         if !is_own(upstream, answer) {
             return;
@@ -61,7 +61,8 @@
     }
 }
 
-/// Whether the process that was meant has answered: whoever has its address now turns its requests away.
+/// Whether the intended process answered. Another process that now has its address refuses the
+/// request as misdirected, under a name of its own.
 fn is_own(upstream: &Upstream, answer: &AnswerMeta) -> bool {
     let named = answer.upstream.as_ref();
     answer.verdict != Verdict::Misdirected || named.is_some_and(|named| *named == *upstream.name)
--- a/crates/relay-node/src/traffic/plain_slot.rs
+++ b/crates/relay-node/src/traffic/plain_slot.rs
@@ -1,4 +1,4 @@
-//! Slots of plain upstreams, and turns at upstreams that name a limit, for the requests that go there.
+//! Takes concurrency slots of plain upstreams, and permits of rate-limited upstreams, for requests.
 
 use std::time::{Duration, Instant};
 
@@ -10,24 +10,24 @@
 use super::refuse::GivenUp;
 use super::slot_client::SlotTaken;
 
-/// How long a request may wait for a slot beyond the time in which its answer is in time. Its caller may be
-/// served sooner if it returns.
+/// How long beyond the latency objective a request may wait for a slot. After that its caller may
+/// be served sooner by a retry.
 const LATE_PATIENCE: Duration = Duration::from_millis(600);
 
-/// The least time after which a caller that found no room is asked to return.
+/// The shortest Retry-After for a caller whose request found no slot.
 const LEAST_RETURN: Duration = Duration::from_millis(100);
 
-/// What came of an ask for a slot or a turn.
+/// The result of asking for a slot or a rate permit.
 pub(super) enum Turn {
     /// The request may be sent.
     Taken,
-    /// It may not; one would be free after about this time.
+    /// The request may not be sent; a slot or permit should be free after this time.
     Busy(Duration),
 }
 
 impl Gateway {
-    /// Takes a slot for a plain request at `first`, at another upstream that has one free, or where one is
-    /// free soonest.
+    /// Takes a slot for a plain request: at `first`, else at another upstream with a free slot,
+    /// else in the queue of the upstream whose slot is expected soonest.
     pub(super) async fn take_slot(
         &self,
         call: &Call,
@@ -46,7 +46,7 @@
         self.queue_at_soonest(call, busy).await
     }
 
-    /// Waits where a slot or a turn is free soonest, if that is soon enough.
+    /// Waits at the upstream where a slot or permit is expected soonest, if that is soon enough.
     pub(super) async fn queue_at_soonest(
         &self,
         call: &Call,
@@ -59,7 +59,7 @@
         match self.ask_slot(call, &choice, true).await {
             Turn::Taken => Ok(choice),
             Turn::Busy(wait) => {
-                // Spread, so that those who were refused together don't return together.
+                // Randomized, so that callers who were refused together do not retry together.
                 let spread = (wait + LEAST_RETURN).mul_f64(rand::random());
                 let after = wait.max(LEAST_RETURN) + spread;
                 Err(GivenUp::until(ResultCode::UpstreamRefused, after))
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Chooses among the upstreams that are not busy.
+    /// Chooses an upstream that is not in `busy`.
     pub(super) fn choose_beside(
         &self,
         call: &Call,
@@ -84,7 +84,7 @@
         self.choose(call, &tried, now)
     }
 
-    /// Asks for a slot, or for a turn if the upstream names a limit.
+    /// Asks for a slot, or for a rate permit if the upstream has a limit.
     pub(super) async fn ask_slot(&self, call: &Call, choice: &Choice, may_queue: bool) -> Turn {
         let (view, now) = (self.shared.view.load_full(), Instant::now());
         let upstream = &choice.upstream.id;
@@ -103,7 +103,8 @@
                 Turn::Taken
             }
             (SlotTaken::Busy(wait) | SlotTaken::Refused(wait), _) => Turn::Busy(wait),
-            // The upstream's own queue turns away what it has no room for.
+            // Without an answer the request is sent: the upstream's own queue refuses what it has
+            // no room for.
             (SlotTaken::NoAnswer, None) => Turn::Taken,
             (SlotTaken::NoAnswer, Some(per_s)) => self.take_own_share(upstream, per_s, view.nodes),
         };
@@ -124,7 +125,8 @@
         }
     }
 
-    /// How long the caller of a request has waited before, by what it states of its patience.
+    /// How long the caller has already waited with earlier attempts, estimated from the wait limit
+    /// that it states.
     pub(super) fn waited_before(&self, route: &str, patience: Option<Duration>) -> Duration {
         let Some(patience) = patience else {
             return Duration::ZERO;
--- a/crates/relay-node/src/traffic/quota_client.rs
+++ b/crates/relay-node/src/traffic/quota_client.rs
@@ -1,4 +1,4 @@
-//! Borrows tokens of teams' quotas from the nodes that lend them.
+//! Borrows quota tokens of teams from the nodes that lend them.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,29 +15,29 @@
 use crate::clock::boot_time;
 use crate::traffic_message::TrafficMessage;
 
-/// How long one lender is waited for before another is asked as well. An answer takes a millisecond or two, and
-/// up to a tenth of a second where the lender's processor share is used up.
+/// How long to wait for one lender before another is asked as well. An answer takes a millisecond
+/// or two, and up to 100 ms if the lender has used up its CPU share.
 const HEDGE_AFTER: Duration = Duration::from_millis(40);
 
-/// How long a request waits at least for lenders that do not answer.
+/// The shortest time that a request waits for lenders that do not answer.
 const LEAST_PATIENCE: Duration = Duration::from_millis(150);
 
-/// How long a node waits before it asks a lender again that had too few tokens and borrows them meanwhile.
+/// The wait before a lender with too few tokens is asked again; it borrows more in the meantime.
 const ASK_AGAIN_AFTER: Duration = Duration::from_millis(12);
 
-/// How long a lender that did not answer is asked last.
+/// How long a lender that did not answer is tried last.
 const SILENT_FOR: Duration = Duration::from_millis(1_000);
 
 /// Why a request gets no tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoTokens {
-    /// The team's quota is spent; tokens will be there after this time.
+    /// The team's quota is used up; tokens will be available after this time.
     Spent(Duration),
     /// No lender answered.
     Unknown,
 }
 
-/// The tokens that this node has borrowed, and its asks for more.
+/// The tokens that this node has borrowed, and its open requests for more.
 pub(crate) struct QuotaClient {
     link: Rc<Link>,
     account: RefCell<Account>,
@@ -45,10 +45,10 @@
     silent: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
-/// Tokens of a request that was not sent yet. Dropped, they go back.
+/// Tokens reserved for a request that was not sent yet. They are returned on drop.
 pub(crate) struct TokenLease {
     client: Rc<QuotaClient>,
-    /// Present until it is spent.
+    /// `None` once the tokens were spent.
     reservation: Option<Reservation>,
 }
 
@@ -59,7 +59,7 @@
         reservation.is_some_and(|reservation| reservation.is_valid(now))
     }
 
-    /// The tokens, which now go with the request.
+    /// Spends the tokens with the request, so that they are not returned.
     pub(crate) fn spend(mut self) -> Option<Reservation> {
         self.reservation.take()
     }
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Sets tokens aside for a request, borrowed from `lenders` if too few are held.
+    /// Reserves tokens for a request, borrowed from `lenders` if this node holds too few.
     pub(crate) async fn reserve(
         self: &Rc<Self>,
         team: &TeamName,
@@ -121,7 +121,7 @@
                     let wait = Duration::from_millis(u64::from(lent.wait_ms));
                     let left = patience.saturating_sub(began.elapsed());
                     match told_wait.replace(wait) {
-                        // The lender may have borrowed what is missing a moment later.
+                        // The lender may have borrowed the missing tokens a moment later.
                         None => sleep(ASK_AGAIN_AFTER.min(left)).await,
                         Some(_) if wait > left => return Err(NoTokens::Spent(wait)),
                         Some(_) => sleep(wait.max(ASK_AGAIN_AFTER).min(left)).await,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Puts back what a request did not spend.
+    /// Returns the tokens that a request did not spend.
     pub(crate) fn give_back(&self, reservation: Reservation) {
         let mut account = self.account.borrow_mut();
         account.give_back(reservation, boot_time());
@@ -146,7 +146,7 @@
         account.take(team, tokens, boot_time())
     }
 
-    /// Lenders with those that were silent lately behind.
+    /// The lenders, those that did not answer lately last.
     fn in_order(&self, lenders: &[SocketAddr]) -> Vec<SocketAddr> {
         let mut silent = self.silent.borrow_mut();
         silent.retain(|_, at| at.elapsed() < SILENT_FOR);
@@ -178,7 +178,8 @@
         answer
     }
 
-    /// Takes in an answer. One that came too late for its request serves the next.
+    /// Processes a lender's answer. Tokens that arrive too late for their request are used for the
+    /// next.
     pub(super) fn take_lent(&self, lent: Lent) {
         let Some(waiting) = self.waiting.borrow_mut().remove(&lent.id) else {
             return;
--- a/crates/relay-node/src/traffic/refuse.rs
+++ b/crates/relay-node/src/traffic/refuse.rs
@@ -1,4 +1,4 @@
-//! Answers of the node's own.
+//! Error answers that this node produces itself.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use super::answer_body::AnswerBody;
 
-/// Why a request is given up, and when its caller is asked to return.
+/// Why a request is refused, and when its caller may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct GivenUp {
     pub(crate) code: ResultCode,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Puts a refusal into an answer.
+/// Builds the answer for a refusal.
 pub(crate) fn answer(refusal: &Refusal, request: &RequestId) -> Response<AnswerBody> {
     let body = ErrorBody::new(refusal, request).to_json();
     let mut answer = Response::new(AnswerBody::Own(Some(Bytes::from(body))));
@@ -43,7 +43,7 @@
     answer
 }
 
-/// Seconds with a fraction, as callers here read it.
+/// Seconds with a fraction, which callers of this platform accept in Retry-After.
 fn seconds(wait: Duration) -> HeaderValue {
     let text = format!("{:.2}", wait.as_secs_f64());
     HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static("1"))
--- a/crates/relay-node/src/traffic/resumable_body.rs
+++ b/crates/relay-node/src/traffic/resumable_body.rs
@@ -1,4 +1,4 @@
-//! The body of a stream that another upstream may go on with.
+//! The body of a stream that another upstream may resume.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -15,9 +15,10 @@
 use super::flight::Flight;
 use super::resume::{Resumed, Resumption};
 
-/// How long an upstream may be silent in the middle of a stream before another one goes on. Pauses of
-/// sound ones end within 0.3 s, of one that is short of memory within a second or so; callers give up
-/// after 2 to 4 s. One that crashed without a word, or is behind a partition, never speaks again.
+/// How long an upstream may send nothing in the middle of a stream before another one resumes it.
+/// Pauses of a healthy upstream end within 0.3 s, of one short of memory within about a second.
+/// Callers give up after 2 to 4 s. An upstream that crashed without closing its connection, or is
+/// behind a network partition, never sends anything again.
 const SILENCE: Duration = Duration::from_millis(2_000);
 
 type GoingOn = Pin<Box<dyn Future<Output = Option<Resumed>>>>;
@@ -28,24 +29,24 @@
     Ended,
 }
 
-/// An upstream's body, with the request's place in the books.
+/// An upstream's body and the accounting of its send.
 struct Reading {
     body: PooledBody,
     flight: Flight,
 }
 
-/// Whole events of a stream, from one upstream after the other.
+/// Forwards the whole events of a stream, from one upstream after another.
 pub(crate) struct ResumableBody {
     state: State,
     events: EventSplitter,
     resumption: Option<Resumption>,
-    /// Ends when the request's time is over.
+    /// Fires at the request's deadline.
     cutoff: Pin<Box<Sleep>>,
-    /// Ends when the upstream has been silent for too long.
+    /// Fires when the upstream has sent nothing for too long.
     silence: Pin<Box<Sleep>>,
 }
 
-/// What one look at the upstream brought.
+/// The result of one poll of the upstream.
 enum Step {
     Events(Vec<u8>),
     Whole,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Reads on; `Ready` with nothing if the state changed.
+    /// Reads from the upstream; `Ready` with no bytes if the state changed.
     fn read(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Vec<u8>, AnswerCut>>> {
         match self.step(cx) {
             Step::Events(events) => Poll::Ready(Some(Ok(events))),
@@ -123,7 +124,8 @@
                 reading.flight.note_progress();
                 self.silence.as_mut().reset(Instant::now() + SILENCE);
                 let bytes = frame.into_data().unwrap_or_default();
-                // Events that come twice are of an upstream that began anew.
+                // Repeated events mean that the upstream started the stream again from the
+                // beginning.
                 self.events.push(&bytes).map_or(Step::Broken, Step::Events)
             }
             Poll::Ready(Some(Err(_))) => {
@@ -136,8 +138,8 @@
         }
     }
 
-    /// Begins to go on elsewhere, if that is allowed. The connection to the upstream closes with its
-    /// body, so that it stops work on the request.
+    /// Starts to resume the stream at another upstream, if that is allowed. Dropping the body
+    /// closes the connection to the old upstream, which then stops working on the request.
     fn go_on(&mut self) -> bool {
         let Some(resumption) = self
             .resumption
--- a/crates/relay-node/src/traffic/resume.rs
+++ b/crates/relay-node/src/traffic/resume.rs
@@ -1,4 +1,4 @@
-//! Goes on with a broken stream at another upstream.
+//! Resumes a broken stream at another upstream.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,21 +13,21 @@
 use super::gateway::{Gateway, Sends};
 use super::send::Sent;
 
-/// How long a stream may wait for an upstream to go on at, with the load of its adapter. Callers give a
-/// stream up after a gap of some 2 to 4 s.
+/// How long a broken stream may wait to be resumed, including the load of its adapter. Callers give
+/// up a stream after a gap of about 2 to 4 s.
 const RESUME_PATIENCE: Duration = Duration::from_millis(1_500);
 
-/// How often going on is tried: an upstream may turn the request away.
+/// How many upstreams are tried, as each may refuse the request.
 const TRIES: usize = 3;
 
-/// What is needed to go on with a stream.
+/// What is needed to resume a stream.
 pub(crate) struct Resumption {
     gateway: Rc<Gateway>,
     call: Rc<Call>,
     sends: Sends,
 }
 
-/// A stream that goes on.
+/// A resumed stream.
 pub(crate) struct Resumed {
     pub(crate) body: PooledBody,
     pub(crate) flight: Flight,
@@ -35,7 +35,8 @@
 }
 
 impl Resumption {
-    /// A stream that was sent to `upstream`, if its route lets another one go on with it.
+    /// Returns a `Resumption` for a stream sent to `upstream`, if its route allows resuming and
+    /// attempts are left.
     pub(crate) fn of(
         gateway: &Rc<Gateway>,
         call: &Rc<Call>,
@@ -53,7 +54,7 @@
         (is_resumable && resumption.is_allowed()).then_some(resumption)
     }
 
-    /// Sends the request to another upstream, to go on after the event `last_id`.
+    /// Sends the request to another upstream, which resumes after the event `last_id`.
     pub(crate) async fn go_on(mut self, last_id: Option<u64>) -> Option<Resumed> {
         let until = Instant::now() + RESUME_PATIENCE;
         for _ in 0..TRIES {
@@ -78,7 +79,7 @@
                         resumption: self,
                     });
                 }
-                // It did not run there.
+                // The upstream did not run it.
                 Sent::Refused(_) => self.sends.arrived += 1,
                 Sent::NotArrived => {}
                 Sent::Answer(_) | Sent::Failed(_) | Sent::Lost | Sent::TimedOut => return None,
@@ -88,7 +89,7 @@
         None
     }
 
-    /// Whether another upstream may go on once more.
+    /// Whether an attempt is left to resume the stream.
     pub(crate) fn is_allowed(&self) -> bool {
         self.sends.may_have_run < self.call.route.max_attempts
     }
--- a/crates/relay-node/src/traffic/send.rs
+++ b/crates/relay-node/src/traffic/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one upstream.
+//! Sends a request once, to one upstream, and classifies the answer.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,39 +17,39 @@
 use super::resume::Resumption;
 use crate::{AnswerMeta, SendMeta, Verdict};
 
-/// An upstream's answer, with the request's place in the books.
+/// An upstream's answer and the accounting of its send.
 pub(crate) struct Taken {
     pub(crate) answer: Response<PooledBody>,
     pub(crate) flight: Flight,
 }
 
-/// What became of a send.
+/// The outcome of one send.
 pub(crate) enum Sent {
-    /// The upstream's answer, to be passed on.
+    /// An answer to forward to the caller.
     Answer(Taken),
-    /// The upstream's answer, a failure of its own; passed on if the request cannot be sent again.
+    /// An error answer of the upstream; forwarded if the request cannot be sent again.
     Failed(Taken),
-    /// No connection could be made; nothing arrived.
+    /// No connection could be opened; the upstream received nothing.
     NotArrived,
-    /// It arrived, and the upstream said that it did not run it.
+    /// The upstream received the request and stated that it did not run it.
     Refused(Verdict),
-    /// It may have run; no answer that could be passed on came.
+    /// The upstream may have run the request, but sent no usable answer.
     Lost,
-    /// It may have run; its time is over.
+    /// The upstream may have run the request; its deadline has passed.
     TimedOut,
 }
 
-/// How long a connection may have been idle that carries a request which may run once only. A close
-/// by the other end that is on its way would lose the request.
+/// The longest idle time of a connection that is used for a request which must not run twice. If
+/// the upstream is just closing the connection, such a request could not be sent again.
 const ONCE_MAX_IDLE: Duration = Duration::from_secs(3);
 
-/// How long an idempotent plain call may take before another upstream is asked, as a multiple of
-/// its latency objective: the slowest sound answers take some 1.5 times the objective (220 ms of
-/// 150 ms); a silent upstream costs its callers the rest.
+/// The timeout of an idempotent request that another upstream could serve, as a multiple of its
+/// latency objective. The slowest normal answers take about 1.5 times the objective (220 ms of 150
+/// ms). Waiting longer for an upstream that does not respond uses up the caller's time.
 const IDEMPOTENT_PATIENCE: u32 = 3;
 
 impl Gateway {
-    /// Sends the request once; with `last_event` to go on with a stream after it.
+    /// Sends the request once. With `last_event`, the upstream resumes a stream after that event.
     pub(crate) async fn send(
         self: &Rc<Self>,
         call: &Call,
@@ -114,9 +114,9 @@
     ) -> Sent {
         let meta = self.dialect.read_answer(answer.status(), answer.headers());
         self.note_own_word(call, &choice.upstream, &meta);
-        // A second answer to an earlier request may come late on a kept connection, where the next
-        // answer is due. Its id tells; passed on, one caller would read another's answer. The
-        // connection is dropped with the answer, so nothing else is read from it.
+        // An upstream may send a second, late answer to an earlier request on a kept-alive
+        // connection. Forwarding it would give one caller another caller's answer, so the request
+        // ids are compared. Dropping the answer also drops its connection.
         if meta.request_id != call.meta.request_id {
             flight.note_broken();
             return Sent::Lost;
@@ -136,7 +136,8 @@
             Verdict::Answered => {}
         }
         let status = answer.status();
-        // Callers ask for bodies without any encoding, so an encoded one is not the upstream's.
+        // Callers ask for unencoded bodies, so an encoded answer, like an unsigned one, was not
+        // produced by the upstream.
         let is_spoilt = answer.headers().contains_key(header::CONTENT_ENCODING) || !meta.is_sealed;
         if is_spoilt {
             flight.note_broken();
@@ -163,7 +164,7 @@
         );
     }
 
-    /// Takes in that the upstream was not the one meant, or does not hold the model.
+    /// Records that another upstream is at the address, or that this one does not hold the model.
     fn note_misdirected(&self, call: &Call, choice: &Choice, meta: &AnswerMeta) {
         let mut dispatcher = self.dispatcher.borrow_mut();
         let meant = &*choice.upstream.name;
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Passes an answer on as it arrives; with `resumption` another upstream may go on with it.
+    /// Forwards an answer as it arrives. With `resumption`, another upstream may resume it.
     pub(crate) fn pass_on(
         &self,
         call: &Call,
@@ -200,8 +201,8 @@
     }
 }
 
-/// How long this send may take to its answer's head. If no other upstream could be asked instead,
-/// waiting on is all that can help.
+/// The timeout until the answer's head arrives. Without another upstream to try, only waiting can
+/// help.
 fn patience(call: &Call, has_other: bool, remaining: Duration) -> Duration {
     match call.route.kind {
         CallKind::Idempotent if has_other => {
--- a/crates/relay-node/src/traffic/slot_client.rs
+++ b/crates/relay-node/src/traffic/slot_client.rs
@@ -1,4 +1,5 @@
-//! Takes slots of plain upstreams, and turns at upstreams that name a limit, from the nodes that hand them out.
+//! Takes slots of plain upstreams, and permits of rate-limited upstreams, from the nodes that issue
+//! them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,30 +15,30 @@
 use super::link::Link;
 use crate::traffic_message::{SlotAskId, SlotMessage, TrafficMessage};
 
-/// How long the node that hands out slots is waited for.
+/// How long to wait for the node that issues slots.
 const ANSWER_PATIENCE: Duration = Duration::from_millis(40);
 
-/// How long a node that did not answer is not asked.
+/// How long a node that did not answer is not asked again.
 const SILENT_FOR: Duration = Duration::from_millis(1_000);
 
-/// How much longer than its patience a request waits for the answer that ends its time in the queue.
+/// How much longer than its wait limit a queued request waits for the issuing node's final answer.
 const QUEUE_MARGIN: Duration = Duration::from_millis(60);
 
 type Answers = mpsc::UnboundedReceiver<SlotAnswer>;
 
-/// What came of an ask.
+/// The result of asking for a slot.
 pub(crate) enum SlotTaken {
-    /// The slot.
+    /// The slot is taken.
     Granted(SlotPermit),
-    /// Nobody hands them out, or whoever does was not heard.
+    /// No node issues slots of this upstream, or the node did not answer.
     NoAnswer,
-    /// None is free; one would be after about this time.
+    /// None is free; one should be after about this time.
     Busy(Duration),
-    /// It cannot be served; whoever returns after this time finds room.
+    /// The request cannot be served in time; a retry after this time should find a slot.
     Refused(Duration),
 }
 
-/// This node's asks for slots.
+/// Sends this node's requests for slots and tracks their answers.
 pub(crate) struct SlotClient {
     link: Rc<Link>,
     asks: Cell<SlotAskId>,
@@ -45,25 +46,25 @@
     silent: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
-/// A slot that is taken, or an ask for one. Dropped, it is given back.
+/// A slot that is taken or asked for. It is returned on drop.
 pub(crate) struct SlotPermit {
     client: Rc<SlotClient>,
     id: SlotAskId,
     upstream: UpstreamId,
     node: SocketAddr,
-    /// Whether the other node knows of it.
+    /// Whether the issuing node has to be told when the slot is returned.
     is_known: bool,
-    /// How long the request was at the upstream.
+    /// How long the request was at the upstream, in milliseconds.
     took_ms: Option<u32>,
 }
 
 impl SlotPermit {
-    /// Takes in that the request was answered, `took` after it was sent.
+    /// Records that the request was answered, `took` after it was sent.
     pub(super) fn note_answered(&mut self, took: Duration) {
         self.took_ms = u32::try_from(took.as_millis()).ok();
     }
 
-    /// Takes in that the other node has refused it.
+    /// Records that the issuing node refused the slot.
     fn forget(&mut self) {
         self.is_known = false;
     }
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Asks `node` for a slot of `upstream`, and waits for it if the ask may queue.
+    /// Asks `node` for a slot of `upstream`, and waits in its queue if `ask` allows that.
     pub(crate) async fn take(
         self: &Rc<Self>,
         upstream: &UpstreamId,
@@ -161,7 +162,7 @@
         (permit, answers)
     }
 
-    /// Takes in an answer. A slot for a request that has gone is given back.
+    /// Processes an answer. A slot whose request is gone is returned.
     pub(super) fn take_answer(
         &self,
         id: SlotAskId,
--- a/crates/relay-node/src/traffic_message.rs
+++ b/crates/relay-node/src/traffic_message.rs
@@ -1,35 +1,35 @@
-//! What the traffic thread of one node and the control thread of another tell each other.
+//! Messages between the traffic thread of one node and the control thread of another.
 
 use nutmegsail_base::UpstreamId;
 use nutmegsail_quota::QuotaMessage;
 use nutmegsail_relay::{LimitTold, SlotAnswer, SlotAsk};
 use serde::{Deserialize, Serialize};
 
-/// Tells the asks of one node for slots apart.
+/// Identifies a slot request of one node.
 pub(crate) type SlotAskId = u64;
 
-/// A message about the slots of a plain upstream, or turns at one that names a limit.
+/// A message about slots of plain upstreams or permits of rate-limited upstreams.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum SlotMessage {
-    /// To the node that hands them out.
+    /// Sent to the node that issues the slots.
     Ask {
         id: SlotAskId,
         upstream: UpstreamId,
         ask: SlotAsk,
-        /// What the sender knows of the upstream's limit.
+        /// What the sender knows of the upstream's rate limit.
         limit: Option<LimitTold>,
     },
-    /// Its answer; one that follows [`SlotAnswer::Queued`] has the same id.
+    /// The answer to an `Ask`; one that follows [`SlotAnswer::Queued`] has the same id.
     Answer {
         id: SlotAskId,
         upstream: UpstreamId,
         answer: SlotAnswer,
     },
-    /// The request has ended, or waits no more.
+    /// The request has ended, or no longer waits for a slot.
     Release {
         id: SlotAskId,
         upstream: UpstreamId,
-        /// How long it was at the upstream, if it was answered.
+        /// How long the request was at the upstream in milliseconds, if it was answered.
         took_ms: Option<u32>,
     },
 }
@@ -39,6 +39,6 @@
 pub(crate) enum TrafficMessage {
     /// About teams' quotas.
     Quota(QuotaMessage),
-    /// About slots of plain upstreams.
+    /// About slots and rate permits.
     Slots(SlotMessage),
 }
--- a/crates/relay-node/tests/settings.rs
+++ b/crates/relay-node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the relay: the example, and what faults are told.
+//! Tests of the node's settings: the example file and the errors for faulty settings.
 
 use nutmegsail_relay_node::RelaySettings;
 use rstest::rstest;
