--- a/crates/relay-node/src/metrics.rs
+++ b/crates/relay-node/src/metrics.rs
@@ -210,7 +210,7 @@
         self.limited_upstreams.record(upstreams as u64, &[]);
     }
 
-    /// Records how many upstreams are leaving, and how many have asked for back-off.
+    /// Records how many upstreams are leaving, and how many have asked for backoff.
     pub(crate) fn notices(&self, leaving: usize, resting: usize) {
         self.leaving_upstreams.record(leaving as u64, &[]);
         self.resting_upstreams.record(resting as u64, &[]);
--- a/crates/relay-node/src/node.rs
+++ b/crates/relay-node/src/node.rs
@@ -20,7 +20,7 @@
 use crate::metrics::{RelayMetrics, StoreCalls};
 use crate::nodes_sockets::NodesSockets;
 use crate::shared::Shared;
-use crate::traffic::{self, Gateway, GatewayParts, Link};
+use crate::traffic::{self, Gateway, GatewayParts, PeerSocket};
 use crate::{Dialect, RelaySettings, ready};
 
 /// Why a node could not start.
@@ -50,13 +50,13 @@
 
 /// How long a node that shuts down keeps working as before, until the platform stops sending
 /// callers: it needs two readiness checks, one a second.
-const OUT_OF_ROTATION: Duration = Duration::from_millis(3_200);
+const ROTATION_REMOVAL_TIME: Duration = Duration::from_millis(3_200);
 
 /// The last part of the grace period, left for the process to exit.
-const END_MARGIN: Duration = Duration::from_millis(500);
+const EXIT_MARGIN: Duration = Duration::from_millis(500);
 
 /// How often a node that shuts down checks whether its connections are closed.
-const LEAVING_STEP: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running node. It runs on a `LocalSet`; its control part has its own thread.
 pub struct RelayNode {
@@ -116,20 +116,20 @@
         };
         let stop_control = CancellationToken::new();
         let grace = settings.bounds.grace();
-        let link = UdpSocket::bind((settings.nodes_address.ip(), 0)).await;
-        let link = link.map_err(|problem| RelayNodeError::Listen {
+        let peer_socket = UdpSocket::bind((settings.nodes_address.ip(), 0)).await;
+        let peer_socket = peer_socket.map_err(|problem| RelayNodeError::Listen {
             address: settings.nodes_address,
             problem,
         })?;
         let gateway = Rc::new(Gateway::new(GatewayParts {
-            link: Link(link),
+            peer_socket: PeerSocket(peer_socket),
             shared: Arc::clone(&shared),
             dialect: Arc::clone(&dialect),
             failure_domain: settings.failure_domain.clone(),
             bounds: settings.bounds,
             log: log.clone(),
         }));
-        let parts = StartControl {
+        let parts = ControlThread {
             settings,
             store: Arc::new(store),
             dialect: Arc::clone(&dialect),
@@ -143,7 +143,7 @@
         let control = parts.spawn()?;
         let close = CancellationToken::new();
         spawn_local(traffic::serve(callers, Rc::clone(&gateway), close.clone()));
-        spawn_local(traffic::take_answers(Rc::clone(&gateway)));
+        spawn_local(traffic::receive_answers(Rc::clone(&gateway)));
         spawn_local(ready::serve(readiness, Arc::clone(&shared), dialect));
         if let Some(listener) = metrics_listener {
             spawn_local(ready::serve_metrics(listener, page, Arc::clone(&shared)));
@@ -177,9 +177,9 @@
         log_event!(self.log, Event::NodeLeaving, "connections" => self.gateway.connections());
         self.shared.note_leaving();
         self.gateway.leaving_since.set(Some(began));
-        sleep(OUT_OF_ROTATION.min(self.grace / 2)).await;
+        sleep(ROTATION_REMOVAL_TIME.min(self.grace / 2)).await;
         self.close.cancel();
-        let limit = self.grace.saturating_sub(END_MARGIN);
+        let limit = self.grace.saturating_sub(EXIT_MARGIN);
         while self.gateway.connections() > 0 {
             if began.elapsed() >= limit {
                 log_event!(
@@ -188,11 +188,11 @@
                 );
                 break;
             }
-            sleep(LEAVING_STEP).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
         self.stop_control.cancel();
         while !self.control.is_finished() && began.elapsed() < limit {
-            sleep(LEAVING_STEP).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
         log_event!(self.log, Event::NodeStopped);
     }
@@ -204,7 +204,7 @@
 }
 
 /// The arguments of the control thread.
-struct StartControl {
+struct ControlThread {
     settings: RelaySettings,
     store: Arc<dyn KeyValue>,
     dialect: Arc<dyn Dialect>,
@@ -216,7 +216,7 @@
     log: Logger,
 }
 
-impl StartControl {
+impl ControlThread {
     fn spawn(self) -> Result<JoinHandle<()>, RelayNodeError> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
--- a/crates/relay-node/src/nodes_sockets.rs
+++ b/crates/relay-node/src/nodes_sockets.rs
@@ -6,7 +6,7 @@
 use tokio::net::{TcpListener, UdpSocket};
 
 /// How many free ports are tried if any port may be used.
-const PORTS_TRIED: usize = 16;
+const MAX_PORT_TRIES: usize = 16;
 
 /// A TCP listener and a UDP socket on the same address and port.
 pub(crate) struct NodesSockets {
@@ -24,7 +24,11 @@
         address: SocketAddr,
         bind: impl AsyncFn(SocketAddr) -> io::Result<UdpSocket>,
     ) -> io::Result<Self> {
-        let tries = if address.port() == 0 { PORTS_TRIED } else { 1 };
+        let tries = if address.port() == 0 {
+            MAX_PORT_TRIES
+        } else {
+            1
+        };
         let mut last_problem = io::Error::from(io::ErrorKind::AddrInUse);
         for _ in 0..tries {
             let listener = TcpListener::bind(address).await?;
--- a/crates/relay-node/src/nodes_sockets/tests.rs
+++ b/crates/relay-node/src/nodes_sockets/tests.rs
@@ -24,7 +24,7 @@
 // Guards against a failed start: another process's UDP socket can have the port that was free for
 // the TCP listener.
 #[tokio::test]
-async fn another_port_is_tried_if_any_will_do() {
+async fn port_zero_tries_another_port_if_one_socket_cannot_bind() {
     let (opened, binds) = open("127.0.0.1:0").await;
     let sockets = opened.expect("the second port is free");
     let (listener, datagrams) = (sockets.listener, sockets.datagrams);
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn a_given_port_is_tried_once() {
+async fn a_fixed_port_is_tried_only_once() {
     // No other test uses this loopback address, so all its ports are free.
     let (opened, binds) = open("127.77.33.1:7380").await;
     assert!(opened.is_err());
--- a/crates/relay-node/src/shared.rs
+++ b/crates/relay-node/src/shared.rs
@@ -20,7 +20,7 @@
 
 /// The largest number of load requests queued for the control thread. A caller's request waits for
 /// each; more could not be served in time.
-const WANTS_QUEUE: usize = 512;
+const LOAD_QUEUE_LIMIT: usize = 512;
 
 /// A snapshot of what the control thread knows, replaced as a whole.
 #[derive(Clone, Debug, Default)]
@@ -111,7 +111,7 @@
         asked.prompt_tokens = asked.prompt_tokens.saturating_add(tokens);
     }
 
-    /// Counts a prompt as processed, so that its tokens are no longer unread.
+    /// Counts a prompt as processed, so that its tokens are no longer pending.
     pub(crate) fn read(&self, engine: &UpstreamId, prompt_tokens: u64) {
         if let Some(used) = self.lock().get_mut(engine) {
             used.unread_tokens = used.unread_tokens.saturating_sub(prompt_tokens);
@@ -140,7 +140,7 @@
             .is_some_and(|used| used.models.contains_key(model))
     }
 
-    /// Requests in flight and unread prompt tokens of this node at `engine`.
+    /// Requests in flight and pending prompt tokens of this node at `engine`.
     pub(crate) fn peek(&self, engine: &UpstreamId) -> (u32, u64) {
         let uses = self.lock();
         uses.get(engine)
@@ -213,7 +213,7 @@
 pub(crate) struct Waiting {
     /// The newest update of each engine.
     pub(crate) engines: HashMap<UpstreamId, EngineNews>,
-    /// When each failure domain was last heard from.
+    /// The last contact with each failure domain.
     pub(crate) domains: DomainsHeard,
     /// The copies that owners ask for.
     pub(crate) copies: Vec<CopyNews>,
@@ -224,12 +224,12 @@
 pub(crate) struct News(Mutex<Waiting>);
 
 impl News {
-    /// Records when a failure domain was heard from.
+    /// Records a contact with a failure domain.
     pub(crate) fn put_domain(&self, domain: &FailureDomain, at: Instant) {
         self.lock().domains.note(domain, at);
     }
 
-    /// Records when failure domains were heard from.
+    /// Records contacts with failure domains.
     pub(crate) fn put_domains(&self, domains: &DomainsHeard) {
         self.lock().domains.merge(domains);
     }
@@ -261,7 +261,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Readiness {
     /// Whether the node knows a configuration and upstreams.
-    is_knowing: bool,
+    has_data: bool,
     is_leaving: bool,
 }
 
@@ -293,7 +293,7 @@
         metrics: RelayMetrics,
         access: AccessRules,
     ) -> (Arc<Self>, mpsc::Receiver<Want>) {
-        let (wants, arrived) = mpsc::channel(WANTS_QUEUE);
+        let (wants, arrived) = mpsc::channel(LOAD_QUEUE_LIMIT);
         let shared = Self {
             view: ArcSwap::default(),
             readiness: Mutex::default(),
@@ -339,7 +339,7 @@
         self.limits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Upstreams' notices about themselves: leaving and back-off.
+    /// Upstreams' notices about themselves: leaving and backoff.
     pub(crate) fn notices(&self) -> MutexGuard<'_, Notices> {
         self.notices.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -347,7 +347,7 @@
     /// Records that the node knows enough to serve callers. This holds also while the store is
     /// unavailable.
     pub(crate) fn note_knowing(&self) {
-        self.readiness().is_knowing = true;
+        self.readiness().has_data = true;
     }
 
     /// Records that the node shuts down.
@@ -361,7 +361,7 @@
         let (age, view) = (self.news_age(), self.view.load());
         let mut table = view.table.iter();
         let knows_keys = table.all(|table| self.access.is_ready(table, age));
-        readiness.is_knowing && !readiness.is_leaving && knows_keys
+        readiness.has_data && !readiness.is_leaving && knows_keys
     }
 
     /// Records that the view is based on a store read that was sent at `asked`.
--- a/crates/relay-node/src/team_metrics.rs
+++ b/crates/relay-node/src/team_metrics.rs
@@ -11,10 +11,10 @@
 
 /// The number of teams with metrics of their own; further teams are counted together. Each team
 /// costs memory at every node.
-const TEAMS_LIMIT: usize = 64;
+const MAX_TEAMS: usize = 64;
 
 /// The label value for teams beyond the limit.
-const OTHERS: &str = "others";
+const OTHER_TEAMS: &str = "others";
 
 /// The instruments for teams.
 #[derive(Clone, Debug)]
@@ -66,9 +66,13 @@
 
     fn team(&self, team: &TeamName) -> KeyValue {
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        let has_own =
-            known.contains(team) || (known.len() < TEAMS_LIMIT && known.insert(team.clone()));
-        let name = if has_own { team.as_str() } else { OTHERS };
+        let has_own_metrics =
+            known.contains(team) || (known.len() < MAX_TEAMS && known.insert(team.clone()));
+        let name = if has_own_metrics {
+            team.as_str()
+        } else {
+            OTHER_TEAMS
+        };
         KeyValue::new("team", name.to_owned())
     }
 }
--- a/crates/relay-node/src/traffic/adapter_wait.rs
+++ b/crates/relay-node/src/traffic/adapter_loads.rs
@@ -6,21 +6,21 @@
 use tokio::sync::oneshot;
 
 use super::call::Call;
-use super::gateway::{Gateway, Sends};
+use super::gateway::{Gateway, SendHistory};
 use crate::shared::{CopyNews, Loaded, View, Want, Wanted};
 
 /// The longest time that a request waits for its adapter: two loads of 250 ms each, one after the
 /// other, plus the queue for transfers.
-const ADAPTER_PATIENCE: Duration = Duration::from_millis(2_500);
+const ADAPTER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// The longest time that a request waits for another copy of its adapter: two loads, one after the
 /// other.
-pub(super) const LOAD_PATIENCE: Duration = Duration::from_millis(600);
+pub(super) const COPY_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// The fraction of its caller's wait limit from which an expected wait counts as a lost request. It
 /// is below 1 because the request has already waited here, and estimates are too short as often as
 /// too long.
-const LOST_WAIT_SHARE: f64 = 0.5;
+const LOST_WAIT_FRACTION: f64 = 0.5;
 
 /// The priority of copies that an owner asks for: the highest, as an adapter that fills its engine
 /// delays all other requests there, including urgent ones.
@@ -45,7 +45,7 @@
         let rule = view.versions.rule(&model, self.version_overlap(), now);
         let engines = dispatcher.engines_to_load(service, &model, rule, &place, now);
         let (ready, _) = oneshot::channel();
-        let want = Want {
+        let load_request = Want {
             wanted: Wanted {
                 model,
                 version: rule.to_load(),
@@ -61,19 +61,19 @@
             ready,
         };
         // Dropped if the queue is full: it then holds loads that requests wait for, which go first.
-        let _ = self.shared.wants.try_send(want);
+        let _ = self.shared.wants.try_send(load_request);
     }
 
     /// Orders a load of the adapter that `call` names, and waits for it up to `wait`.
-    pub(super) async fn bring_adapter(
+    pub(super) async fn load_adapter(
         &self,
         call: &Call,
-        sends: &Sends,
+        sends: &SendHistory,
         purpose: LoadPurpose,
         wait: Duration,
     ) -> bool {
         let now = Instant::now();
-        let Some(ready) = self.want(call, sends.was_misdirected, purpose, now) else {
+        let Some(ready) = self.request_load(call, sends.was_misdirected, purpose, now) else {
             return false;
         };
         match tokio::time::timeout(wait, ready).await {
@@ -86,7 +86,7 @@
         }
     }
 
-    pub(super) fn want(
+    pub(super) fn request_load(
         &self,
         call: &Call,
         was_turned_away: bool,
@@ -95,7 +95,7 @@
     ) -> Option<oneshot::Receiver<Loaded>> {
         let model = call.meta.model.clone()?;
         let (ready, answer) = oneshot::channel();
-        let want = Want {
+        let load_request = Want {
             wanted: Wanted {
                 model,
                 version: call.version.to_load(),
@@ -103,16 +103,16 @@
                 purpose,
                 priority: call.priority(),
             },
-            engines: self.engines_for(call, now),
+            engines: self.candidate_engines(call, now),
             copies: 1,
             ready,
         };
-        self.shared.wants.try_send(want).ok()?;
+        self.shared.wants.try_send(load_request).ok()?;
         Some(answer)
     }
 
     /// Engines on which the adapter could be loaded.
-    fn engines_for(&self, call: &Call, now: Instant) -> Vec<LoadPlace> {
+    fn candidate_engines(&self, call: &Call, now: Instant) -> Vec<LoadPlace> {
         let Some(model) = &call.meta.model else {
             return Vec::new();
         };
@@ -123,16 +123,16 @@
 }
 
 /// The time until which `call` waits for its adapter, counted from now.
-pub(super) fn adapter_patience(call: &Call) -> Instant {
+pub(super) fn adapter_wait_deadline(call: &Call) -> Instant {
     let now = Instant::now();
-    now + ADAPTER_PATIENCE.min(call.remaining(now) / 2)
+    now + ADAPTER_TIMEOUT.min(call.remaining(now) / 2)
 }
 
 /// The purpose of a load that would get `call` answered sooner than `choice` would. If the caller
 /// would give up before `choice` answers, the load counts as a miss.
-pub(super) fn copy_purpose(call: &Call, choice: &Choice) -> LoadPurpose {
+pub(super) fn load_purpose(call: &Call, choice: &Choice) -> LoadPurpose {
     let expected = Duration::from_secs_f64(choice.expected_ms.max(0.0) / 1_000.0);
-    match expected > call.first_event_patience().mul_f64(LOST_WAIT_SHARE) {
+    match expected > call.first_event_timeout().mul_f64(LOST_WAIT_FRACTION) {
         true => LoadPurpose::Miss,
         false => LoadPurpose::Copy,
     }
--- a/crates/relay-node/src/traffic/admission.rs
+++ b/crates/relay-node/src/traffic/admission.rs
@@ -12,23 +12,23 @@
 use super::call::Call;
 use super::gateway::Gateway;
 use super::quota_client::{NoTokens, TokenLease};
-use super::refuse::GivenUp;
+use super::refuse::RefusalReason;
 use crate::clock::boot_time;
 
 /// How long a request with an unknown key waits for an update that may contain the key.
-const NEW_KEY_PATIENCE: Duration = Duration::from_millis(400);
+const NEW_KEY_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How often a waiting request checks for updates.
-const NEW_KEY_LOOK: Duration = Duration::from_millis(50);
+const NEW_KEY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// At most this many requests per node wait for their keys; others are refused at once, so that
 /// callers who guess keys cannot fill the node.
-const NEW_KEY_WAITS: usize = 32;
+const MAX_NEW_KEY_WAITERS: usize = 32;
 
 /// Retry-After when another node may be able to serve the request.
-const ELSEWHERE_RETRY_AFTER: Duration = Duration::from_millis(50);
+const OTHER_NODE_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-impl From<Denied> for GivenUp {
+impl From<Denied> for RefusalReason {
     fn from(denied: Denied) -> Self {
         match denied {
             Denied::NoKey { .. } => Self {
@@ -37,22 +37,22 @@
             },
             Denied::Stale => Self {
                 code: ResultCode::KeysStale,
-                retry_after: Some(ELSEWHERE_RETRY_AFTER),
+                retry_after: Some(OTHER_NODE_RETRY_AFTER),
             },
         }
     }
 }
 
-impl From<NoTokens> for GivenUp {
+impl From<NoTokens> for RefusalReason {
     fn from(why: NoTokens) -> Self {
         match why {
             NoTokens::Spent(wait) => Self {
                 code: ResultCode::QuotaSpent,
-                retry_after: Some(wait.max(ELSEWHERE_RETRY_AFTER)),
+                retry_after: Some(wait.max(OTHER_NODE_RETRY_AFTER)),
             },
             NoTokens::Unknown => Self {
                 code: ResultCode::QuotaUnknown,
-                retry_after: Some(ELSEWHERE_RETRY_AFTER),
+                retry_after: Some(OTHER_NODE_RETRY_AFTER),
             },
         }
     }
@@ -60,10 +60,10 @@
 
 /// The state of a request's quota tokens.
 #[derive(Default)]
-pub(crate) struct Tokens(RefCell<Held>);
+pub(crate) struct QuotaTokens(RefCell<TokenState>);
 
 #[derive(Default)]
-enum Held {
+enum TokenState {
     /// No tokens are needed, or none have been reserved yet.
     #[default]
     None,
@@ -79,23 +79,27 @@
     /// An unknown key may have been added just now. It is rejected only once this node's data is
     /// newer than the request. If no update arrives in time, the caller is sent to another node,
     /// which may know the key.
-    pub(super) async fn identify(&self, route: &Route, key: &CallerKey) -> Result<Caller, Denied> {
+    pub(super) async fn identify_caller(
+        &self,
+        route: &Route,
+        key: &CallerKey,
+    ) -> Result<Caller, Denied> {
         let began = Instant::now();
         loop {
-            let judged = self.judge(route, key);
-            let may_be_new = matches!(judged, Err(Denied::NoKey { may_be_new: true }));
+            let authenticated = self.authenticate(route, key);
+            let may_be_new = matches!(authenticated, Err(Denied::NoKey { may_be_new: true }));
             if !may_be_new || self.shared.news_age() < began.elapsed() {
-                return judged;
+                return authenticated;
             }
-            if began.elapsed() >= NEW_KEY_PATIENCE || self.key_waits.get() >= NEW_KEY_WAITS {
+            if began.elapsed() >= NEW_KEY_TIMEOUT || self.key_waiters.get() >= MAX_NEW_KEY_WAITERS {
                 return Err(Denied::Stale);
             }
-            let _wait = super::model_wait::Wait::begin(&self.key_waits);
-            sleep(NEW_KEY_LOOK).await;
+            let _wait = super::model_wait::WaiterCount::begin(&self.key_waiters);
+            sleep(NEW_KEY_POLL_INTERVAL).await;
         }
     }
 
-    fn judge(&self, route: &Route, key: &CallerKey) -> Result<Caller, Denied> {
+    fn authenticate(&self, route: &Route, key: &CallerKey) -> Result<Caller, Denied> {
         // Read the age before the view: a view published between the two reads is then newer than
         // `age` says, never older.
         let age = self.shared.news_age();
@@ -124,43 +128,45 @@
 
     /// Checks whether `call` may be sent now: its key is still valid and its team's quota has
     /// tokens left.
-    pub(super) async fn admit(&self, call: &Call) -> Result<(), GivenUp> {
+    pub(super) async fn admit(&self, call: &Call) -> Result<(), RefusalReason> {
         let Some(team) = call.caller.team() else {
             return Ok(());
         };
-        let caller = self.judge(&call.route, &call.meta.key);
+        let caller = self.authenticate(&call.route, &call.meta.key);
         let is_same = |caller: &Caller| caller.team().is_some_and(|now| now.name == team.name);
         match caller {
             Ok(caller) if is_same(&caller) => {}
-            Ok(_) => return Err(self.reject(call, Denied::NoKey { may_be_new: false })),
-            Err(denied) => return Err(self.reject(call, denied)),
+            Ok(_) => return Err(self.deny(call, Denied::NoKey { may_be_new: false })),
+            Err(denied) => return Err(self.deny(call, denied)),
         }
         self.reserve_tokens(call, team).await
     }
 
-    fn reject(&self, call: &Call, denied: Denied) -> GivenUp {
+    fn deny(&self, call: &Call, denied: Denied) -> RefusalReason {
         self.log_denied(&call.id, &call.route, &call.meta.key, denied);
         denied.into()
     }
 
-    async fn reserve_tokens(&self, call: &Call, team: &Team) -> Result<(), GivenUp> {
+    async fn reserve_tokens(&self, call: &Call, team: &Team) -> Result<(), RefusalReason> {
         let Some(quota) = &team.quota else {
             return Ok(());
         };
         match &*call.tokens.0.borrow() {
             // A retry of the same request is charged only once.
-            Held::Sent(_) => return Ok(()),
-            Held::Reserved(lease) if lease.is_valid(boot_time()) => return Ok(()),
-            Held::Reserved(_) | Held::None => {}
+            TokenState::Sent(_) => return Ok(()),
+            TokenState::Reserved(lease) if lease.is_valid(boot_time()) => return Ok(()),
+            TokenState::Reserved(_) | TokenState::None => {}
         }
         let tokens = quota.cost_tokens(call.meta.all_tokens);
         let lenders = self.shared.view.load().lenders.clone();
         // A longer wait would use up the request's latency objective before it is sent.
-        let patience = call.route.objective / 2;
-        let reserved = self.quotas.reserve(&team.name, tokens, &lenders, patience);
+        let wait_limit = call.route.objective / 2;
+        let reserved = self
+            .quotas
+            .reserve(&team.name, tokens, &lenders, wait_limit);
         match reserved.await {
             Ok(lease) => {
-                call.tokens.0.replace(Held::Reserved(lease));
+                call.tokens.0.replace(TokenState::Reserved(lease));
                 Ok(())
             }
             Err(why) => {
@@ -179,9 +185,9 @@
     /// Marks the tokens of `call` as spent, because it is being sent.
     pub(super) fn spend_tokens(&self, call: &Call) {
         let held = match call.tokens.0.take() {
-            Held::Reserved(lease) => {
+            TokenState::Reserved(lease) => {
                 self.count_tokens(call);
-                lease.spend().map_or(Held::None, Held::Sent)
+                lease.spend().map_or(TokenState::None, TokenState::Sent)
             }
             held => held,
         };
@@ -198,7 +204,7 @@
 
     /// Returns the tokens of a request that has not run.
     pub(super) fn return_tokens(&self, call: &Call) {
-        if let Held::Sent(reservation) = call.tokens.0.take() {
+        if let TokenState::Sent(reservation) = call.tokens.0.take() {
             self.quotas.give_back(reservation);
         }
     }
--- a/crates/relay-node/src/traffic/answer_body.rs
+++ b/crates/relay-node/src/traffic/answer_body.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 use tokio::time::Sleep;
 
-use super::flight::Flight;
+use super::in_flight::InFlight;
 use super::resumable_body::ResumableBody;
 
 /// Why an answer ends early. The caller's connection is then closed, so that the answer does not
@@ -40,58 +40,62 @@
     /// Produced by this node; `None` once it was sent.
     Own(Option<Bytes>),
     /// Forwarded from an upstream.
-    Passed(Box<PassedBody>),
+    Forwarded(Box<ForwardedBody>),
     /// A stream that another upstream may resume.
     Resumable(Box<ResumableBody>),
 }
 
 /// An upstream's body and the accounting of its send.
-pub(crate) struct PassedBody {
+pub(crate) struct ForwardedBody {
     body: PooledBody,
-    flight: Flight,
+    in_flight: InFlight,
     /// Fires at the request's deadline.
-    cutoff: Pin<Box<Sleep>>,
+    deadline_timer: Pin<Box<Sleep>>,
 }
 
-impl PassedBody {
-    pub(crate) fn new(body: PooledBody, flight: Flight, cutoff: Pin<Box<Sleep>>) -> Self {
-        let mut passed = Self {
+impl ForwardedBody {
+    pub(crate) fn new(
+        body: PooledBody,
+        in_flight: InFlight,
+        deadline_timer: Pin<Box<Sleep>>,
+    ) -> Self {
+        let mut forwarded = Self {
             body,
-            flight,
-            cutoff,
+            in_flight,
+            deadline_timer,
         };
-        passed.note_end();
-        passed
+        forwarded.record_end();
+        forwarded
     }
 
-    /// Ends the accounting with the last byte of a body of known length, as nothing polls
-    /// such a body again. Otherwise the answers of plain services would never count, and an
-    /// upstream would be paused at its third failure however many answers came between.
-    fn note_end(&mut self) {
+    /// Ends the accounting with the last byte of a body of known length, which is not polled again.
+    /// Otherwise the answers of plain services would never count, and an upstream would be paused
+    /// at its third failure, however many answers came in between.
+    fn record_end(&mut self) {
         if self.body.is_end_stream() {
-            self.flight.note_whole();
+            self.in_flight.record_complete();
         }
     }
 
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
         match Pin::new(&mut self.body).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
-                self.flight.note_progress();
-                self.note_end();
+                self.in_flight.record_progress();
+                self.record_end();
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(SendError::Broken | SendError::NotSent | SendError::AtLimit))) => {
-                self.flight.note_disconnected();
-                self.flight.note_cut(AnswerCut::Upstream);
+                self.in_flight.record_disconnected();
+                self.in_flight.record_cut(AnswerCut::Upstream);
                 Poll::Ready(Some(Err(AnswerCut::Upstream)))
             }
             Poll::Ready(None) => {
-                self.flight.note_whole();
+                self.in_flight.record_complete();
                 Poll::Ready(None)
             }
-            Poll::Pending => match self.cutoff.as_mut().poll(cx) {
+            Poll::Pending => match self.deadline_timer.as_mut().poll(cx) {
                 Poll::Ready(()) => {
-                    self.flight.note_cut(AnswerCut::TimedOut);
+                    self.in_flight.record_cut(AnswerCut::TimedOut);
                     Poll::Ready(Some(Err(AnswerCut::TimedOut)))
                 }
                 Poll::Pending => Poll::Pending,
@@ -110,7 +114,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
         match &mut *self {
             Self::Own(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Passed(passed) => passed.poll(cx),
+            Self::Forwarded(forwarded) => forwarded.poll(cx),
             Self::Resumable(resumable) => resumable.poll(cx),
         }
     }
@@ -118,7 +122,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Own(bytes) => bytes.is_none(),
-            Self::Passed(passed) => passed.body.is_end_stream(),
+            Self::Forwarded(forwarded) => forwarded.body.is_end_stream(),
             Self::Resumable(resumable) => resumable.is_ended(),
         }
     }
@@ -126,7 +130,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Own(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
-            Self::Passed(passed) => passed.body.size_hint(),
+            Self::Forwarded(forwarded) => forwarded.body.size_hint(),
             Self::Resumable(_) => SizeHint::default(),
         }
     }
--- a/crates/relay-node/src/traffic/call.rs
+++ b/crates/relay-node/src/traffic/call.rs
@@ -11,7 +11,7 @@
 use nutmegsail_base::{RequestId, ServiceName};
 use nutmegsail_relay::{CallKind, Caller, PromptChain, RequestDigest, Route, VersionRule};
 
-use super::admission::Tokens;
+use super::admission::QuotaTokens;
 use super::slot_client::SlotPermit;
 use crate::{CallMeta, Dialect, SendMeta};
 
@@ -59,7 +59,7 @@
     /// Who sent it.
     pub(crate) caller: Caller,
     /// Its tokens of the team's quota.
-    pub(super) tokens: Tokens,
+    pub(super) tokens: QuotaTokens,
     /// The parts of its prompt, which guide the choice of an engine.
     pub(crate) prompt: PromptChain,
     /// The versions of the model that it may start on.
@@ -71,13 +71,13 @@
     /// When its head was read.
     pub(crate) began: Instant,
     /// The deadline: of the caller or the route's timeout, whichever is earlier.
-    pub(crate) due: Instant,
+    pub(crate) deadline_at: Instant,
 }
 
 impl Call {
     /// The time left until the deadline.
     pub(crate) fn remaining(&self, now: Instant) -> Duration {
-        self.due.saturating_duration_since(now)
+        self.deadline_at.saturating_duration_since(now)
     }
 
     /// The priority of the team or else of the route; 0 is the most urgent.
@@ -88,11 +88,11 @@
     }
 
     /// How long after the request began the caller gives up if no event has arrived.
-    pub(crate) fn first_event_patience(&self) -> Duration {
-        let patience = self.due.duration_since(self.began);
+    pub(crate) fn first_event_timeout(&self) -> Duration {
+        let wait_limit = self.deadline_at.duration_since(self.began);
         match self.route.kind {
-            CallKind::Stream { .. } => patience.min(self.route.event_patience),
-            CallKind::Idempotent | CallKind::Once => patience,
+            CallKind::Stream { .. } => wait_limit.min(self.route.event_patience),
+            CallKind::Idempotent | CallKind::Once => wait_limit,
         }
     }
 
--- a/crates/relay-node/src/traffic/crash_check.rs
+++ b/crates/relay-node/src/traffic/crash_check.rs
@@ -14,17 +14,17 @@
 
 use super::call::Call;
 use super::gateway::Gateway;
-use super::refuse::GivenUp;
+use super::refuse::RefusalReason;
 
 /// How long a request waits while identical requests show whether they crash their upstreams. They
 /// start to run, or crash the upstream, within a few hundred milliseconds.
-const TRIAL_PATIENCE: Duration = Duration::from_millis(1_000);
+const TRIAL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// How long the kernel may take to close the sockets of a process that ends.
-const CLOSING_TIME: Duration = Duration::from_millis(30);
+const SOCKET_CLOSE_TIME: Duration = Duration::from_millis(30);
 
 /// How often a waiting request checks again.
-const TRIAL_LOOK: Duration = Duration::from_millis(10);
+const TRIAL_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Counts a send of a request that is suspected of crashing upstreams.
 pub(super) struct Trial {
@@ -53,22 +53,22 @@
 impl Gateway {
     /// Refuses a request that crashes upstreams. A request waits while its upstream is checked for
     /// a crash, or while identical requests are on trial.
-    pub(super) async fn await_trials(&self, call: &Call) -> Result<(), GivenUp> {
-        let until = call.due.min(Instant::now() + TRIAL_PATIENCE);
+    pub(super) async fn wait_for_trials(&self, call: &Call) -> Result<(), RefusalReason> {
+        let until = call.deadline_at.min(Instant::now() + TRIAL_TIMEOUT);
         loop {
             match self.suspicion(&call.digest) {
                 Suspicion::None => return Ok(()),
                 Suspicion::Crashes => {
                     self.log_crashing(call);
-                    return Err(GivenUp {
+                    return Err(RefusalReason {
                         code: ResultCode::CrashesUpstreams,
                         retry_after: None,
                     });
                 }
                 Suspicion::OnTrial if Instant::now() >= until => {
-                    return Err(GivenUp::until(ResultCode::OnTrial, TRIAL_PATIENCE));
+                    return Err(RefusalReason::retry_in(ResultCode::OnTrial, TRIAL_TIMEOUT));
                 }
-                Suspicion::OnTrial => sleep(TRIAL_LOOK).await,
+                Suspicion::OnTrial => sleep(TRIAL_POLL_INTERVAL).await,
             }
         }
     }
@@ -90,8 +90,13 @@
         );
     }
 
-    /// Records that the connection of a request to `upstream` broke before its answer was complete.
-    pub(super) fn note_broken(self: &Rc<Self>, upstream: &Arc<Upstream>, broken: BrokenRequest) {
+    /// Called when the connection of a request to `upstream` broke before its answer was complete.
+    /// Checks whether the upstream crashed.
+    pub(super) fn check_for_crash(
+        self: &Rc<Self>,
+        upstream: &Arc<Upstream>,
+        broken: BrokenRequest,
+    ) {
         if !self.is_to_stay(upstream) {
             return;
         }
@@ -100,35 +105,35 @@
         drop(watch);
         match step {
             CrashStep::Check => {
-                spawn_local(Rc::clone(self).check(Arc::clone(upstream)));
+                spawn_local(Rc::clone(self).check_upstream(Arc::clone(upstream)));
             }
-            CrashStep::Strike => self.note_ended(upstream, &[broken.digest]),
+            CrashStep::Strike => self.record_crash(upstream, &[broken.digest]),
             CrashStep::Wait | CrashStep::Ignore => {}
         }
     }
 
-    /// Whether `upstream` was not expected to end anyway.
+    /// Whether `upstream` was expected to keep running. One that is leaving ends without a crash.
     fn is_to_stay(&self, upstream: &Upstream) -> bool {
         let dispatcher = self.dispatcher.borrow();
         let tracked = dispatcher.tracked(&upstream.id);
         tracked.is_some_and(|tracked| tracked.is_to_stay())
     }
 
-    async fn check(self: Rc<Self>, upstream: Arc<Upstream>) {
-        let mut reach = self.reach(&upstream).await;
+    async fn check_upstream(self: Rc<Self>, upstream: Arc<Upstream>) {
+        let mut reach = self.probe(&upstream).await;
         if reach == Reach::Connected {
-            sleep(CLOSING_TIME).await;
-            reach = self.reach(&upstream).await;
+            sleep(SOCKET_CLOSE_TIME).await;
+            reach = self.probe(&upstream).await;
         }
         let mut watch = self.crash_watch.borrow_mut();
         let struck = watch.note_reach(&upstream.id, reach, Instant::now());
         drop(watch);
         if !struck.is_empty() {
-            self.note_ended(&upstream, &struck);
+            self.record_crash(&upstream, &struck);
         }
     }
 
-    async fn reach(&self, upstream: &Upstream) -> Reach {
+    async fn probe(&self, upstream: &Upstream) -> Reach {
         match self.pool.open(&upstream.address.to_string()).await {
             Ok(()) | Err(OpenError::AtLimit) => Reach::Connected,
             Err(OpenError::Refused) => Reach::Refused,
@@ -136,7 +141,7 @@
         }
     }
 
-    fn note_ended(&self, upstream: &Upstream, struck: &[RequestDigest]) {
+    fn record_crash(&self, upstream: &Upstream, struck: &[RequestDigest]) {
         let (mut suspects, now) = (self.shared.suspects(), Instant::now());
         for digest in struck {
             suspects.strike(*digest, &upstream.id, now);
--- a/crates/relay-node/src/traffic/gateway.rs
+++ b/crates/relay-node/src/traffic/gateway.rs
@@ -18,46 +18,45 @@
 use nutmegsail_telemetry::{Event, log_event};
 use slog::Logger;
 
-use super::adapter_wait::{LOAD_PATIENCE, adapter_patience, copy_purpose};
+use super::adapter_loads::{COPY_TIMEOUT, adapter_wait_deadline, load_purpose};
 use super::answer_body::AnswerBody;
 use super::call::Call;
-use super::limits::OwnShares;
-use super::link::Link;
-use super::plain_slot::Turn;
+use super::limits::LocalRateBuckets;
+use super::peer_socket::PeerSocket;
+use super::plain_slot::PermitResult;
 use super::quota_client::QuotaClient;
-use super::refuse::{self, GivenUp};
+use super::refuse::{self, RefusalReason};
 use super::resume::Resumption;
-use super::send::Sent;
+use super::send::SendOutcome;
 use super::slot_client::SlotClient;
 use crate::shared::{Shared, View};
 use crate::{BoundSettings, CONNECT_TIMEOUT, Dialect, Verdict};
 
 /// Idle time after which a connection is closed if the upstream did not state a keep-alive time.
-const UNSTATED_IDLE: Duration = Duration::from_millis(800);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(800);
 
 /// How many upstreams may refuse one request before it is refused to the caller. Every such send
 /// counts against the retry budget.
-const REFUSALS_LIMIT: usize = 4;
+const MAX_REFUSALS: usize = 4;
 
-/// Retry-After when all upstreams are busy. An engine processes its waiting prompts in about 300
-/// ms.
+/// Retry-After when all upstreams are busy. An engine processes its waiting prompts in some 300 ms.
 const BUSY_RETRY_AFTER: Duration = Duration::from_millis(350);
 
 /// Retry-After when no upstream or no configuration is known.
-const ABSENT_RETRY_AFTER: Duration = Duration::from_millis(700);
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(700);
 
 /// The fraction used of the period in which requests may still start on an adapter's old version.
 /// Updates take up to 0.7 s to reach this node, and under load a prompt waits 2 s or more at an
 /// engine before it starts. Loading the new version takes half a second.
-const VERSION_OVERLAP_SHARE: f64 = 0.3;
+const VERSION_OVERLAP_FRACTION: f64 = 0.3;
 
 /// The fraction used of the drain period in which a leaving upstream may still get requests. Only
 /// requests that no other upstream can serve use it; the rest of the period covers requests in
 /// transit.
-const LEAVING_GRACE_SHARE: f64 = 0.8;
+const LEAVING_GRACE_FRACTION: f64 = 0.8;
 
 /// A request with less time left than this is refused, as no answer could arrive in time.
-const LEAST_REMAINING: Duration = Duration::from_millis(5);
+const MIN_REMAINING: Duration = Duration::from_millis(5);
 
 /// The arguments of [`Gateway::new`].
 pub(crate) struct GatewayParts {
@@ -65,7 +64,7 @@
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) failure_domain: FailureDomain,
     pub(crate) bounds: BoundSettings,
-    pub(crate) link: Link,
+    pub(crate) peer_socket: PeerSocket,
     pub(crate) log: Logger,
 }
 
@@ -76,15 +75,15 @@
     pub(crate) pool: Pool,
     pub(crate) dispatcher: RefCell<Dispatcher>,
     pub(super) crash_watch: RefCell<CrashWatch>,
-    pub(super) own_shares: RefCell<OwnShares>,
+    pub(super) local_rate_buckets: RefCell<LocalRateBuckets>,
     /// The [`Limits`](nutmegsail_relay::Limits) change count that the dispatcher was last updated
     /// to.
-    seen_limits: Cell<u64>,
-    /// The [`Notices`](nutmegsail_relay::Notices) back-off count that the dispatcher was last
+    applied_limits: Cell<u64>,
+    /// The [`Notices`](nutmegsail_relay::Notices) backoff count that the dispatcher was last
     /// updated to.
-    seen_rests: Cell<u64>,
+    applied_backoffs: Cell<u64>,
     pub(crate) bounds: BoundSettings,
-    pub(crate) link: Rc<Link>,
+    pub(crate) peer_socket: Rc<PeerSocket>,
     pub(crate) quotas: Rc<QuotaClient>,
     pub(crate) slots: Rc<SlotClient>,
     /// Per route, the wait limits that callers have stated.
@@ -93,22 +92,22 @@
     /// When the node began to shut down.
     pub(crate) leaving_since: Cell<Option<Instant>>,
     /// Number of requests waiting for a base model.
-    pub(super) model_waits: Cell<usize>,
+    pub(super) model_waiters: Cell<usize>,
     /// Number of requests waiting for updates that may contain their API key.
-    pub(super) key_waits: Cell<usize>,
-    budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
-    seen_view: Cell<u64>,
+    pub(super) key_waiters: Cell<usize>,
+    retry_budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
+    applied_view: Cell<u64>,
 }
 
 /// A request that is not at an upstream: queued, or to be sent again.
-enum Life {
+enum PendingRequest {
     /// No upstream has run it.
     NotRun(Request<Queued>),
     /// An upstream may have run it.
     MayHaveRun(Request<Uncertain>),
 }
 
-impl Life {
+impl PendingRequest {
     fn give_up(self, code: ResultCode, detail: &str) -> Refusal {
         match self {
             Self::NotRun(request) => Refusal::not_run(request.not_run(), code, detail),
@@ -133,7 +132,7 @@
     }
 }
 
-impl From<AfterFailure> for Life {
+impl From<AfterFailure> for PendingRequest {
     fn from(after: AfterFailure) -> Self {
         match after {
             AfterFailure::NotRun(request) => Self::NotRun(request),
@@ -144,7 +143,7 @@
 
 /// What happened to the sends of one request so far.
 #[derive(Clone, Default)]
-pub(crate) struct Sends {
+pub(crate) struct SendHistory {
     /// Upstreams that are not tried again.
     pub(crate) tried: Vec<UpstreamId>,
     /// Sends that reached an upstream.
@@ -155,9 +154,9 @@
     pub(super) was_misdirected: bool,
 }
 
-impl Sends {
+impl SendHistory {
     /// Records a send to `upstream` that may have run the request.
-    pub(crate) fn note_run(&mut self, upstream: &UpstreamId) {
+    pub(crate) fn record_uncertain_send(&mut self, upstream: &UpstreamId) {
         self.arrived += 1;
         self.may_have_run += 1;
         self.tried.push(upstream.clone());
@@ -168,32 +167,32 @@
     pub(crate) fn new(parts: GatewayParts) -> Self {
         let pool = Pool::new(PoolSettings {
             connect_timeout: CONNECT_TIMEOUT,
-            unstated_idle_timeout: UNSTATED_IDLE,
+            unstated_idle_timeout: DEFAULT_KEEP_ALIVE,
             ..PoolSettings::default()
         });
-        let link = Rc::new(parts.link);
+        let peer_socket = Rc::new(parts.peer_socket);
         let mut dispatcher = Dispatcher::new(parts.failure_domain);
-        dispatcher.set_leaving_grace(parts.bounds.drain().mul_f64(LEAVING_GRACE_SHARE));
+        dispatcher.set_leaving_grace(parts.bounds.drain().mul_f64(LEAVING_GRACE_FRACTION));
         Self {
             shared: parts.shared,
             dialect: parts.dialect,
             pool,
             dispatcher: RefCell::new(dispatcher),
             crash_watch: RefCell::default(),
-            own_shares: RefCell::default(),
-            seen_limits: Cell::new(0),
-            seen_rests: Cell::new(0),
+            local_rate_buckets: RefCell::default(),
+            applied_limits: Cell::new(0),
+            applied_backoffs: Cell::new(0),
             bounds: parts.bounds,
-            quotas: Rc::new(QuotaClient::new(Rc::clone(&link))),
-            slots: Rc::new(SlotClient::new(Rc::clone(&link))),
-            link,
+            quotas: Rc::new(QuotaClient::new(Rc::clone(&peer_socket))),
+            slots: Rc::new(SlotClient::new(Rc::clone(&peer_socket))),
+            peer_socket,
             stated_patience: RefCell::default(),
             log: parts.log,
             leaving_since: Cell::new(None),
-            model_waits: Cell::new(0),
-            key_waits: Cell::new(0),
-            budgets: RefCell::default(),
-            seen_view: Cell::new(0),
+            model_waiters: Cell::new(0),
+            key_waiters: Cell::new(0),
+            retry_budgets: RefCell::default(),
+            applied_view: Cell::new(0),
         }
     }
 
@@ -203,16 +202,16 @@
     }
 
     /// Loads the latest view and applies it, and all other updates, to the dispatcher.
-    pub(crate) fn view(&self) -> Arc<View> {
+    pub(crate) fn refresh_view(&self) -> Arc<View> {
         let view = self.shared.view.load_full();
-        let is_new = self.seen_view.replace(view.number) != view.number;
+        let is_new = self.applied_view.replace(view.number) != view.number;
         if is_new {
             let mut dispatcher = self.dispatcher.borrow_mut();
             dispatcher.set_upstreams(&view.upstreams, Instant::now());
             dispatcher.set_load_times(&view.load_times);
         }
-        self.take_limits();
-        self.take_rests(is_new);
+        self.apply_limits();
+        self.apply_backoffs(is_new);
         let news = self.shared.news.take();
         let mut dispatcher = self.dispatcher.borrow_mut();
         dispatcher.note_domains_heard(&news.domains);
@@ -227,19 +226,19 @@
     }
 
     /// Applies changed upstream rate limits to the dispatcher.
-    fn take_limits(&self) {
+    fn apply_limits(&self) {
         let limits = self.shared.limits();
-        if self.seen_limits.replace(limits.changes()) != limits.changes() {
+        if self.applied_limits.replace(limits.changes()) != limits.changes() {
             let mut dispatcher = self.dispatcher.borrow_mut();
             dispatcher.set_limited(|upstream| limits.per_s(upstream).is_some());
         }
     }
 
-    /// Applies changed back-offs to the dispatcher; on a new view always, as it may list upstreams
+    /// Applies changed backoffs to the dispatcher; on a new view always, as it may list upstreams
     /// again.
-    fn take_rests(&self, is_new_view: bool) {
+    fn apply_backoffs(&self, is_new_view: bool) {
         let (notices, now) = (self.shared.notices(), Instant::now());
-        if self.seen_rests.replace(notices.rests()) != notices.rests() || is_new_view {
+        if self.applied_backoffs.replace(notices.rests()) != notices.rests() || is_new_view {
             let mut dispatcher = self.dispatcher.borrow_mut();
             dispatcher.set_rests(|upstream| {
                 let until = notices.rest_until(upstream);
@@ -250,69 +249,70 @@
 
     /// How long requests may still start on the old version of an adapter.
     pub(crate) fn version_overlap(&self) -> Duration {
-        self.bounds.version().mul_f64(VERSION_OVERLAP_SHARE)
+        self.bounds.version().mul_f64(VERSION_OVERLAP_FRACTION)
     }
 
-    /// Sends `call` to upstreams until one answers, or refuses it.
-    pub(crate) async fn carry(self: &Rc<Self>, call: &Rc<Call>) -> Response<AnswerBody> {
-        self.count_model(call);
-        let mut life = Life::NotRun(Request::accept(call.id.clone()).queue());
-        let mut sends = Sends::default();
+    /// Sends `call` to one upstream after another until one answers, or answers with a refusal.
+    pub(crate) async fn handle(self: &Rc<Self>, call: &Rc<Call>) -> Response<AnswerBody> {
+        self.count_model_demand(call);
+        let mut pending = PendingRequest::NotRun(Request::accept(call.id.clone()).queue());
+        let mut sends = SendHistory::default();
         loop {
-            let choice = match self.next_choice(call, &sends).await {
+            let choice = match self.next_upstream(call, &sends).await {
                 Ok(choice) => choice,
-                Err(GivenUp { code, retry_after }) => {
-                    let mut refusal = life.give_up(code, "");
+                Err(RefusalReason { code, retry_after }) => {
+                    let mut refusal = pending.give_up(code, "");
                     refusal.retry_after = retry_after;
                     return self.give_up(call, &refusal, &sends);
                 }
             };
-            let dispatched = life.dispatch(&choice.upstream.id);
-            let has_other = self.may_repeat(call, &sends, &choice);
-            let run_state = match self.send(call, &choice, has_other, None).await {
-                Sent::Answer(taken) => {
-                    let resumption = (taken.answer.status() == StatusCode::OK)
+            let dispatched = pending.dispatch(&choice.upstream.id);
+            let has_alternative = self.may_repeat(call, &sends, &choice);
+            let run_state = match self.send(call, &choice, has_alternative, None).await {
+                SendOutcome::Answer(received) => {
+                    let resumption = (received.answer.status() == StatusCode::OK)
                         .then(|| Resumption::of(self, call, &sends, &choice.upstream.id));
-                    return self.pass_on(call, taken, resumption.flatten());
+                    return self.forward(call, received, resumption.flatten());
                 }
-                Sent::Failed(taken) => {
+                SendOutcome::Failed(received) => {
                     if !self.may_repeat(call, &sends, &choice) {
-                        return self.pass_on(call, taken, None);
+                        return self.forward(call, received, None);
                     }
                     sends.arrived += 1;
                     sends.may_have_run += 1;
                     RunState::MayHaveRun
                 }
-                Sent::NotArrived => RunState::NotRun,
-                Sent::Refused(verdict) => {
+                SendOutcome::NotArrived => RunState::NotRun,
+                SendOutcome::Refused(verdict) => {
                     sends.arrived += 1;
                     if verdict == Verdict::Misdirected && call.meta.model.is_some() {
                         // Not added to `tried`: unlike a failed upstream, it may hold the adapter
                         // soon.
                         sends.was_misdirected = true;
-                        life = dispatched.refused_by_node(RunState::NotRun).into();
+                        pending = dispatched.refused_by_node(RunState::NotRun).into();
                         continue;
                     }
                     RunState::NotRun
                 }
-                Sent::Lost => {
+                SendOutcome::Lost => {
                     sends.arrived += 1;
                     sends.may_have_run += 1;
                     RunState::MayHaveRun
                 }
-                Sent::TimedOut => {
-                    let after: Life = dispatched.refused_by_node(RunState::MayHaveRun).into();
+                SendOutcome::TimedOut => {
+                    let after: PendingRequest =
+                        dispatched.refused_by_node(RunState::MayHaveRun).into();
                     let refusal = after.give_up(ResultCode::DeadlineUnreachable, "");
                     return self.give_up(call, &refusal, &sends);
                 }
             };
-            life = dispatched.refused_by_node(run_state).into();
+            pending = dispatched.refused_by_node(run_state).into();
             sends.tried.push(choice.upstream.id.clone());
-            let is_lost = matches!(life, Life::MayHaveRun(_));
+            let is_lost = matches!(pending, PendingRequest::MayHaveRun(_));
             let may_repeat =
                 call.route.kind.may_repeat() && sends.may_have_run < call.route.max_attempts;
             if is_lost && !may_repeat {
-                let refusal = life.give_up(ResultCode::UpstreamFailed, "");
+                let refusal = pending.give_up(ResultCode::UpstreamFailed, "");
                 return self.give_up(call, &refusal, &sends);
             }
         }
@@ -320,13 +320,13 @@
 
     /// Whether `call` may be sent again if the send to `last` fails: its kind, the attempts left
     /// and the retry budget allow it, and another upstream is available.
-    fn may_repeat(&self, call: &Call, sends: &Sends, last: &Choice) -> bool {
+    fn may_repeat(&self, call: &Call, sends: &SendHistory, last: &Choice) -> bool {
         let is_allowed =
             call.route.kind.may_repeat() && sends.may_have_run + 1 < call.route.max_attempts;
-        is_allowed && self.has_other(call, sends, last)
+        is_allowed && self.has_alternative(call, sends, last)
     }
 
-    fn has_other(&self, call: &Call, sends: &Sends, last: &Choice) -> bool {
+    fn has_alternative(&self, call: &Call, sends: &SendHistory, last: &Choice) -> bool {
         let mut tried = sends.tried.clone();
         tried.push(last.upstream.id.clone());
         let now = Instant::now();
@@ -336,14 +336,14 @@
     }
 
     /// Records a refusal in metrics and the log, and builds the answer.
-    fn give_up(&self, call: &Call, refusal: &Refusal, sends: &Sends) -> Response<AnswerBody> {
+    fn give_up(&self, call: &Call, refusal: &Refusal, sends: &SendHistory) -> Response<AnswerBody> {
         if refusal.run_state() == RunState::NotRun {
             self.return_tokens(call);
         }
         let model = call.meta.model.as_ref();
-        let known = model.filter(|model| self.is_configured(call, model, 1));
+        let configured_model = model.filter(|model| self.is_configured(call, model, 1));
         let metrics = &self.shared.metrics;
-        metrics.request_ended(Some(refusal.code), known);
+        metrics.request_ended(Some(refusal.code), configured_model);
         if let Some(team) = call.caller.team() {
             metrics.teams.request_ended(&team.name, Some(refusal.code));
         }
@@ -358,44 +358,45 @@
             "remaining_ms" => call.remaining(Instant::now()).as_millis(),
             "model" => call.meta.model.as_ref().map(ToString::to_string),
             "arrived" => sends.arrived, "tried" => tried.join(","),
-            "view" => self.seen_view.get()
+            "view" => self.applied_view.get()
         );
         refuse::answer(refusal, &call.id)
     }
 
     /// Chooses the next upstream for `call`, waiting for adapters, slots and limits as needed. The
     /// error says which code to refuse the call with and when the caller may retry.
-    pub(crate) async fn next_choice(&self, call: &Call, sends: &Sends) -> Result<Choice, GivenUp> {
-        let mut patient_until = adapter_patience(call);
-        let mut may_look_elsewhere = sends.arrived == 0;
+    pub(crate) async fn next_upstream(
+        &self,
+        call: &Call,
+        sends: &SendHistory,
+    ) -> Result<Choice, RefusalReason> {
+        let mut adapter_deadline = adapter_wait_deadline(call);
+        let mut may_load_copy = sends.arrived == 0;
         let mut limited: Vec<(Duration, Choice)> = Vec::new();
         loop {
-            self.await_trials(call).await?;
+            self.wait_for_trials(call).await?;
             self.admit(call).await?;
             let now = Instant::now();
-            if call.remaining(now) < LEAST_REMAINING {
-                return Err(busy(ResultCode::DeadlineUnreachable));
+            if call.remaining(now) < MIN_REMAINING {
+                return Err(busy_refusal(ResultCode::DeadlineUnreachable));
             }
-            if sends.arrived >= REFUSALS_LIMIT {
-                return Err(busy(ResultCode::UpstreamRefused));
+            if sends.arrived >= MAX_REFUSALS {
+                return Err(busy_refusal(ResultCode::UpstreamRefused));
             }
-            self.view();
-            match self.choose_beside(call, sends, &limited) {
-                Ok(choice)
-                    if may_look_elsewhere && self.is_sooner_elsewhere(call, &choice, now) =>
-                {
+            self.refresh_view();
+            match self.choose_not_busy(call, sends, &limited) {
+                Ok(choice) if may_load_copy && self.is_sooner_elsewhere(call, &choice, now) => {
                     // One attempt only: even if the load fails, the request then goes to the best
                     // engine.
-                    may_look_elsewhere = false;
-                    let purpose = copy_purpose(call, &choice);
-                    self.bring_adapter(call, sends, purpose, LOAD_PATIENCE)
-                        .await;
+                    may_load_copy = false;
+                    let purpose = load_purpose(call, &choice);
+                    self.load_adapter(call, sends, purpose, COPY_TIMEOUT).await;
                 }
                 Ok(choice) => {
                     let choice = match call.meta.model {
-                        Some(_) => match self.ask_turn(call, &choice).await {
-                            Turn::Taken => choice,
-                            Turn::Busy(wait) => {
+                        Some(_) => match self.take_rate_permit(call, &choice).await {
+                            PermitResult::Taken => choice,
+                            PermitResult::Busy(wait) => {
                                 limited.push((wait, choice));
                                 continue;
                             }
@@ -403,40 +404,42 @@
                         None => self.take_slot(call, sends, choice).await?,
                     };
                     if self.may_send(call, &choice) {
-                        return self.counted(call, sends, choice);
+                        return self.charge_send(call, sends, choice);
                     }
                 }
                 Err(NoChoice::NoUpstream | NoChoice::AllBusy) if !limited.is_empty() => {
                     let choice = self.queue_at_soonest(call, limited).await?;
                     limited = Vec::new();
                     if self.may_send(call, &choice) {
-                        return self.counted(call, sends, choice);
+                        return self.charge_send(call, sends, choice);
                     }
                 }
-                Err(NoChoice::NoUpstream) => return Err(self.without_upstream(call, sends, now)),
+                Err(NoChoice::NoUpstream) => {
+                    return Err(self.refusal_without_upstream(call, sends, now));
+                }
                 Err(NoChoice::AllBusy) => {
-                    return Err(busy(ResultCode::UpstreamRefused));
+                    return Err(busy_refusal(ResultCode::UpstreamRefused));
                 }
                 Err(NoChoice::AdapterAbsent) if !self.has_base(call, now) => {
-                    if !self.await_base(call).await {
-                        return Err(GivenUp::until(
+                    if !self.wait_for_base_model(call).await {
+                        return Err(RefusalReason::retry_in(
                             ResultCode::AdapterNotReady,
-                            ABSENT_RETRY_AFTER,
+                            UNAVAILABLE_RETRY_AFTER,
                         ));
                     }
-                    patient_until = adapter_patience(call);
+                    adapter_deadline = adapter_wait_deadline(call);
                 }
                 Err(NoChoice::AdapterAbsent) => {
-                    let wait = patient_until.saturating_duration_since(now);
+                    let wait = adapter_deadline.saturating_duration_since(now);
                     let purpose = LoadPurpose::Miss;
-                    if !self.bring_adapter(call, sends, purpose, wait).await {
+                    if !self.load_adapter(call, sends, purpose, wait).await {
                         if limited.is_empty() {
-                            return Err(busy(ResultCode::AdapterNotReady));
+                            return Err(busy_refusal(ResultCode::AdapterNotReady));
                         }
                         let choice = self.queue_at_soonest(call, limited).await?;
                         limited = Vec::new();
                         if self.may_send(call, &choice) {
-                            return self.counted(call, sends, choice);
+                            return self.charge_send(call, sends, choice);
                         }
                     }
                 }
@@ -444,15 +447,20 @@
         }
     }
 
-    /// The refusal when no upstream can be chosen: all have asked for back-off, or none is known.
-    fn without_upstream(&self, call: &Call, sends: &Sends, now: Instant) -> GivenUp {
+    /// The refusal when no upstream can be chosen: all have asked for backoff, or none is known.
+    fn refusal_without_upstream(
+        &self,
+        call: &Call,
+        sends: &SendHistory,
+        now: Instant,
+    ) -> RefusalReason {
         let dispatcher = self.dispatcher.borrow();
-        let Some(ends) = dispatcher.rest_ends(&need(call, &sends.tried), now) else {
-            return GivenUp::until(ResultCode::NoUpstream, ABSENT_RETRY_AFTER);
+        let Some(backoff_end) = dispatcher.rest_ends(&need(call, &sends.tried), now) else {
+            return RefusalReason::retry_in(ResultCode::NoUpstream, UNAVAILABLE_RETRY_AFTER);
         };
-        let wait = ends.saturating_duration_since(now);
+        let wait = backoff_end.saturating_duration_since(now);
         let after = return_after(wait, call.priority(), &mut rand::rng());
-        GivenUp::until(ResultCode::UpstreamRefused, after)
+        RefusalReason::retry_in(ResultCode::UpstreamRefused, after)
     }
 
     /// Checks that `choice` may still be sent to after the wait for its slot or rate permit, and
@@ -467,25 +475,30 @@
     }
 
     /// Counts the send against the retry budget and returns `choice`.
-    fn counted(&self, call: &Call, sends: &Sends, choice: Choice) -> Result<Choice, GivenUp> {
+    fn charge_send(
+        &self,
+        call: &Call,
+        sends: &SendHistory,
+        choice: Choice,
+    ) -> Result<Choice, RefusalReason> {
         let now = Instant::now();
-        if !self.count_send(call, sends, now) {
-            return Err(busy(ResultCode::RetryBudgetSpent));
+        if !self.charge_retry_budget(call, sends, now) {
+            return Err(busy_refusal(ResultCode::RetryBudgetSpent));
         }
         if !choice.is_preferred || choice.is_leaving {
             // Starts a load at another engine, or of the newer version, without waiting for it.
-            let _ = self.want(call, false, LoadPurpose::Miss, now);
+            let _ = self.request_load(call, false, LoadPurpose::Miss, now);
         }
         Ok(choice)
     }
 
     /// Takes a rate permit at an engine that has a rate limit.
-    async fn ask_turn(&self, call: &Call, choice: &Choice) -> Turn {
+    async fn take_rate_permit(&self, call: &Call, choice: &Choice) -> PermitResult {
         match self.shared.limits().per_s(&choice.upstream.id) {
             Some(_) => {}
-            None => return Turn::Taken,
+            None => return PermitResult::Taken,
         }
-        self.ask_slot(call, choice, false).await
+        self.request_permit(call, choice, false).await
     }
 
     fn is_sooner_elsewhere(&self, call: &Call, choice: &Choice, now: Instant) -> bool {
@@ -496,7 +509,7 @@
     pub(super) fn choose(
         &self,
         call: &Call,
-        sends: &Sends,
+        sends: &SendHistory,
         now: Instant,
     ) -> Result<Choice, NoChoice> {
         let need = need(call, &sends.tried);
@@ -505,7 +518,7 @@
     }
 
     /// Counts a send against the retry budget; false if the budget is used up.
-    fn count_send(&self, call: &Call, sends: &Sends, now: Instant) -> bool {
+    fn charge_retry_budget(&self, call: &Call, sends: &SendHistory, now: Instant) -> bool {
         self.with_budget(call, |budget, nodes| match sends.arrived {
             0 => {
                 budget.count_first(now);
@@ -517,8 +530,8 @@
 
     fn with_budget<R>(&self, call: &Call, f: impl FnOnce(&mut RetryBudget, usize) -> R) -> R {
         let nodes = self.shared.view.load().nodes;
-        let mut budgets = self.budgets.borrow_mut();
-        let budget = budgets
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
+        let budget = retry_budgets
             .entry(call.service.clone())
             .or_insert_with(|| RetryBudget::new(self.retry_rules()));
         f(budget, nodes)
@@ -534,8 +547,8 @@
 }
 
 /// A refusal with the Retry-After of a busy service.
-fn busy(code: ResultCode) -> GivenUp {
-    GivenUp::until(code, BUSY_RETRY_AFTER)
+fn busy_refusal(code: ResultCode) -> RefusalReason {
+    RefusalReason::retry_in(code, BUSY_RETRY_AFTER)
 }
 
 fn need<'a>(call: &'a Call, tried: &'a [UpstreamId]) -> Need<'a> {
--- a/crates/relay-node/src/traffic/flight.rs
+++ b/crates/relay-node/src/traffic/in_flight.rs
@@ -17,7 +17,7 @@
 use super::slot_client::SlotPermit;
 
 /// One send in progress. Dropping it, also when the caller disconnects, ends its accounting.
-pub(crate) struct Flight {
+pub(crate) struct InFlight {
     gateway: Rc<Gateway>,
     upstream: Arc<Upstream>,
     model: Option<ModelRef>,
@@ -28,7 +28,7 @@
     first: Option<Instant>,
     /// Whether the outcome was recorded for the upstream. A failure is recorded with the answer's
     /// head.
-    is_settled: bool,
+    has_outcome: bool,
     /// Whether the request was counted as ended.
     is_ended: bool,
     /// The concurrency slot it holds at a plain upstream.
@@ -43,7 +43,7 @@
     waited: Duration,
 }
 
-impl Flight {
+impl InFlight {
     /// Counts `call` as sent to the upstream of `choice`, and takes over its slot there.
     pub(crate) fn begin(gateway: &Rc<Gateway>, call: &Call, choice: &Choice) -> Self {
         let now = Instant::now();
@@ -64,7 +64,7 @@
             expected_ms: choice.expected_ms,
             sent: now,
             first: None,
-            is_settled: false,
+            has_outcome: false,
             is_ended: false,
             slot: call.slot.take(),
             team: call.caller.team().map(|team| team.name.clone()),
@@ -85,7 +85,7 @@
     }
 
     /// Called when a part of the answer's body arrives.
-    pub(crate) fn note_progress(&mut self) {
+    pub(crate) fn record_progress(&mut self) {
         if let Some(first) = self.first {
             self.trial.take_if(|_| first.elapsed() > BEGINNING);
             return;
@@ -104,7 +104,7 @@
 
     /// Called when the answer is complete: with its last byte, and again if the body is polled
     /// after that.
-    pub(crate) fn note_whole(&mut self) {
+    pub(crate) fn record_complete(&mut self) {
         if std::mem::replace(&mut self.is_ended, true) {
             return;
         }
@@ -115,21 +115,21 @@
         // Only plain requests report their duration: that of an engine's answer does not tell when
         // a rate limit has room again.
         if let Some(mut slot) = self.slot.take().filter(|_| self.model.is_none()) {
-            slot.note_answered(self.sent.elapsed());
+            slot.record_answered(self.sent.elapsed());
         }
         self.gateway
             .shared
             .suspects()
             .clear(&self.digest, Instant::now());
         self.count_end(None);
-        self.settle(Outcome::Answered);
+        self.record_outcome(Outcome::Answered);
     }
 
     /// Called when the answer's body ends early.
-    pub(crate) fn note_cut(&mut self, cut: AnswerCut) {
+    pub(crate) fn record_cut(&mut self, cut: AnswerCut) {
         self.count_end(Some(cut.code()));
         if cut == AnswerCut::Upstream {
-            self.note_broken();
+            self.record_broken();
         }
         log_event!(
             self.gateway.log, Event::AnswerCut,
@@ -141,28 +141,28 @@
     }
 
     /// Records that the answer broke off, or that none came.
-    pub(crate) fn note_broken(&mut self) {
-        self.settle(Outcome::Failed);
+    pub(crate) fn record_broken(&mut self) {
+        self.record_outcome(Outcome::Failed);
     }
 
     /// Records that the connection to the upstream broke; the upstream may have crashed.
-    pub(crate) fn note_disconnected(&mut self) {
-        self.note_broken();
+    pub(crate) fn record_disconnected(&mut self) {
+        self.record_broken();
         let broken = BrokenRequest {
             digest: self.digest,
             began_ago: self.first.map(|first| first.elapsed()),
         };
-        self.gateway.note_broken(&self.upstream, broken);
+        self.gateway.check_for_crash(&self.upstream, broken);
     }
 
     /// Records that the upstream refused the request because it is full.
-    pub(crate) fn note_full(&mut self) {
-        self.settle(Outcome::Full);
+    pub(crate) fn record_full(&mut self) {
+        self.record_outcome(Outcome::Full);
     }
 
-    fn settle(&mut self, outcome: Outcome) {
-        if !self.is_settled {
-            self.is_settled = true;
+    fn record_outcome(&mut self, outcome: Outcome) {
+        if !self.has_outcome {
+            self.has_outcome = true;
             self.gateway.shared.metrics.sent(outcome.name());
             let mut dispatcher = self.gateway.dispatcher.borrow_mut();
             dispatcher.note_outcome(&self.upstream.id, outcome, Instant::now());
@@ -170,7 +170,7 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         let uses = &self.gateway.shared.uses;
@@ -193,7 +193,7 @@
             "digest" => self.digest.to_string(),
             "waited_ms" => self.waited.as_millis(), "expected_ms" => self.expected_ms,
             "first_ms" => first.map(|first| first.as_millis()),
-            "took_ms" => self.sent.elapsed().as_millis(), "is_settled" => self.is_settled,
+            "took_ms" => self.sent.elapsed().as_millis(), "is_settled" => self.has_outcome,
             "tokens" => self.unread_tokens,
             "model" => self.model.as_ref().map(ToString::to_string)
         );
--- a/crates/relay-node/src/traffic/listener.rs
+++ b/crates/relay-node/src/traffic/listener.rs
@@ -17,32 +17,32 @@
 use nutmegsail_base::{RequestId, ResultCode};
 use nutmegsail_http_pool::prepare_socket;
 use nutmegsail_relay::{PromptChain, RequestContent, RequestDigest, RouteTable};
-use nutmegsail_request::{Refusal, Request as Life};
+use nutmegsail_request::{Refusal, Request as RequestState};
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
 use super::ACCEPT_PAUSE;
-use super::admission::Tokens;
+use super::admission::QuotaTokens;
 use super::answer_body::AnswerBody;
 use super::call::Call;
 use super::gateway::Gateway;
-use super::refuse::{self, GivenUp};
+use super::refuse::{self, RefusalReason};
 use crate::CallMeta;
 
 /// The deadline of requests that state none, unless the route's timeout is shorter.
-const UNSTATED_DEADLINE: Duration = Duration::from_secs(60);
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
 /// The idle timeout while no configuration is known. The configured limits apply to connections
 /// that open later.
-const FIRST_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The smallest read buffer that hyper accepts, for configurations that allow less.
-const LEAST_BUFFER_BYTES: usize = 8 * 1024;
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
 /// How long a node that shuts down still accepts new requests. The platform stops sending callers
 /// after two readiness checks, one a second. Answers to later requests might not end within the
 /// grace period.
-const LAST_REQUESTS: Duration = Duration::from_millis(3_000);
+const LEAVING_ACCEPT_TIME: Duration = Duration::from_millis(3_000);
 
 /// Retry-After at a node that shuts down: almost at once, as another node takes the request.
 const LEAVING_RETRY_AFTER: Duration = Duration::from_millis(20);
@@ -64,9 +64,13 @@
 
 async fn serve_connection(stream: TcpStream, gateway: Rc<Gateway>, close: CancellationToken) {
     let _open = OpenConnection::new(Rc::clone(&gateway));
-    let limits = gateway.view().table.as_ref().map(|table| table.limits);
-    let idle = limits.map_or(FIRST_IDLE_TIMEOUT, |limits| limits.idle_timeout);
-    let header_bytes = limits.map_or(LEAST_BUFFER_BYTES, |limits| limits.header_bytes);
+    let limits = gateway
+        .refresh_view()
+        .table
+        .as_ref()
+        .map(|table| table.limits);
+    let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout);
+    let header_bytes = limits.map_or(MIN_BUFFER_BYTES, |limits| limits.header_bytes);
     let service = service_fn(|request| {
         let gateway = Rc::clone(&gateway);
         async move { Ok::<_, Infallible>(gateway.answer(request).await) }
@@ -75,7 +79,7 @@
         .timer(TokioTimer::new())
         // This timer starts when the answer before ends, so it also limits idle time.
         .header_read_timeout(idle)
-        .max_buf_size(header_bytes.max(LEAST_BUFFER_BYTES))
+        .max_buf_size(header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
@@ -87,23 +91,23 @@
 }
 
 /// Why a request is refused before routing.
-struct Turned {
+struct EarlyRefusal {
     code: ResultCode,
     detail: String,
     retry_after: Option<Duration>,
 }
 
-impl From<GivenUp> for Turned {
-    fn from(given_up: GivenUp) -> Self {
+impl From<RefusalReason> for EarlyRefusal {
+    fn from(reason: RefusalReason) -> Self {
         Self {
-            code: given_up.code,
+            code: reason.code,
             detail: String::new(),
-            retry_after: given_up.retry_after,
+            retry_after: reason.retry_after,
         }
     }
 }
 
-impl Turned {
+impl EarlyRefusal {
     fn new(code: ResultCode, detail: impl Into<String>) -> Self {
         Self {
             code,
@@ -125,12 +129,14 @@
         let meta = self.dialect.read_call(&mut parts.headers);
         let id = request_id(meta.as_ref().ok());
         let mut answer = match self.read(parts, body, meta, began).await {
-            Ok(call) => self.carry(&Rc::new(call)).await,
-            Err(turned) => {
-                self.shared.metrics.request_ended(Some(turned.code), None);
-                let proof = Life::accept(id.clone()).not_run();
-                let refusal = Refusal::not_run(proof, turned.code, turned.detail);
-                let refusal = match turned.retry_after {
+            Ok(call) => self.handle(&Rc::new(call)).await,
+            Err(early_refusal) => {
+                self.shared
+                    .metrics
+                    .request_ended(Some(early_refusal.code), None);
+                let proof = RequestState::accept(id.clone()).not_run();
+                let refusal = Refusal::not_run(proof, early_refusal.code, early_refusal.detail);
+                let refusal = match early_refusal.retry_after {
                     Some(wait) => refusal.with_retry_after(wait),
                     None => refusal,
                 };
@@ -151,26 +157,31 @@
         body: Incoming,
         meta: Result<CallMeta, crate::BadHeader>,
         began: Instant,
-    ) -> Result<Call, Turned> {
-        let meta = meta.map_err(|bad| Turned::new(ResultCode::BadHeader, bad.to_string()))?;
-        if self.is_past_last_requests(began) {
-            return Err(Turned::new(ResultCode::NodeLeaving, "").retry_after(LEAVING_RETRY_AFTER));
+    ) -> Result<Call, EarlyRefusal> {
+        let meta = meta.map_err(|bad| EarlyRefusal::new(ResultCode::BadHeader, bad.to_string()))?;
+        if self.has_stopped_accepting(began) {
+            return Err(
+                EarlyRefusal::new(ResultCode::NodeLeaving, "").retry_after(LEAVING_RETRY_AFTER)
+            );
         }
-        let table = self.view().table.clone().ok_or_else(|| {
-            Turned::new(ResultCode::NoTextInForce, "").retry_after(Duration::from_millis(500))
+        let table = self.refresh_view().table.clone().ok_or_else(|| {
+            EarlyRefusal::new(ResultCode::NoTextInForce, "").retry_after(Duration::from_millis(500))
         })?;
         let body = read_body(body, &table).await?;
         // The configuration may have changed while the body was received.
-        let view = self.view();
+        let view = self.refresh_view();
         let table = view.table.clone().unwrap_or(table);
         let host = host(&parts);
-        let route = table
-            .route(host, parts.uri.path())
-            .ok_or_else(|| Turned::new(ResultCode::UnknownPath, "no route leads from here"))?;
-        let caller = self.identify(route, &meta.key).await.map_err(|denied| {
-            self.log_denied(&request_id(Some(&meta)), route, &meta.key, denied);
-            Turned::from(GivenUp::from(denied))
+        let route = table.route(host, parts.uri.path()).ok_or_else(|| {
+            EarlyRefusal::new(ResultCode::UnknownPath, "no route leads from here")
         })?;
+        let caller = self
+            .identify_caller(route, &meta.key)
+            .await
+            .map_err(|denied| {
+                self.log_denied(&request_id(Some(&meta)), route, &meta.key, denied);
+                EarlyRefusal::from(RefusalReason::from(denied))
+            })?;
         let digest = RequestDigest::of(&RequestContent {
             method: parts.method.as_str(),
             host,
@@ -190,8 +201,8 @@
         let prompt = model.map(|model| PromptChain::new(model, &meta.prompt_parts));
         let id = request_id(Some(&meta));
         let waited_before = self.waited_before(&route.name, meta.deadline);
-        let waits = meta.deadline.unwrap_or(UNSTATED_DEADLINE);
-        let due = began + waits.min(route.timeout);
+        let wait_limit = meta.deadline.unwrap_or(DEFAULT_DEADLINE);
+        let deadline_at = began + wait_limit.min(route.timeout);
         Ok(Call {
             route: route.clone(),
             parts,
@@ -201,19 +212,19 @@
             digest,
             service,
             caller,
-            tokens: Tokens::default(),
+            tokens: QuotaTokens::default(),
             slot: RefCell::default(),
             waited_before,
             prompt: prompt.unwrap_or_default(),
             version,
             began,
-            due,
+            deadline_at,
         })
     }
 
-    fn is_past_last_requests(&self, now: Instant) -> bool {
+    fn has_stopped_accepting(&self, now: Instant) -> bool {
         let since = self.leaving_since.get();
-        since.is_some_and(|since| now.duration_since(since) > LAST_REQUESTS)
+        since.is_some_and(|since| now.duration_since(since) > LEAVING_ACCEPT_TIME)
     }
 }
 
@@ -233,17 +244,20 @@
     }
 }
 
-async fn read_body(body: Incoming, table: &RouteTable) -> Result<Bytes, Turned> {
+async fn read_body(body: Incoming, table: &RouteTable) -> Result<Bytes, EarlyRefusal> {
     let limit = table.limits.body_bytes;
     let collecting = Limited::new(body, limit).collect();
     match tokio::time::timeout(table.limits.read_timeout, collecting).await {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             let detail = format!("{limit} bytes are allowed");
-            Err(Turned::new(ResultCode::BodyTooLarge, detail))
+            Err(EarlyRefusal::new(ResultCode::BodyTooLarge, detail))
         }
-        Ok(Err(error)) => Err(Turned::new(ResultCode::MalformedBody, error.to_string())),
-        Err(_) => Err(Turned::new(ResultCode::SenderStalled, "")),
+        Ok(Err(error)) => Err(EarlyRefusal::new(
+            ResultCode::MalformedBody,
+            error.to_string(),
+        )),
+        Err(_) => Err(EarlyRefusal::new(ResultCode::SenderStalled, "")),
     }
 }
 
--- a/crates/relay-node/src/traffic/mod.rs
+++ b/crates/relay-node/src/traffic/mod.rs
@@ -1,17 +1,16 @@
 //! The traffic thread: callers' connections and the requests on them.
 
-mod adapter_wait;
+mod adapter_loads;
 mod admission;
 mod answer_body;
 mod call;
 mod crash_check;
-mod flight;
 mod gateway;
+mod in_flight;
 mod limits;
-mod link;
 mod listener;
 mod model_wait;
-mod own_words;
+mod peer_socket;
 mod plain_slot;
 mod quota_client;
 mod refuse;
@@ -19,12 +18,13 @@
 mod resume;
 mod send;
 mod slot_client;
+mod upstream_notices;
 
 use std::time::Duration;
 
 pub(crate) use gateway::{Gateway, GatewayParts};
-pub(crate) use link::{Link, take_answers};
 pub(crate) use listener::serve;
+pub(crate) use peer_socket::{PeerSocket, receive_answers};
 
 /// How long accepting pauses when the process is out of file descriptors.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
--- a/crates/relay-node/src/traffic/link.rs
+++ b/crates/relay-node/src/traffic/peer_socket.rs
@@ -14,9 +14,9 @@
 const DATAGRAM_BYTES: usize = 2_048;
 
 /// The traffic thread's UDP socket.
-pub(crate) struct Link(pub(crate) UdpSocket);
+pub(crate) struct PeerSocket(pub(crate) UdpSocket);
 
-impl Link {
+impl PeerSocket {
     /// Sends a message. One that cannot be sent at once is dropped, as a datagram may be lost
     /// anyway.
     pub(super) fn send(&self, message: TrafficMessage, to: SocketAddr) {
@@ -27,20 +27,22 @@
 }
 
 /// Receives the answers of other nodes, for ever.
-pub(crate) async fn take_answers(gateway: Rc<Gateway>) {
+pub(crate) async fn receive_answers(gateway: Rc<Gateway>) {
     let mut buffer = vec![0; DATAGRAM_BYTES];
     loop {
-        let Ok((length, sender)) = gateway.link.0.recv_from(&mut buffer).await else {
+        let Ok((length, sender)) = gateway.peer_socket.0.recv_from(&mut buffer).await else {
             // An earlier datagram was refused at its destination; receiving continues as usual.
             continue;
         };
         match parse_traffic_message(&buffer[..length]) {
-            Some(TrafficMessage::Quota(QuotaMessage::Lent(lent))) => gateway.quotas.take_lent(lent),
+            Some(TrafficMessage::Quota(QuotaMessage::Lent(lent))) => {
+                gateway.quotas.receive_lent(lent);
+            }
             Some(TrafficMessage::Slots(SlotMessage::Answer {
                 id,
                 upstream,
                 answer,
-            })) => gateway.slots.take_answer(id, &upstream, answer, sender),
+            })) => gateway.slots.receive_answer(id, &upstream, answer, sender),
             _ => {}
         }
     }
--- a/crates/relay-node/src/traffic/plain_slot.rs
+++ b/crates/relay-node/src/traffic/plain_slot.rs
@@ -6,19 +6,19 @@
 use nutmegsail_relay::{Choice, Refusal as NoChoice, SlotAsk};
 
 use super::call::Call;
-use super::gateway::{Gateway, Sends};
-use super::refuse::GivenUp;
-use super::slot_client::SlotTaken;
+use super::gateway::{Gateway, SendHistory};
+use super::refuse::RefusalReason;
+use super::slot_client::SlotOutcome;
 
 /// How long beyond the latency objective a request may wait for a slot. After that its caller may
 /// be served sooner by a retry.
-const LATE_PATIENCE: Duration = Duration::from_millis(600);
+const MAX_LATENESS: Duration = Duration::from_millis(600);
 
 /// The shortest Retry-After for a caller whose request found no slot.
-const LEAST_RETURN: Duration = Duration::from_millis(100);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// The result of asking for a slot or a rate permit.
-pub(super) enum Turn {
+pub(super) enum PermitResult {
     /// The request may be sent.
     Taken,
     /// The request may not be sent; a slot or permit should be free after this time.
@@ -31,17 +31,17 @@
     pub(super) async fn take_slot(
         &self,
         call: &Call,
-        sends: &Sends,
+        sends: &SendHistory,
         first: Choice,
-    ) -> Result<Choice, GivenUp> {
+    ) -> Result<Choice, RefusalReason> {
         let mut busy: Vec<(Duration, Choice)> = Vec::new();
         let mut next = Ok(first);
         while let Ok(choice) = next {
-            match self.ask_slot(call, &choice, false).await {
-                Turn::Taken => return Ok(choice),
-                Turn::Busy(wait) => busy.push((wait, choice)),
+            match self.request_permit(call, &choice, false).await {
+                PermitResult::Taken => return Ok(choice),
+                PermitResult::Busy(wait) => busy.push((wait, choice)),
             }
-            next = self.choose_beside(call, sends, &busy);
+            next = self.choose_not_busy(call, sends, &busy);
         }
         self.queue_at_soonest(call, busy).await
     }
@@ -51,27 +51,30 @@
         &self,
         call: &Call,
         busy: Vec<(Duration, Choice)>,
-    ) -> Result<Choice, GivenUp> {
+    ) -> Result<Choice, RefusalReason> {
         let soonest = busy.into_iter().min_by_key(|(wait, _)| *wait);
         let Some((_, choice)) = soonest else {
-            return Err(GivenUp::until(ResultCode::UpstreamRefused, LEAST_RETURN));
+            return Err(RefusalReason::retry_in(
+                ResultCode::UpstreamRefused,
+                MIN_RETRY_AFTER,
+            ));
         };
-        match self.ask_slot(call, &choice, true).await {
-            Turn::Taken => Ok(choice),
-            Turn::Busy(wait) => {
+        match self.request_permit(call, &choice, true).await {
+            PermitResult::Taken => Ok(choice),
+            PermitResult::Busy(wait) => {
                 // Randomized, so that callers who were refused together do not retry together.
-                let spread = (wait + LEAST_RETURN).mul_f64(rand::random());
-                let after = wait.max(LEAST_RETURN) + spread;
-                Err(GivenUp::until(ResultCode::UpstreamRefused, after))
+                let jitter = (wait + MIN_RETRY_AFTER).mul_f64(rand::random());
+                let after = wait.max(MIN_RETRY_AFTER) + jitter;
+                Err(RefusalReason::retry_in(ResultCode::UpstreamRefused, after))
             }
         }
     }
 
     /// Chooses an upstream that is not in `busy`.
-    pub(super) fn choose_beside(
+    pub(super) fn choose_not_busy(
         &self,
         call: &Call,
-        sends: &Sends,
+        sends: &SendHistory,
         busy: &[(Duration, Choice)],
     ) -> Result<Choice, NoChoice> {
         let now = Instant::now();
@@ -85,41 +88,48 @@
     }
 
     /// Asks for a slot, or for a rate permit if the upstream has a limit.
-    pub(super) async fn ask_slot(&self, call: &Call, choice: &Choice, may_queue: bool) -> Turn {
+    pub(super) async fn request_permit(
+        &self,
+        call: &Call,
+        choice: &Choice,
+        may_queue: bool,
+    ) -> PermitResult {
         let (view, now) = (self.shared.view.load_full(), Instant::now());
         let upstream = &choice.upstream.id;
         let limit = self.shared.limits().told_of(upstream, now);
         let per_s = limit.as_ref().and_then(|limit| limit.per_s);
         let taken = match view.slot_nodes.get(upstream) {
             Some(node) => {
-                let ask = self.slot_ask(call, may_queue, now);
+                let ask = self.slot_request(call, may_queue, now);
                 self.slots.take(upstream, *node, ask, limit).await
             }
-            None => SlotTaken::NoAnswer,
+            None => SlotOutcome::NoAnswer,
         };
-        let turn = match (taken, per_s) {
-            (SlotTaken::Granted(permit), _) => {
+        let result = match (taken, per_s) {
+            (SlotOutcome::Granted(permit), _) => {
                 call.slot.replace(Some(permit));
-                Turn::Taken
+                PermitResult::Taken
             }
-            (SlotTaken::Busy(wait) | SlotTaken::Refused(wait), _) => Turn::Busy(wait),
+            (SlotOutcome::Busy(wait) | SlotOutcome::Refused(wait), _) => PermitResult::Busy(wait),
             // Without an answer the request is sent: the upstream's own queue refuses what it has
             // no room for.
-            (SlotTaken::NoAnswer, None) => Turn::Taken,
-            (SlotTaken::NoAnswer, Some(per_s)) => self.take_own_share(upstream, per_s, view.nodes),
+            (SlotOutcome::NoAnswer, None) => PermitResult::Taken,
+            (SlotOutcome::NoAnswer, Some(per_s)) => {
+                self.take_local_permit(upstream, per_s, view.nodes)
+            }
         };
-        if let (Turn::Busy(wait), Some(_)) = (&turn, per_s) {
-            self.note_held_back(call, upstream, *wait);
+        if let (PermitResult::Busy(wait), Some(_)) = (&result, per_s) {
+            self.record_held_back(call, upstream, *wait);
         }
-        turn
+        result
     }
 
-    fn slot_ask(&self, call: &Call, may_queue: bool, now: Instant) -> SlotAsk {
+    fn slot_request(&self, call: &Call, may_queue: bool, now: Instant) -> SlotAsk {
         let elapsed = now.duration_since(call.began) + call.waited_before;
         let in_time = call.route.objective.saturating_sub(elapsed);
         SlotAsk {
             in_time_ms: whole_millis(in_time),
-            patience_ms: whole_millis(call.remaining(now).min(in_time + LATE_PATIENCE)),
+            patience_ms: whole_millis(call.remaining(now).min(in_time + MAX_LATENESS)),
             may_queue,
             rank: call.priority(),
         }
@@ -127,15 +137,15 @@
 
     /// How long the caller has already waited with earlier attempts, estimated from the wait limit
     /// that it states.
-    pub(super) fn waited_before(&self, route: &str, patience: Option<Duration>) -> Duration {
-        let Some(patience) = patience else {
+    pub(super) fn waited_before(&self, route: &str, stated_wait: Option<Duration>) -> Duration {
+        let Some(stated_wait) = stated_wait else {
             return Duration::ZERO;
         };
         let mut known = self.stated_patience.borrow_mut();
         if let Some(stated) = known.get_mut(route) {
-            return stated.waited(patience);
+            return stated.waited(stated_wait);
         }
-        known.entry(route.into()).or_default().waited(patience)
+        known.entry(route.into()).or_default().waited(stated_wait)
     }
 }
 
--- a/crates/relay-node/src/traffic/quota_client.rs
+++ b/crates/relay-node/src/traffic/quota_client.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-use super::link::Link;
+use super::peer_socket::PeerSocket;
 use crate::clock::boot_time;
 use crate::traffic_message::TrafficMessage;
 
@@ -20,13 +20,13 @@
 const HEDGE_AFTER: Duration = Duration::from_millis(40);
 
 /// The shortest time that a request waits for lenders that do not answer.
-const LEAST_PATIENCE: Duration = Duration::from_millis(150);
+const MIN_LENDER_WAIT: Duration = Duration::from_millis(150);
 
 /// The wait before a lender with too few tokens is asked again; it borrows more in the meantime.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(12);
+const LENDER_RETRY_DELAY: Duration = Duration::from_millis(12);
 
 /// How long a lender that did not answer is tried last.
-const SILENT_FOR: Duration = Duration::from_millis(1_000);
+const UNRESPONSIVE_TIME: Duration = Duration::from_millis(1_000);
 
 /// Why a request gets no tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,10 +39,10 @@
 
 /// The tokens that this node has borrowed, and its open requests for more.
 pub(crate) struct QuotaClient {
-    link: Rc<Link>,
+    peer_socket: Rc<PeerSocket>,
     account: RefCell<Account>,
-    waiting: RefCell<HashMap<AskId, Waiting>>,
-    silent: RefCell<HashMap<SocketAddr, Instant>>,
+    pending: RefCell<HashMap<AskId, PendingAsk>>,
+    unresponsive: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
 /// Tokens reserved for a request that was not sent yet. They are returned on drop.
@@ -73,18 +73,18 @@
     }
 }
 
-struct Waiting {
+struct PendingAsk {
     asked_at: Duration,
     answered: oneshot::Sender<Lent>,
 }
 
 impl QuotaClient {
-    pub(crate) fn new(link: Rc<Link>) -> Self {
+    pub(crate) fn new(peer_socket: Rc<PeerSocket>) -> Self {
         Self {
-            link,
+            peer_socket,
             account: RefCell::new(Account::new(AskId(rand::random()))),
-            waiting: RefCell::default(),
-            silent: RefCell::default(),
+            pending: RefCell::default(),
+            unresponsive: RefCell::default(),
         }
     }
 
@@ -94,15 +94,15 @@
         team: &TeamName,
         tokens: u32,
         lenders: &[SocketAddr],
-        patience: Duration,
+        wait_limit: Duration,
     ) -> Result<TokenLease, NoTokens> {
         let began = Instant::now();
         self.account
             .borrow_mut()
             .note_demand(team, tokens, boot_time());
-        let lenders = self.in_order(lenders);
-        let patience = patience.max(LEAST_PATIENCE);
-        let (mut turn, mut told_wait) = (0, None);
+        let lenders = self.by_responsiveness(lenders);
+        let wait_limit = wait_limit.max(MIN_LENDER_WAIT);
+        let (mut next_lender, mut stated_wait) = (0, None);
         loop {
             if let Some(reservation) = self.take(team, tokens) {
                 return Ok(TokenLease {
@@ -110,26 +110,28 @@
                     reservation: Some(reservation),
                 });
             }
-            let left = patience.saturating_sub(began.elapsed());
+            let left = wait_limit.saturating_sub(began.elapsed());
             if left.is_zero() || lenders.is_empty() {
-                return Err(told_wait.map_or(NoTokens::Unknown, NoTokens::Spent));
+                return Err(stated_wait.map_or(NoTokens::Unknown, NoTokens::Spent));
             }
-            let lender = lenders[turn % lenders.len()];
+            let lender = lenders[next_lender % lenders.len()];
             match self.ask(team, tokens, lender, left.min(HEDGE_AFTER)).await {
                 Some(lent) if lent.tokens > 0 => {}
                 Some(lent) => {
                     let wait = Duration::from_millis(u64::from(lent.wait_ms));
-                    let left = patience.saturating_sub(began.elapsed());
-                    match told_wait.replace(wait) {
+                    let left = wait_limit.saturating_sub(began.elapsed());
+                    match stated_wait.replace(wait) {
                         // The lender may have borrowed the missing tokens a moment later.
-                        None => sleep(ASK_AGAIN_AFTER.min(left)).await,
+                        None => sleep(LENDER_RETRY_DELAY.min(left)).await,
                         Some(_) if wait > left => return Err(NoTokens::Spent(wait)),
-                        Some(_) => sleep(wait.max(ASK_AGAIN_AFTER).min(left)).await,
+                        Some(_) => sleep(wait.max(LENDER_RETRY_DELAY).min(left)).await,
                     }
                 }
                 None => {
-                    self.silent.borrow_mut().insert(lender, Instant::now());
-                    turn += 1;
+                    self.unresponsive
+                        .borrow_mut()
+                        .insert(lender, Instant::now());
+                    next_lender += 1;
                 }
             }
         }
@@ -147,11 +149,11 @@
     }
 
     /// The lenders, those that did not answer lately last.
-    fn in_order(&self, lenders: &[SocketAddr]) -> Vec<SocketAddr> {
-        let mut silent = self.silent.borrow_mut();
-        silent.retain(|_, at| at.elapsed() < SILENT_FOR);
+    fn by_responsiveness(&self, lenders: &[SocketAddr]) -> Vec<SocketAddr> {
+        let mut unresponsive = self.unresponsive.borrow_mut();
+        unresponsive.retain(|_, at| at.elapsed() < UNRESPONSIVE_TIME);
         let mut lenders = lenders.to_vec();
-        lenders.sort_by_key(|lender| silent.contains_key(lender));
+        lenders.sort_by_key(|lender| unresponsive.contains_key(lender));
         lenders
     }
 
@@ -160,31 +162,31 @@
         team: &TeamName,
         tokens: u32,
         lender: SocketAddr,
-        patience: Duration,
+        wait_limit: Duration,
     ) -> Option<Lent> {
         let asked_at = boot_time();
         let ask = self.account.borrow_mut().ask(team, tokens, asked_at);
-        let answer = self.expect_answer(ask.id, asked_at);
+        let answer = self.register_ask(ask.id, asked_at);
         let message = TrafficMessage::Quota(QuotaMessage::Ask(ask));
-        self.link.send(message, lender);
-        timeout(patience, answer).await.ok()?.ok()
+        self.peer_socket.send(message, lender);
+        timeout(wait_limit, answer).await.ok()?.ok()
     }
 
-    fn expect_answer(&self, ask: AskId, asked_at: Duration) -> oneshot::Receiver<Lent> {
+    fn register_ask(&self, ask: AskId, asked_at: Duration) -> oneshot::Receiver<Lent> {
         let (answered, answer) = oneshot::channel();
-        let mut waiting = self.waiting.borrow_mut();
-        waiting.retain(|_, waiting| asked_at.saturating_sub(waiting.asked_at) < GRANT_LIFE);
-        waiting.insert(ask, Waiting { asked_at, answered });
+        let mut pending = self.pending.borrow_mut();
+        pending.retain(|_, pending| asked_at.saturating_sub(pending.asked_at) < GRANT_LIFE);
+        pending.insert(ask, PendingAsk { asked_at, answered });
         answer
     }
 
     /// Processes a lender's answer. Tokens that arrive too late for their request are used for the
     /// next.
-    pub(super) fn take_lent(&self, lent: Lent) {
-        let Some(waiting) = self.waiting.borrow_mut().remove(&lent.id) else {
+    pub(super) fn receive_lent(&self, lent: Lent) {
+        let Some(pending) = self.pending.borrow_mut().remove(&lent.id) else {
             return;
         };
-        self.account.borrow_mut().put(&lent, waiting.asked_at);
-        let _ = waiting.answered.send(lent);
+        self.account.borrow_mut().put(&lent, pending.asked_at);
+        let _ = pending.answered.send(lent);
     }
 }
--- a/crates/relay-node/src/traffic/refuse.rs
+++ b/crates/relay-node/src/traffic/refuse.rs
@@ -12,13 +12,13 @@
 
 /// Why a request is refused, and when its caller may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct GivenUp {
+pub(crate) struct RefusalReason {
     pub(crate) code: ResultCode,
     pub(crate) retry_after: Option<Duration>,
 }
 
-impl GivenUp {
-    pub(crate) fn until(code: ResultCode, wait: Duration) -> Self {
+impl RefusalReason {
+    pub(crate) fn retry_in(code: ResultCode, wait: Duration) -> Self {
         Self {
             code,
             retry_after: Some(wait),
--- a/crates/relay-node/src/traffic/resumable_body.rs
+++ b/crates/relay-node/src/traffic/resumable_body.rs
@@ -12,27 +12,27 @@
 use tokio::time::{Instant, Sleep};
 
 use super::answer_body::AnswerCut;
-use super::flight::Flight;
+use super::in_flight::InFlight;
 use super::resume::{Resumed, Resumption};
 
 /// How long an upstream may send nothing in the middle of a stream before another one resumes it.
 /// Pauses of a healthy upstream end within 0.3 s, of one short of memory within about a second.
 /// Callers give up after 2 to 4 s. An upstream that crashed without closing its connection, or is
 /// behind a network partition, never sends anything again.
-const SILENCE: Duration = Duration::from_millis(2_000);
+const MAX_SILENCE: Duration = Duration::from_millis(2_000);
 
-type GoingOn = Pin<Box<dyn Future<Output = Option<Resumed>>>>;
+type ResumeFuture = Pin<Box<dyn Future<Output = Option<Resumed>>>>;
 
 enum State {
     Reading(Box<Reading>),
-    GoingOn(GoingOn),
+    Resuming(ResumeFuture),
     Ended,
 }
 
 /// An upstream's body and the accounting of its send.
 struct Reading {
     body: PooledBody,
-    flight: Flight,
+    in_flight: InFlight,
 }
 
 /// Forwards the whole events of a stream, from one upstream after another.
@@ -41,15 +41,15 @@
     events: EventSplitter,
     resumption: Option<Resumption>,
     /// Fires at the request's deadline.
-    cutoff: Pin<Box<Sleep>>,
+    deadline_timer: Pin<Box<Sleep>>,
     /// Fires when the upstream has sent nothing for too long.
-    silence: Pin<Box<Sleep>>,
+    silence_timer: Pin<Box<Sleep>>,
 }
 
 /// The result of one poll of the upstream.
-enum Step {
+enum PollResult {
     Events(Vec<u8>),
-    Whole,
+    Complete,
     Broken,
     Nothing,
 }
@@ -57,16 +57,16 @@
 impl ResumableBody {
     pub(crate) fn new(
         body: PooledBody,
-        flight: Flight,
+        in_flight: InFlight,
         resumption: Resumption,
-        cutoff: Pin<Box<Sleep>>,
+        deadline_timer: Pin<Box<Sleep>>,
     ) -> Self {
         Self {
-            state: State::Reading(Box::new(Reading { body, flight })),
+            state: State::Reading(Box::new(Reading { body, in_flight })),
             events: EventSplitter::default(),
             resumption: Some(resumption),
-            cutoff,
-            silence: Box::pin(tokio::time::sleep(SILENCE)),
+            deadline_timer,
+            silence_timer: Box::pin(tokio::time::sleep(MAX_SILENCE)),
         }
     }
 
@@ -77,9 +77,9 @@
         loop {
             let polled = match &mut self.state {
                 State::Reading(_) => self.read(cx),
-                State::GoingOn(going_on) => match going_on.as_mut().poll(cx) {
+                State::Resuming(resuming) => match resuming.as_mut().poll(cx) {
                     Poll::Ready(Some(resumed)) => {
-                        self.take(resumed);
+                        self.switch_to(resumed);
                         continue;
                     }
                     Poll::Ready(None) => Poll::Ready(Some(Err(AnswerCut::Upstream))),
@@ -88,7 +88,7 @@
                 State::Ended => return Poll::Ready(None),
             };
             match polled {
-                Poll::Pending if self.cutoff.as_mut().poll(cx).is_ready() => {
+                Poll::Pending if self.deadline_timer.as_mut().poll(cx).is_ready() => {
                     return self.cut(AnswerCut::TimedOut);
                 }
                 Poll::Ready(Some(Err(cut))) => return self.cut(cut),
@@ -104,69 +104,75 @@
 
     /// Reads from the upstream; `Ready` with no bytes if the state changed.
     fn read(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Vec<u8>, AnswerCut>>> {
-        match self.step(cx) {
-            Step::Events(events) => Poll::Ready(Some(Ok(events))),
-            Step::Whole => Poll::Ready(None),
-            Step::Nothing => Poll::Pending,
-            Step::Broken => match self.go_on() {
+        match self.poll_upstream(cx) {
+            PollResult::Events(events) => Poll::Ready(Some(Ok(events))),
+            PollResult::Complete => Poll::Ready(None),
+            PollResult::Nothing => Poll::Pending,
+            PollResult::Broken => match self.start_resuming() {
                 true => Poll::Ready(Some(Ok(Vec::new()))),
                 false => Poll::Ready(Some(Err(AnswerCut::Upstream))),
             },
         }
     }
 
-    fn step(&mut self, cx: &mut Context<'_>) -> Step {
+    fn poll_upstream(&mut self, cx: &mut Context<'_>) -> PollResult {
         let State::Reading(reading) = &mut self.state else {
-            return Step::Nothing;
+            return PollResult::Nothing;
         };
         match Pin::new(&mut reading.body).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
-                reading.flight.note_progress();
-                self.silence.as_mut().reset(Instant::now() + SILENCE);
+                reading.in_flight.record_progress();
+                self.silence_timer
+                    .as_mut()
+                    .reset(Instant::now() + MAX_SILENCE);
                 let bytes = frame.into_data().unwrap_or_default();
                 // Repeated events mean that the upstream started the stream again from the
                 // beginning.
-                self.events.push(&bytes).map_or(Step::Broken, Step::Events)
+                self.events
+                    .push(&bytes)
+                    .map_or(PollResult::Broken, PollResult::Events)
             }
             Poll::Ready(Some(Err(_))) => {
-                reading.flight.note_disconnected();
-                Step::Broken
+                reading.in_flight.record_disconnected();
+                PollResult::Broken
             }
-            Poll::Ready(None) => Step::Whole,
-            Poll::Pending if self.silence.as_mut().poll(cx).is_ready() => Step::Broken,
-            Poll::Pending => Step::Nothing,
+            Poll::Ready(None) => PollResult::Complete,
+            Poll::Pending if self.silence_timer.as_mut().poll(cx).is_ready() => PollResult::Broken,
+            Poll::Pending => PollResult::Nothing,
         }
     }
 
     /// Starts to resume the stream at another upstream, if that is allowed. Dropping the body
     /// closes the connection to the old upstream, which then stops working on the request.
-    fn go_on(&mut self) -> bool {
+    fn start_resuming(&mut self) -> bool {
         let Some(resumption) = self
             .resumption
-            .take_if(|resumption| resumption.is_allowed())
+            .take_if(|resumption| resumption.has_attempts_left())
         else {
             return false;
         };
         if let State::Reading(reading) = &mut self.state {
-            reading.flight.note_broken();
+            reading.in_flight.record_broken();
         }
         self.events.drop_partial();
-        self.state = State::GoingOn(Box::pin(resumption.go_on(self.events.last_id())));
+        self.state = State::Resuming(Box::pin(resumption.resume_after(self.events.last_id())));
         true
     }
 
-    fn take(&mut self, resumed: Resumed) {
+    fn switch_to(&mut self, resumed: Resumed) {
         self.state = State::Reading(Box::new(Reading {
             body: resumed.body,
-            flight: resumed.flight,
+            in_flight: resumed.in_flight,
         }));
         self.resumption = Some(resumed.resumption);
-        self.silence.as_mut().reset(Instant::now() + SILENCE);
+        self.silence_timer
+            .as_mut()
+            .reset(Instant::now() + MAX_SILENCE);
     }
 
     fn end(&mut self) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
         if let State::Reading(reading) = &mut self.state {
-            reading.flight.note_whole();
+            reading.in_flight.record_complete();
         }
         self.state = State::Ended;
         let rest = self.events.take_rest();
@@ -178,7 +184,7 @@
 
     fn cut(&mut self, cut: AnswerCut) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
         if let State::Reading(reading) = &mut self.state {
-            reading.flight.note_cut(cut);
+            reading.in_flight.record_cut(cut);
         }
         self.state = State::Ended;
         Poll::Ready(Some(Err(cut)))
--- a/crates/relay-node/src/traffic/send.rs
+++ b/crates/relay-node/src/traffic/send.rs
@@ -9,26 +9,26 @@
 use nutmegsail_telemetry::{Event, log_event};
 use tokio::time::sleep_until;
 
-use super::answer_body::{AnswerBody, PassedBody};
+use super::answer_body::{AnswerBody, ForwardedBody};
 use super::call::{Call, strip_hop_by_hop};
-use super::flight::Flight;
 use super::gateway::Gateway;
+use super::in_flight::InFlight;
 use super::resumable_body::ResumableBody;
 use super::resume::Resumption;
 use crate::{AnswerMeta, SendMeta, Verdict};
 
 /// An upstream's answer and the accounting of its send.
-pub(crate) struct Taken {
+pub(crate) struct UpstreamAnswer {
     pub(crate) answer: Response<PooledBody>,
-    pub(crate) flight: Flight,
+    pub(crate) in_flight: InFlight,
 }
 
 /// The outcome of one send.
-pub(crate) enum Sent {
+pub(crate) enum SendOutcome {
     /// An answer to forward to the caller.
-    Answer(Taken),
+    Answer(UpstreamAnswer),
     /// An error answer of the upstream; forwarded if the request cannot be sent again.
-    Failed(Taken),
+    Failed(UpstreamAnswer),
     /// No connection could be opened; the upstream received nothing.
     NotArrived,
     /// The upstream received the request and stated that it did not run it.
@@ -41,12 +41,12 @@
 
 /// The longest idle time of a connection that is used for a request which must not run twice. If
 /// the upstream is just closing the connection, such a request could not be sent again.
-const ONCE_MAX_IDLE: Duration = Duration::from_secs(3);
+const NON_RETRYABLE_MAX_IDLE: Duration = Duration::from_secs(3);
 
 /// The timeout of an idempotent request that another upstream could serve, as a multiple of its
-/// latency objective. The slowest normal answers take about 1.5 times the objective (220 ms of 150
-/// ms). Waiting longer for an upstream that does not respond uses up the caller's time.
-const IDEMPOTENT_PATIENCE: u32 = 3;
+/// latency objective. The slowest normal answers take about 1.5 times the objective (220 ms where it
+/// is 150 ms). Waiting longer for an upstream that does not respond uses up the caller's time.
+const IDEMPOTENT_TIMEOUT_FACTOR: u32 = 3;
 
 impl Gateway {
     /// Sends the request once. With `last_event`, the upstream resumes a stream after that event.
@@ -54,9 +54,9 @@
         self: &Rc<Self>,
         call: &Call,
         choice: &Choice,
-        has_other: bool,
+        has_alternative: bool,
         last_event: Option<u64>,
-    ) -> Sent {
+    ) -> SendOutcome {
         let now = Instant::now();
         let upstream = &choice.upstream;
         let remaining = call.remaining(now);
@@ -71,107 +71,107 @@
         };
         self.spend_tokens(call);
         let request = call.to_upstream(&*self.dialect, &send, last_event);
-        let mut flight = Flight::begin(self, call, choice);
+        let mut in_flight = InFlight::begin(self, call, choice);
         self.dispatcher
             .borrow_mut()
             .note_prompt(&upstream.id, &call.prompt, now);
         let address = upstream.address.to_string();
-        let patience = patience(call, has_other, remaining);
+        let head_timeout = head_timeout(call, has_alternative, remaining);
         let max_idle = match call.route.kind.may_repeat() {
             true => Duration::MAX,
-            false => ONCE_MAX_IDLE,
+            false => NON_RETRYABLE_MAX_IDLE,
         };
         let sending = self.pool.send_after(&address, request, max_idle);
-        let answer = match tokio::time::timeout(patience, sending).await {
+        let answer = match tokio::time::timeout(head_timeout, sending).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(SendError::NotSent)) => {
                 let mut dispatcher = self.dispatcher.borrow_mut();
                 dispatcher.note_unreachable(&upstream.id, Instant::now());
-                return Sent::NotArrived;
+                return SendOutcome::NotArrived;
             }
-            Ok(Err(SendError::AtLimit)) => return Sent::NotArrived,
+            Ok(Err(SendError::AtLimit)) => return SendOutcome::NotArrived,
             Ok(Err(SendError::Broken)) => {
-                flight.note_disconnected();
-                return Sent::Lost;
+                in_flight.record_disconnected();
+                return SendOutcome::Lost;
             }
             Err(_) => {
-                flight.note_broken();
-                return match patience < remaining {
-                    true => Sent::Lost,
-                    false => Sent::TimedOut,
+                in_flight.record_broken();
+                return match head_timeout < remaining {
+                    true => SendOutcome::Lost,
+                    false => SendOutcome::TimedOut,
                 };
             }
         };
-        self.take_answer(call, choice, flight, answer)
+        self.classify_answer(call, choice, in_flight, answer)
     }
 
-    fn take_answer(
+    fn classify_answer(
         &self,
         call: &Call,
         choice: &Choice,
-        mut flight: Flight,
+        mut in_flight: InFlight,
         answer: Response<PooledBody>,
-    ) -> Sent {
+    ) -> SendOutcome {
         let meta = self.dialect.read_answer(answer.status(), answer.headers());
-        self.note_own_word(call, &choice.upstream, &meta);
+        self.record_upstream_notice(call, &choice.upstream, &meta);
         // An upstream may send a second, late answer to an earlier request on a kept-alive
         // connection. Forwarding it would give one caller another caller's answer, so the request
         // ids are compared. Dropping the answer also drops its connection.
         if meta.request_id != call.meta.request_id {
-            flight.note_broken();
-            return Sent::Lost;
+            in_flight.record_broken();
+            return SendOutcome::Lost;
         }
         if meta.verdict != Verdict::Answered {
             self.log_refused(call, choice, meta.verdict);
         }
         match meta.verdict {
             Verdict::Full => {
-                flight.note_full();
-                return Sent::Refused(Verdict::Full);
+                in_flight.record_full();
+                return SendOutcome::Refused(Verdict::Full);
             }
             Verdict::Misdirected => {
-                self.note_misdirected(call, choice, &meta);
-                return Sent::Refused(Verdict::Misdirected);
+                self.record_misdirected(call, choice, &meta);
+                return SendOutcome::Refused(Verdict::Misdirected);
             }
             Verdict::Answered => {}
         }
         let status = answer.status();
         // Callers ask for unencoded bodies, so an encoded answer, like an unsigned one, was not
         // produced by the upstream.
-        let is_spoilt = answer.headers().contains_key(header::CONTENT_ENCODING) || !meta.is_sealed;
-        if is_spoilt {
-            flight.note_broken();
-            return Sent::Lost;
+        let is_invalid = answer.headers().contains_key(header::CONTENT_ENCODING) || !meta.is_sealed;
+        if is_invalid {
+            in_flight.record_broken();
+            return SendOutcome::Lost;
         }
         if status.is_server_error() {
-            flight.note_broken();
-            return Sent::Failed(Taken { answer, flight });
+            in_flight.record_broken();
+            return SendOutcome::Failed(UpstreamAnswer { answer, in_flight });
         }
-        Sent::Answer(Taken { answer, flight })
+        SendOutcome::Answer(UpstreamAnswer { answer, in_flight })
     }
 
     fn log_refused(&self, call: &Call, choice: &Choice, verdict: Verdict) {
         let now = Instant::now();
         let dispatcher = self.dispatcher.borrow();
         let tracked = dispatcher.tracked(&choice.upstream.id);
-        let told = tracked.and_then(|tracked| tracked.holdings_age(now));
+        let reported_age = tracked.and_then(|tracked| tracked.holdings_age(now));
         log_event!(
             self.log, Event::SendRefused,
             "request" => call.id.to_string(), "upstream" => choice.upstream.id.to_string(),
             "verdict" => format!("{verdict:?}"), "age_ms" => call.began.elapsed().as_millis(),
             "model" => call.meta.model.as_ref().map(ToString::to_string),
-            "version" => choice.version, "holdings_age_ms" => told.map(|age| age.as_millis())
+            "version" => choice.version, "holdings_age_ms" => reported_age.map(|age| age.as_millis())
         );
     }
 
     /// Records that another upstream is at the address, or that this one does not hold the model.
-    fn note_misdirected(&self, call: &Call, choice: &Choice, meta: &AnswerMeta) {
+    fn record_misdirected(&self, call: &Call, choice: &Choice, meta: &AnswerMeta) {
         let mut dispatcher = self.dispatcher.borrow_mut();
-        let meant = &*choice.upstream.name;
+        let intended = &*choice.upstream.name;
         let is_other = meta
             .upstream
             .as_ref()
-            .is_some_and(|answered| answered != meant);
+            .is_some_and(|answered| answered != intended);
         match &call.meta.model {
             Some(model) if !is_other => {
                 dispatcher.note_absent(&choice.upstream.id, model, Instant::now());
@@ -181,20 +181,24 @@
     }
 
     /// Forwards an answer as it arrives. With `resumption`, another upstream may resume it.
-    pub(crate) fn pass_on(
+    pub(crate) fn forward(
         &self,
         call: &Call,
-        taken: Taken,
+        received: UpstreamAnswer,
         resumption: Option<Resumption>,
     ) -> Response<AnswerBody> {
-        let cutoff = Box::pin(sleep_until(call.due.into()));
-        let flight = taken.flight;
-        let mut answer = taken.answer.map(|body| match resumption {
+        let deadline_timer = Box::pin(sleep_until(call.deadline_at.into()));
+        let in_flight = received.in_flight;
+        let mut answer = received.answer.map(|body| match resumption {
             Some(resumption) => {
-                let resumable = ResumableBody::new(body, flight, resumption, cutoff);
+                let resumable = ResumableBody::new(body, in_flight, resumption, deadline_timer);
                 AnswerBody::Resumable(Box::new(resumable))
             }
-            None => AnswerBody::Passed(Box::new(PassedBody::new(body, flight, cutoff))),
+            None => AnswerBody::Forwarded(Box::new(ForwardedBody::new(
+                body,
+                in_flight,
+                deadline_timer,
+            ))),
         });
         strip_hop_by_hop(answer.headers_mut());
         answer
@@ -203,10 +207,10 @@
 
 /// The timeout until the answer's head arrives. Without another upstream to try, only waiting can
 /// help.
-fn patience(call: &Call, has_other: bool, remaining: Duration) -> Duration {
+fn head_timeout(call: &Call, has_alternative: bool, remaining: Duration) -> Duration {
     match call.route.kind {
-        CallKind::Idempotent if has_other => {
-            remaining.min(call.route.objective * IDEMPOTENT_PATIENCE)
+        CallKind::Idempotent if has_alternative => {
+            remaining.min(call.route.objective * IDEMPOTENT_TIMEOUT_FACTOR)
         }
         _ => remaining,
     }
--- a/crates/relay-node/src/traffic/slot_client.rs
+++ b/crates/relay-node/src/traffic/slot_client.rs
@@ -12,14 +12,14 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-use super::link::Link;
+use super::peer_socket::PeerSocket;
 use crate::traffic_message::{SlotAskId, SlotMessage, TrafficMessage};
 
 /// How long to wait for the node that issues slots.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(40);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// How long a node that did not answer is not asked again.
-const SILENT_FOR: Duration = Duration::from_millis(1_000);
+const UNRESPONSIVE_TIME: Duration = Duration::from_millis(1_000);
 
 /// How much longer than its wait limit a queued request waits for the issuing node's final answer.
 const QUEUE_MARGIN: Duration = Duration::from_millis(60);
@@ -27,7 +27,7 @@
 type Answers = mpsc::UnboundedReceiver<SlotAnswer>;
 
 /// The result of asking for a slot.
-pub(crate) enum SlotTaken {
+pub(crate) enum SlotOutcome {
     /// The slot is taken.
     Granted(SlotPermit),
     /// No node issues slots of this upstream, or the node did not answer.
@@ -40,10 +40,10 @@
 
 /// Sends this node's requests for slots and tracks their answers.
 pub(crate) struct SlotClient {
-    link: Rc<Link>,
-    asks: Cell<SlotAskId>,
-    waiting: RefCell<HashMap<SlotAskId, mpsc::UnboundedSender<SlotAnswer>>>,
-    silent: RefCell<HashMap<SocketAddr, Instant>>,
+    peer_socket: Rc<PeerSocket>,
+    last_id: Cell<SlotAskId>,
+    pending: RefCell<HashMap<SlotAskId, mpsc::UnboundedSender<SlotAnswer>>>,
+    unresponsive: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
 /// A slot that is taken or asked for. It is returned on drop.
@@ -60,7 +60,7 @@
 
 impl SlotPermit {
     /// Records that the request was answered, `took` after it was sent.
-    pub(super) fn note_answered(&mut self, took: Duration) {
+    pub(super) fn record_answered(&mut self, took: Duration) {
         self.took_ms = u32::try_from(took.as_millis()).ok();
     }
 
@@ -72,7 +72,7 @@
 
 impl Drop for SlotPermit {
     fn drop(&mut self) {
-        self.client.waiting.borrow_mut().remove(&self.id);
+        self.client.pending.borrow_mut().remove(&self.id);
         if self.is_known {
             self.client
                 .release(self.id, &self.upstream, self.node, self.took_ms);
@@ -81,12 +81,12 @@
 }
 
 impl SlotClient {
-    pub(crate) fn new(link: Rc<Link>) -> Self {
+    pub(crate) fn new(peer_socket: Rc<PeerSocket>) -> Self {
         Self {
-            link,
-            asks: Cell::new(rand::random()),
-            waiting: RefCell::default(),
-            silent: RefCell::default(),
+            peer_socket,
+            last_id: Cell::new(rand::random()),
+            pending: RefCell::default(),
+            unresponsive: RefCell::default(),
         }
     }
 
@@ -97,39 +97,39 @@
         node: SocketAddr,
         ask: SlotAsk,
         limit: Option<LimitTold>,
-    ) -> SlotTaken {
-        if self.is_silent(node) {
-            return SlotTaken::NoAnswer;
+    ) -> SlotOutcome {
+        if self.is_unresponsive(node) {
+            return SlotOutcome::NoAnswer;
         }
         let (mut permit, mut answers) = self.ask(upstream, node, ask, limit);
-        let mut patience = ANSWER_PATIENCE;
+        let mut wait_limit = ANSWER_TIMEOUT;
         loop {
-            match timeout(patience, answers.recv()).await {
-                Ok(Some(SlotAnswer::Granted)) => return SlotTaken::Granted(permit),
+            match timeout(wait_limit, answers.recv()).await {
+                Ok(Some(SlotAnswer::Granted)) => return SlotOutcome::Granted(permit),
                 Ok(Some(SlotAnswer::Busy { wait_ms })) => {
                     permit.forget();
-                    return SlotTaken::Busy(millis(wait_ms));
+                    return SlotOutcome::Busy(millis(wait_ms));
                 }
                 Ok(Some(SlotAnswer::Refused { wait_ms })) => {
                     permit.forget();
-                    return SlotTaken::Refused(millis(wait_ms));
+                    return SlotOutcome::Refused(millis(wait_ms));
                 }
                 Ok(Some(SlotAnswer::Queued)) => {
-                    patience = millis(ask.patience_ms) + QUEUE_MARGIN;
+                    wait_limit = millis(ask.patience_ms) + QUEUE_MARGIN;
                 }
-                Ok(None) | Err(_) if patience == ANSWER_PATIENCE => {
-                    self.silent.borrow_mut().insert(node, Instant::now());
-                    return SlotTaken::NoAnswer;
+                Ok(None) | Err(_) if wait_limit == ANSWER_TIMEOUT => {
+                    self.unresponsive.borrow_mut().insert(node, Instant::now());
+                    return SlotOutcome::NoAnswer;
                 }
-                Ok(None) | Err(_) => return SlotTaken::Refused(ANSWER_PATIENCE),
+                Ok(None) | Err(_) => return SlotOutcome::Refused(ANSWER_TIMEOUT),
             }
         }
     }
 
-    fn is_silent(&self, node: SocketAddr) -> bool {
-        let mut silent = self.silent.borrow_mut();
-        silent.retain(|_, at| at.elapsed() < SILENT_FOR);
-        silent.contains_key(&node)
+    fn is_unresponsive(&self, node: SocketAddr) -> bool {
+        let mut unresponsive = self.unresponsive.borrow_mut();
+        unresponsive.retain(|_, at| at.elapsed() < UNRESPONSIVE_TIME);
+        unresponsive.contains_key(&node)
     }
 
     fn ask(
@@ -139,10 +139,10 @@
         ask: SlotAsk,
         limit: Option<LimitTold>,
     ) -> (SlotPermit, Answers) {
-        let id = self.asks.get().wrapping_add(1);
-        self.asks.set(id);
+        let id = self.last_id.get().wrapping_add(1);
+        self.last_id.set(id);
         let (answer, answers) = mpsc::unbounded_channel();
-        self.waiting.borrow_mut().insert(id, answer);
+        self.pending.borrow_mut().insert(id, answer);
         let upstream = upstream.clone();
         let message = SlotMessage::Ask {
             id,
@@ -150,7 +150,7 @@
             ask,
             limit,
         };
-        self.link.send(TrafficMessage::Slots(message), node);
+        self.peer_socket.send(TrafficMessage::Slots(message), node);
         let permit = SlotPermit {
             client: Rc::clone(self),
             id,
@@ -163,15 +163,15 @@
     }
 
     /// Processes an answer. A slot whose request is gone is returned.
-    pub(super) fn take_answer(
+    pub(super) fn receive_answer(
         &self,
         id: SlotAskId,
         upstream: &UpstreamId,
         answer: SlotAnswer,
         sender: SocketAddr,
     ) {
-        let is_taken = match self.waiting.borrow().get(&id) {
-            Some(waiting) => waiting.send(answer).is_ok(),
+        let is_taken = match self.pending.borrow().get(&id) {
+            Some(pending) => pending.send(answer).is_ok(),
             None => false,
         };
         if !is_taken && answer == SlotAnswer::Granted {
@@ -192,7 +192,7 @@
             upstream,
             took_ms,
         };
-        self.link.send(TrafficMessage::Slots(message), node);
+        self.peer_socket.send(TrafficMessage::Slots(message), node);
     }
 }
 
--- a/crates/relay-node/src/traffic/own_words.rs
+++ b/crates/relay-node/src/traffic/upstream_notices.rs
@@ -1,4 +1,4 @@
-//! What upstreams state about themselves in their answers: leaving, back-off and rate limits.
+//! What upstreams state about themselves in their answers: leaving, backoff and rate limits.
 
 use std::time::{Duration, Instant};
 
@@ -14,18 +14,23 @@
     ///
     /// This holds even if the answer belongs to another request, as it came over the upstream's
     /// connection, or if its body is corrupt, as the notice is in the head.
-    pub(super) fn note_own_word(&self, call: &Call, upstream: &Upstream, answer: &AnswerMeta) {
-        if !is_own(upstream, answer) {
+    pub(super) fn record_upstream_notice(
+        &self,
+        call: &Call,
+        upstream: &Upstream,
+        answer: &AnswerMeta,
+    ) {
+        if !is_from_intended(upstream, answer) {
             return;
         }
         if answer.own.is_leaving {
-            self.note_leaving(call, upstream);
+            self.record_leaving(call, upstream);
         }
-        self.note_rest(call, upstream, answer.own.rest);
-        self.note_limit(call, upstream, answer.own.limit);
+        self.record_backoff(call, upstream, answer.own.rest);
+        self.record_limit(call, upstream, answer.own.limit);
     }
 
-    fn note_leaving(&self, call: &Call, upstream: &Upstream) {
+    fn record_leaving(&self, call: &Call, upstream: &Upstream) {
         let now = Instant::now();
         self.dispatcher.borrow_mut().note_leaving(&upstream.id, now);
         if self.shared.notices().note_leaving(&upstream.id, now) {
@@ -37,8 +42,8 @@
         }
     }
 
-    fn note_rest(&self, call: &Call, upstream: &Upstream, said: RestSaid) {
-        match said {
+    fn record_backoff(&self, call: &Call, upstream: &Upstream, stated: RestSaid) {
+        match stated {
             RestSaid::None | RestSaid::For(Duration::ZERO) => {}
             RestSaid::For(rest) => {
                 let (mut notices, now) = (self.shared.notices(), Instant::now());
@@ -63,7 +68,8 @@
 
 /// Whether the intended process answered. Another process that now has its address refuses the
 /// request as misdirected, under a name of its own.
-fn is_own(upstream: &Upstream, answer: &AnswerMeta) -> bool {
-    let named = answer.upstream.as_ref();
-    answer.verdict != Verdict::Misdirected || named.is_some_and(|named| *named == *upstream.name)
+fn is_from_intended(upstream: &Upstream, answer: &AnswerMeta) -> bool {
+    let answered_as = answer.upstream.as_ref();
+    answer.verdict != Verdict::Misdirected
+        || answered_as.is_some_and(|answered_as| *answered_as == *upstream.name)
 }
--- a/crates/relay-node/tests/settings.rs
+++ b/crates/relay-node/tests/settings.rs
@@ -6,7 +6,7 @@
 const EXAMPLE: &str = include_str!("../../../examples/relay.toml");
 
 #[test]
-fn the_example_has_every_key_at_its_default() {
+fn the_example_file_equals_the_defaults() {
     let settings = RelaySettings::parse(EXAMPLE).unwrap();
     assert_eq!(
         settings.bounds,
@@ -34,7 +34,7 @@
     "quota_slack_tokens"
 )]
 #[case::odd_ratio("retry_ratio = 0.2", "retry_ratio = -1", "bounds.retry_ratio")]
-fn a_fault_names_its_key(#[case] from: &str, #[case] to: &str, #[case] named: &str) {
+fn an_error_names_the_faulty_key(#[case] from: &str, #[case] to: &str, #[case] named: &str) {
     let text = EXAMPLE.replacen(from, to, 1);
     assert_ne!(text, EXAMPLE);
     let error = RelaySettings::parse(&text).unwrap_err().to_string();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn all_faults_are_told_at_once() {
+fn all_faults_are_reported_together() {
     let text = EXAMPLE
         .replace("grace_s = 8.0", "grace_s = 0.1")
         .replace("hand_over_ms = 3000", "hand_over_ms = 5");
