--- a/crates/relay-node/src/nodes_sockets.rs
+++ b/crates/relay-node/src/nodes_sockets.rs
@@ -5,17 +5,17 @@
 
 use tokio::net::{TcpListener, UdpSocket};
 
-/// How many free ports are tried, if any will do.
-const PORTS_TRIED: usize = 16;
+/// How many free ports are tried if any port may be used.
+const MAX_PORT_TRIES: usize = 16;
 
-/// A listener and a socket for datagrams at one address.
+/// A TCP listener and a UDP socket on the same address and port.
 pub(crate) struct NodesSockets {
     pub(crate) listener: TcpListener,
     pub(crate) datagrams: UdpSocket,
 }
 
 impl NodesSockets {
-    /// Opens both at `address`; with port 0 at a port that is free for both.
+    /// Opens both at `address`; port 0 selects a port that is free for both.
     pub(crate) async fn open(address: SocketAddr) -> io::Result<Self> {
         Self::open_with(address, UdpSocket::bind).await
     }
@@ -24,7 +24,11 @@
         address: SocketAddr,
         bind: impl AsyncFn(SocketAddr) -> io::Result<UdpSocket>,
     ) -> io::Result<Self> {
-        let tries = if address.port() == 0 { PORTS_TRIED } else { 1 };
+        let tries = if address.port() == 0 {
+            MAX_PORT_TRIES
+        } else {
+            1
+        };
         let mut last_problem = io::Error::from(io::ErrorKind::AddrInUse);
         for _ in 0..tries {
             let listener = TcpListener::bind(address).await?;
--- a/crates/relay-node/src/traffic/admission.rs
+++ b/crates/relay-node/src/traffic/admission.rs
@@ -1,4 +1,4 @@
-//! Who calls, and whether their team may ask for more.
+//! Checks API keys and teams' quotas.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
@@ -12,22 +12,23 @@
 use super::call::Call;
 use super::gateway::Gateway;
 use super::quota_client::{NoTokens, TokenLease};
-use super::refuse::GivenUp;
+use super::refuse::RefusalReason;
 use crate::clock::boot_time;
 
-/// How long a request with an unknown key waits for news that may bring it.
-const NEW_KEY_PATIENCE: Duration = Duration::from_millis(400);
+/// How long a request with an unknown key waits for an update that may contain the key.
+const NEW_KEY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How often it looks for them.
-const NEW_KEY_LOOK: Duration = Duration::from_millis(50);
+/// How often a waiting request checks for updates.
+const NEW_KEY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Requests of one node that wait so. Whoever guesses keys is turned away at once beyond them.
-const NEW_KEY_WAITS: usize = 32;
+/// At most this many requests per node wait for their keys; others are refused at once, so that
+/// callers who guess keys cannot fill the node.
+const MAX_NEW_KEY_WAITERS: usize = 32;
 
-/// When a caller is asked to return whose request another node can serve.
-const ELSEWHERE_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Retry-After when another node may be able to serve the request.
+const OTHER_NODE_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-impl From<Denied> for GivenUp {
+impl From<Denied> for RefusalReason {
     fn from(denied: Denied) -> Self {
         match denied {
             Denied::NoKey { .. } => Self {
@@ -36,65 +37,71 @@
             },
             Denied::Stale => Self {
                 code: ResultCode::KeysStale,
-                retry_after: Some(ELSEWHERE_RETRY_AFTER),
+                retry_after: Some(OTHER_NODE_RETRY_AFTER),
             },
         }
     }
 }
 
-impl From<NoTokens> for GivenUp {
+impl From<NoTokens> for RefusalReason {
     fn from(why: NoTokens) -> Self {
         match why {
             NoTokens::Spent(wait) => Self {
                 code: ResultCode::QuotaSpent,
-                retry_after: Some(wait.max(ELSEWHERE_RETRY_AFTER)),
+                retry_after: Some(wait.max(OTHER_NODE_RETRY_AFTER)),
             },
             NoTokens::Unknown => Self {
                 code: ResultCode::QuotaUnknown,
-                retry_after: Some(ELSEWHERE_RETRY_AFTER),
+                retry_after: Some(OTHER_NODE_RETRY_AFTER),
             },
         }
     }
 }
 
-/// What a request has of its team's quota.
+/// The state of a request's quota tokens.
 #[derive(Default)]
-pub(crate) struct Tokens(RefCell<Held>);
+pub(crate) struct QuotaTokens(RefCell<TokenState>);
 
 #[derive(Default)]
-enum Held {
-    /// None are needed, or none were taken yet.
+enum TokenState {
+    /// No tokens are needed, or none have been reserved yet.
     #[default]
     None,
-    /// Given back if the request is dropped before it is sent.
+    /// Reserved; returned if the request is dropped before it is sent.
     Reserved(TokenLease),
-    /// The request was sent and may have run.
+    /// Spent: the request was sent and may have run.
     Sent(Reservation),
 }
 
 impl Gateway {
-    /// Who sends a request with `key` on `route`.
+    /// Finds the caller that `key` belongs to on `route`.
     ///
-    /// An unknown key may be one that was just added. It is turned away once the news are from after the
-    /// request came; if they don't come, another node may know it.
-    pub(super) async fn identify(&self, route: &Route, key: &CallerKey) -> Result<Caller, Denied> {
+    /// An unknown key may have been added just now. It is rejected only once this node's data is
+    /// newer than the request. If no update arrives in time, the caller is sent to another node,
+    /// which may know the key.
+    pub(super) async fn identify_caller(
+        &self,
+        route: &Route,
+        key: &CallerKey,
+    ) -> Result<Caller, Denied> {
         let began = Instant::now();
         loop {
-            let judged = self.judge(route, key);
-            let may_be_new = matches!(judged, Err(Denied::NoKey { may_be_new: true }));
+            let authenticated = self.authenticate(route, key);
+            let may_be_new = matches!(authenticated, Err(Denied::NoKey { may_be_new: true }));
             if !may_be_new || self.shared.news_age() < began.elapsed() {
-                return judged;
+                return authenticated;
             }
-            if began.elapsed() >= NEW_KEY_PATIENCE || self.key_waits.get() >= NEW_KEY_WAITS {
+            if began.elapsed() >= NEW_KEY_TIMEOUT || self.key_waiters.get() >= MAX_NEW_KEY_WAITERS {
                 return Err(Denied::Stale);
             }
-            let _wait = super::model_wait::Wait::begin(&self.key_waits);
-            sleep(NEW_KEY_LOOK).await;
+            let _wait = super::model_wait::WaiterCount::begin(&self.key_waiters);
+            sleep(NEW_KEY_POLL_INTERVAL).await;
         }
     }
 
-    fn judge(&self, route: &Route, key: &CallerKey) -> Result<Caller, Denied> {
-        // The age first: a view that is published between the two is newer than it says.
+    fn authenticate(&self, route: &Route, key: &CallerKey) -> Result<Caller, Denied> {
+        // Read the age before the view: a view published between the two reads is then newer than
+        // `age` says, never older.
         let age = self.shared.news_age();
         let view = self.shared.view.load();
         let Some(table) = &view.table else {
@@ -119,44 +126,47 @@
         );
     }
 
-    /// Whether `call` may be sent now: its key is in force still, and its team's quota has room.
-    pub(super) async fn admit(&self, call: &Call) -> Result<(), GivenUp> {
+    /// Checks whether `call` may be sent now: its key is still valid and its team's quota has
+    /// tokens left.
+    pub(super) async fn admit(&self, call: &Call) -> Result<(), RefusalReason> {
         let Some(team) = call.caller.team() else {
             return Ok(());
         };
-        let caller = self.judge(&call.route, &call.meta.key);
+        let caller = self.authenticate(&call.route, &call.meta.key);
         let is_same = |caller: &Caller| caller.team().is_some_and(|now| now.name == team.name);
         match caller {
             Ok(caller) if is_same(&caller) => {}
-            Ok(_) => return Err(self.reject(call, Denied::NoKey { may_be_new: false })),
-            Err(denied) => return Err(self.reject(call, denied)),
+            Ok(_) => return Err(self.deny(call, Denied::NoKey { may_be_new: false })),
+            Err(denied) => return Err(self.deny(call, denied)),
         }
         self.reserve_tokens(call, team).await
     }
 
-    fn reject(&self, call: &Call, denied: Denied) -> GivenUp {
+    fn deny(&self, call: &Call, denied: Denied) -> RefusalReason {
         self.log_denied(&call.id, &call.route, &call.meta.key, denied);
         denied.into()
     }
 
-    async fn reserve_tokens(&self, call: &Call, team: &Team) -> Result<(), GivenUp> {
+    async fn reserve_tokens(&self, call: &Call, team: &Team) -> Result<(), RefusalReason> {
         let Some(quota) = &team.quota else {
             return Ok(());
         };
         match &*call.tokens.0.borrow() {
-            // A repeat is the same request; it is charged once.
-            Held::Sent(_) => return Ok(()),
-            Held::Reserved(lease) if lease.is_valid(boot_time()) => return Ok(()),
-            Held::Reserved(_) | Held::None => {}
+            // A retry of the same request is charged only once.
+            TokenState::Sent(_) => return Ok(()),
+            TokenState::Reserved(lease) if lease.is_valid(boot_time()) => return Ok(()),
+            TokenState::Reserved(_) | TokenState::None => {}
         }
         let tokens = quota.cost_tokens(call.meta.all_tokens);
         let lenders = self.shared.view.load().lenders.clone();
-        // A request that waits longer than that is late before it is sent.
-        let patience = call.route.objective / 2;
-        let reserved = self.quotas.reserve(&team.name, tokens, &lenders, patience);
+        // A longer wait would use up the request's latency objective before it is sent.
+        let wait_limit = call.route.objective / 2;
+        let reserved = self
+            .quotas
+            .reserve(&team.name, tokens, &lenders, wait_limit);
         match reserved.await {
             Ok(lease) => {
-                call.tokens.0.replace(Held::Reserved(lease));
+                call.tokens.0.replace(TokenState::Reserved(lease));
                 Ok(())
             }
             Err(why) => {
@@ -172,12 +182,12 @@
         }
     }
 
-    /// Takes in that `call` is sent.
+    /// Marks the tokens of `call` as spent, because it is being sent.
     pub(super) fn spend_tokens(&self, call: &Call) {
         let held = match call.tokens.0.take() {
-            Held::Reserved(lease) => {
+            TokenState::Reserved(lease) => {
                 self.count_tokens(call);
-                lease.spend().map_or(Held::None, Held::Sent)
+                lease.spend().map_or(TokenState::None, TokenState::Sent)
             }
             held => held,
         };
@@ -192,9 +202,9 @@
         }
     }
 
-    /// Puts back the tokens of a request that has not run.
+    /// Returns the tokens of a request that has not run.
     pub(super) fn return_tokens(&self, call: &Call) {
-        if let Held::Sent(reservation) = call.tokens.0.take() {
+        if let TokenState::Sent(reservation) = call.tokens.0.take() {
             self.quotas.give_back(reservation);
         }
     }
--- a/crates/relay-node/src/traffic/answer_body.rs
+++ b/crates/relay-node/src/traffic/answer_body.rs
@@ -10,22 +10,23 @@
 use thiserror::Error;
 use tokio::time::Sleep;
 
-use super::flight::Flight;
+use super::in_flight::InFlight;
 use super::resumable_body::ResumableBody;
 
-/// Why an answer ends early. The caller's connection is closed, so that it does not look whole.
+/// Why an answer ends early. The caller's connection is then closed, so that the answer does not
+/// look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum AnswerCut {
-    /// The upstream broke off.
+    /// The upstream broke off its answer.
     #[error("the upstream broke off its answer")]
     Upstream,
-    /// The time of the request is over.
-    #[error("the time of the request is over")]
+    /// The request's deadline passed.
+    #[error("the request's deadline passed")]
     TimedOut,
 }
 
 impl AnswerCut {
-    /// The numbered result.
+    /// The numbered result code.
     pub(crate) fn code(self) -> ResultCode {
         match self {
             Self::Upstream => ResultCode::UpstreamFailed,
@@ -34,63 +35,67 @@
     }
 }
 
-/// A body of our own, or an upstream's as it arrives.
+/// A body produced by this node, or an upstream's body as it arrives.
 pub(crate) enum AnswerBody {
-    /// Words of our own; taken when they were sent.
+    /// Produced by this node; `None` once it was sent.
     Own(Option<Bytes>),
-    /// The bytes of an upstream.
-    Passed(Box<PassedBody>),
-    /// A stream that another upstream may go on with.
+    /// Forwarded from an upstream.
+    Forwarded(Box<ForwardedBody>),
+    /// A stream that another upstream may resume.
     Resumable(Box<ResumableBody>),
 }
 
-/// An upstream's body with the request's place in the books.
-pub(crate) struct PassedBody {
+/// An upstream's body and the accounting of its send.
+pub(crate) struct ForwardedBody {
     body: PooledBody,
-    flight: Flight,
-    /// Ends when the request's time is over.
-    cutoff: Pin<Box<Sleep>>,
+    in_flight: InFlight,
+    /// Fires at the request's deadline.
+    deadline_timer: Pin<Box<Sleep>>,
 }
 
-impl PassedBody {
-    pub(crate) fn new(body: PooledBody, flight: Flight, cutoff: Pin<Box<Sleep>>) -> Self {
-        let mut passed = Self {
+impl ForwardedBody {
+    pub(crate) fn new(
+        body: PooledBody,
+        in_flight: InFlight,
+        deadline_timer: Pin<Box<Sleep>>,
+    ) -> Self {
+        let mut forwarded = Self {
             body,
-            flight,
-            cutoff,
+            in_flight,
+            deadline_timer,
         };
-        passed.note_end();
-        passed
+        forwarded.record_end();
+        forwarded
     }
 
-    /// Settles the books with the last byte of a body whose length was told: nobody asks for more of it.
-    /// Left to the end that a poll finds, answers of plain services never counted, and an upstream was
-    /// paused at its third failure however many answers lay between.
-    fn note_end(&mut self) {
+    /// Ends the accounting with the last byte of a body of known length, which is not polled again.
+    /// Otherwise the answers of plain services would never count, and an upstream would be paused
+    /// at its third failure, however many answers came in between.
+    fn record_end(&mut self) {
         if self.body.is_end_stream() {
-            self.flight.note_whole();
+            self.in_flight.record_complete();
         }
     }
 
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
         match Pin::new(&mut self.body).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
-                self.flight.note_progress();
-                self.note_end();
+                self.in_flight.record_progress();
+                self.record_end();
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(SendError::Broken | SendError::NotSent | SendError::AtLimit))) => {
-                self.flight.note_disconnected();
-                self.flight.note_cut(AnswerCut::Upstream);
+                self.in_flight.record_disconnected();
+                self.in_flight.record_cut(AnswerCut::Upstream);
                 Poll::Ready(Some(Err(AnswerCut::Upstream)))
             }
             Poll::Ready(None) => {
-                self.flight.note_whole();
+                self.in_flight.record_complete();
                 Poll::Ready(None)
             }
-            Poll::Pending => match self.cutoff.as_mut().poll(cx) {
+            Poll::Pending => match self.deadline_timer.as_mut().poll(cx) {
                 Poll::Ready(()) => {
-                    self.flight.note_cut(AnswerCut::TimedOut);
+                    self.in_flight.record_cut(AnswerCut::TimedOut);
                     Poll::Ready(Some(Err(AnswerCut::TimedOut)))
                 }
                 Poll::Pending => Poll::Pending,
@@ -109,7 +114,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
         match &mut *self {
             Self::Own(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Passed(passed) => passed.poll(cx),
+            Self::Forwarded(forwarded) => forwarded.poll(cx),
             Self::Resumable(resumable) => resumable.poll(cx),
         }
     }
@@ -117,7 +122,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Own(bytes) => bytes.is_none(),
-            Self::Passed(passed) => passed.body.is_end_stream(),
+            Self::Forwarded(forwarded) => forwarded.body.is_end_stream(),
             Self::Resumable(resumable) => resumable.is_ended(),
         }
     }
@@ -125,7 +130,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Own(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
-            Self::Passed(passed) => passed.body.size_hint(),
+            Self::Forwarded(forwarded) => forwarded.body.size_hint(),
             Self::Resumable(_) => SizeHint::default(),
         }
     }
--- a/crates/relay-node/src/traffic/crash_check.rs
+++ b/crates/relay-node/src/traffic/crash_check.rs
@@ -1,4 +1,5 @@
-//! Looks for upstreams whose connections break, and keeps requests that upstreams end under from others.
+//! Detects upstreams that crash while they handle a request, and refuses requests that have crashed
+//! several.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,26 +14,26 @@
 
 use super::call::Call;
 use super::gateway::Gateway;
-use super::refuse::GivenUp;
+use super::refuse::RefusalReason;
 
-/// How long a request waits while others like it show whether they crash their upstreams. They begin to run, or
-/// end with their upstream, within some hundred milliseconds.
-const TRIAL_PATIENCE: Duration = Duration::from_millis(1_000);
+/// How long a request waits while identical requests show whether they crash their upstreams. They
+/// start to run, or crash the upstream, within a few hundred milliseconds.
+const TRIAL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long the sockets of a process that ends may take to close.
-const CLOSING_TIME: Duration = Duration::from_millis(30);
+/// How long the kernel may take to close the sockets of a process that ends.
+const SOCKET_CLOSE_TIME: Duration = Duration::from_millis(30);
 
-/// How often it looks.
-const TRIAL_LOOK: Duration = Duration::from_millis(10);
+/// How often a waiting request checks again.
+const TRIAL_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A request at an upstream, after others ended under it.
+/// Counts a send of a request that is suspected of crashing upstreams.
 pub(super) struct Trial {
     gateway: Rc<Gateway>,
     digest: RequestDigest,
 }
 
 impl Trial {
-    /// Counts a request that is sent, if upstreams ended under it before.
+    /// Counts a send if upstreams crashed under earlier sends of the same request.
     pub(super) fn begin(gateway: &Rc<Gateway>, digest: RequestDigest) -> Option<Self> {
         let mut suspects = gateway.shared.suspects();
         let is_trial = suspects.begin_trial(&digest, Instant::now());
@@ -50,24 +51,24 @@
 }
 
 impl Gateway {
-    /// Lets a request go on unless upstreams end under it. One whose upstream may just have ended, or of which others are
-    /// on trial, waits for what comes of that.
-    pub(super) async fn await_trials(&self, call: &Call) -> Result<(), GivenUp> {
-        let until = call.due.min(Instant::now() + TRIAL_PATIENCE);
+    /// Refuses a request that crashes upstreams. A request waits while its upstream is checked for
+    /// a crash, or while identical requests are on trial.
+    pub(super) async fn wait_for_trials(&self, call: &Call) -> Result<(), RefusalReason> {
+        let until = call.deadline_at.min(Instant::now() + TRIAL_TIMEOUT);
         loop {
             match self.suspicion(&call.digest) {
                 Suspicion::None => return Ok(()),
                 Suspicion::Crashes => {
                     self.log_crashing(call);
-                    return Err(GivenUp {
+                    return Err(RefusalReason {
                         code: ResultCode::CrashesUpstreams,
                         retry_after: None,
                     });
                 }
                 Suspicion::OnTrial if Instant::now() >= until => {
-                    return Err(GivenUp::until(ResultCode::OnTrial, TRIAL_PATIENCE));
+                    return Err(RefusalReason::retry_in(ResultCode::OnTrial, TRIAL_TIMEOUT));
                 }
-                Suspicion::OnTrial => sleep(TRIAL_LOOK).await,
+                Suspicion::OnTrial => sleep(TRIAL_POLL_INTERVAL).await,
             }
         }
     }
@@ -89,8 +90,13 @@
         );
     }
 
-    /// Takes in that the connection of a request to `upstream` broke before its answer was whole.
-    pub(super) fn note_broken(self: &Rc<Self>, upstream: &Arc<Upstream>, broken: BrokenRequest) {
+    /// Called when the connection of a request to `upstream` broke before its answer was complete.
+    /// Checks whether the upstream crashed.
+    pub(super) fn check_for_crash(
+        self: &Rc<Self>,
+        upstream: &Arc<Upstream>,
+        broken: BrokenRequest,
+    ) {
         if !self.is_to_stay(upstream) {
             return;
         }
@@ -99,35 +105,35 @@
         drop(watch);
         match step {
             CrashStep::Check => {
-                spawn_local(Rc::clone(self).check(Arc::clone(upstream)));
+                spawn_local(Rc::clone(self).check_upstream(Arc::clone(upstream)));
             }
-            CrashStep::Strike => self.note_ended(upstream, &[broken.digest]),
+            CrashStep::Strike => self.record_crash(upstream, &[broken.digest]),
             CrashStep::Wait | CrashStep::Ignore => {}
         }
     }
 
-    /// Whether `upstream` was not about to end anyway.
+    /// Whether `upstream` was expected to keep running. One that is leaving ends without a crash.
     fn is_to_stay(&self, upstream: &Upstream) -> bool {
         let dispatcher = self.dispatcher.borrow();
         let tracked = dispatcher.tracked(&upstream.id);
         tracked.is_some_and(|tracked| tracked.is_to_stay())
     }
 
-    async fn check(self: Rc<Self>, upstream: Arc<Upstream>) {
-        let mut reach = self.reach(&upstream).await;
+    async fn check_upstream(self: Rc<Self>, upstream: Arc<Upstream>) {
+        let mut reach = self.probe(&upstream).await;
         if reach == Reach::Connected {
-            sleep(CLOSING_TIME).await;
-            reach = self.reach(&upstream).await;
+            sleep(SOCKET_CLOSE_TIME).await;
+            reach = self.probe(&upstream).await;
         }
         let mut watch = self.crash_watch.borrow_mut();
         let struck = watch.note_reach(&upstream.id, reach, Instant::now());
         drop(watch);
         if !struck.is_empty() {
-            self.note_ended(&upstream, &struck);
+            self.record_crash(&upstream, &struck);
         }
     }
 
-    async fn reach(&self, upstream: &Upstream) -> Reach {
+    async fn probe(&self, upstream: &Upstream) -> Reach {
         match self.pool.open(&upstream.address.to_string()).await {
             Ok(()) | Err(OpenError::AtLimit) => Reach::Connected,
             Err(OpenError::Refused) => Reach::Refused,
@@ -135,7 +141,7 @@
         }
     }
 
-    fn note_ended(&self, upstream: &Upstream, struck: &[RequestDigest]) {
+    fn record_crash(&self, upstream: &Upstream, struck: &[RequestDigest]) {
         let (mut suspects, now) = (self.shared.suspects(), Instant::now());
         for digest in struck {
             suspects.strike(*digest, &upstream.id, now);
--- a/crates/relay-node/src/traffic/flight.rs
+++ b/crates/relay-node/src/traffic/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request's place in the books while it is at an upstream.
+//! Accounting of a request while it is at an upstream.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,34 +16,35 @@
 use super::gateway::Gateway;
 use super::slot_client::SlotPermit;
 
-/// One send. Dropping it at any point, also because the caller went away, settles the books.
-pub(crate) struct Flight {
+/// One send in progress. Dropping it, also when the caller disconnects, ends its accounting.
+pub(crate) struct InFlight {
     gateway: Rc<Gateway>,
     upstream: Arc<Upstream>,
     model: Option<ModelRef>,
     unread_tokens: u64,
     expected_ms: f64,
     sent: Instant,
-    /// When the answer's body began.
+    /// When the first part of the answer's body arrived.
     first: Option<Instant>,
-    /// Whether the upstream's books know what became of it. A failure settles them with the answer's head.
-    is_settled: bool,
-    /// Whether the end of the answer was counted.
+    /// Whether the outcome was recorded for the upstream. A failure is recorded with the answer's
+    /// head.
+    has_outcome: bool,
+    /// Whether the request was counted as ended.
     is_ended: bool,
-    /// The slot that it takes at a plain upstream.
+    /// The concurrency slot it holds at a plain upstream.
     slot: Option<SlotPermit>,
-    /// The team of its caller.
+    /// The team of the caller.
     team: Option<TeamName>,
     request: RequestId,
     digest: RequestDigest,
-    /// Present while its upstream may end under it, if others did.
+    /// Set while this send may show whether the request crashes upstreams, as others like it did.
     trial: Option<Trial>,
-    /// How long the request had waited here before it was sent.
+    /// How long the request waited at this node before this send.
     waited: Duration,
 }
 
-impl Flight {
-    /// Counts `call` as sent to the upstream of `choice`, and takes over the slot that it has there.
+impl InFlight {
+    /// Counts `call` as sent to the upstream of `choice`, and takes over its slot there.
     pub(crate) fn begin(gateway: &Rc<Gateway>, call: &Call, choice: &Choice) -> Self {
         let now = Instant::now();
         let upstream = &choice.upstream.id;
@@ -63,7 +64,7 @@
             expected_ms: choice.expected_ms,
             sent: now,
             first: None,
-            is_settled: false,
+            has_outcome: false,
             is_ended: false,
             slot: call.slot.take(),
             team: call.caller.team().map(|team| team.name.clone()),
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Counts the request as ended.
+    /// Counts the request as ended in the metrics.
     fn count_end(&self, code: Option<ResultCode>) {
         let metrics = &self.gateway.shared.metrics;
         metrics.request_ended(code, self.model.as_ref());
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Part of the answer's body came.
-    pub(crate) fn note_progress(&mut self) {
+    /// Called when a part of the answer's body arrives.
+    pub(crate) fn record_progress(&mut self) {
         if let Some(first) = self.first {
             self.trial.take_if(|_| first.elapsed() > BEGINNING);
             return;
@@ -101,8 +102,9 @@
         dispatcher.answer_began(&self.upstream.id, self.expected_ms, took, now);
     }
 
-    /// The answer ended whole. Told with its last byte and again by whoever polls past that.
-    pub(crate) fn note_whole(&mut self) {
+    /// Called when the answer is complete: with its last byte, and again if the body is polled
+    /// after that.
+    pub(crate) fn record_complete(&mut self) {
         if std::mem::replace(&mut self.is_ended, true) {
             return;
         }
@@ -110,23 +112,24 @@
             let mut dispatcher = self.gateway.dispatcher.borrow_mut();
             dispatcher.note_run(first.elapsed());
         }
-        // How long an engine takes for its answer says nothing of when its limit has room.
+        // Only plain requests report their duration: that of an engine's answer does not tell when
+        // a rate limit has room again.
         if let Some(mut slot) = self.slot.take().filter(|_| self.model.is_none()) {
-            slot.note_answered(self.sent.elapsed());
+            slot.record_answered(self.sent.elapsed());
         }
         self.gateway
             .shared
             .suspects()
             .clear(&self.digest, Instant::now());
         self.count_end(None);
-        self.settle(Outcome::Answered);
+        self.record_outcome(Outcome::Answered);
     }
 
-    /// The answer's body ended early.
-    pub(crate) fn note_cut(&mut self, cut: AnswerCut) {
+    /// Called when the answer's body ends early.
+    pub(crate) fn record_cut(&mut self, cut: AnswerCut) {
         self.count_end(Some(cut.code()));
         if cut == AnswerCut::Upstream {
-            self.note_broken();
+            self.record_broken();
         }
         log_event!(
             self.gateway.log, Event::AnswerCut,
@@ -137,29 +140,29 @@
         );
     }
 
-    /// The answer broke off, or was none.
-    pub(crate) fn note_broken(&mut self) {
-        self.settle(Outcome::Failed);
+    /// Records that the answer broke off, or that none came.
+    pub(crate) fn record_broken(&mut self) {
+        self.record_outcome(Outcome::Failed);
     }
 
-    /// The connection to the upstream broke: it may have ended.
-    pub(crate) fn note_disconnected(&mut self) {
-        self.note_broken();
+    /// Records that the connection to the upstream broke; the upstream may have crashed.
+    pub(crate) fn record_disconnected(&mut self) {
+        self.record_broken();
         let broken = BrokenRequest {
             digest: self.digest,
             began_ago: self.first.map(|first| first.elapsed()),
         };
-        self.gateway.note_broken(&self.upstream, broken);
+        self.gateway.check_for_crash(&self.upstream, broken);
     }
 
-    /// The upstream had no room.
-    pub(crate) fn note_full(&mut self) {
-        self.settle(Outcome::Full);
+    /// Records that the upstream refused the request because it is full.
+    pub(crate) fn record_full(&mut self) {
+        self.record_outcome(Outcome::Full);
     }
 
-    fn settle(&mut self, outcome: Outcome) {
-        if !self.is_settled {
-            self.is_settled = true;
+    fn record_outcome(&mut self, outcome: Outcome) {
+        if !self.has_outcome {
+            self.has_outcome = true;
             self.gateway.shared.metrics.sent(outcome.name());
             let mut dispatcher = self.gateway.dispatcher.borrow_mut();
             dispatcher.note_outcome(&self.upstream.id, outcome, Instant::now());
@@ -167,7 +170,7 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         let uses = &self.gateway.shared.uses;
@@ -190,7 +193,7 @@
             "digest" => self.digest.to_string(),
             "waited_ms" => self.waited.as_millis(), "expected_ms" => self.expected_ms,
             "first_ms" => first.map(|first| first.as_millis()),
-            "took_ms" => self.sent.elapsed().as_millis(), "is_settled" => self.is_settled,
+            "took_ms" => self.sent.elapsed().as_millis(), "is_settled" => self.has_outcome,
             "tokens" => self.unread_tokens,
             "model" => self.model.as_ref().map(ToString::to_string)
         );
--- a/crates/relay-node/src/traffic/listener.rs
+++ b/crates/relay-node/src/traffic/listener.rs
@@ -1,4 +1,4 @@
-//! Callers' connections.
+//! Callers' connections, and reading their requests.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -17,36 +17,37 @@
 use nutmegsail_base::{RequestId, ResultCode};
 use nutmegsail_http_pool::prepare_socket;
 use nutmegsail_relay::{PromptChain, RequestContent, RequestDigest, RouteTable};
-use nutmegsail_request::{Refusal, Request as Life};
+use nutmegsail_request::{Refusal, Request as RequestState};
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
 use super::ACCEPT_PAUSE;
-use super::admission::Tokens;
+use super::admission::QuotaTokens;
 use super::answer_body::AnswerBody;
 use super::call::Call;
 use super::gateway::Gateway;
-use super::refuse::{self, GivenUp};
+use super::refuse::{self, RefusalReason};
 use crate::CallMeta;
 
-/// The longest deadline that is used where a caller states none.
-const UNSTATED_DEADLINE: Duration = Duration::from_secs(60);
+/// The deadline of requests that state none, unless the route's timeout is shorter.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
-/// Limits of a connection while no configuration is known; those of the configuration are taken
-/// when a connection opens.
-const FIRST_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// The idle timeout while no configuration is known. The configured limits apply to connections
+/// that open later.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The buffer of a connection where the configuration allows less than hyper takes.
-const LEAST_BUFFER_BYTES: usize = 8 * 1024;
+/// The smallest read buffer that hyper accepts, for configurations that allow less.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// How long after a node began to leave it still passes new requests on. The platform notices
-/// after two questions, one a second; an answer that begins later may not end in time.
-const LAST_REQUESTS: Duration = Duration::from_millis(3_000);
+/// How long a node that shuts down still accepts new requests. The platform stops sending callers
+/// after two readiness checks, one a second. Answers to later requests might not end within the
+/// grace period.
+const LEAVING_ACCEPT_TIME: Duration = Duration::from_millis(3_000);
 
-/// When a caller of a leaving node is asked to return: at once, as another node takes it.
+/// Retry-After at a node that shuts down: almost at once, as another node takes the request.
 const LEAVING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// Accepts callers until the task is dropped; `close` closes connections without a request.
+/// Accepts callers until the task is dropped. `close` closes connections that have no request.
 pub(crate) async fn serve(listener: TcpListener, gateway: Rc<Gateway>, close: CancellationToken) {
     loop {
         match listener.accept().await {
@@ -55,7 +56,7 @@
                 let connection = serve_connection(stream, Rc::clone(&gateway), close.clone());
                 tokio::task::spawn_local(connection);
             }
-            // Out of descriptors for a moment; the connection waits in the kernel's queue.
+            // Out of file descriptors for a moment; the connection waits in the kernel's queue.
             Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
         }
     }
@@ -63,46 +64,50 @@
 
 async fn serve_connection(stream: TcpStream, gateway: Rc<Gateway>, close: CancellationToken) {
     let _open = OpenConnection::new(Rc::clone(&gateway));
-    let limits = gateway.view().table.as_ref().map(|table| table.limits);
-    let idle = limits.map_or(FIRST_IDLE_TIMEOUT, |limits| limits.idle_timeout);
-    let header_bytes = limits.map_or(LEAST_BUFFER_BYTES, |limits| limits.header_bytes);
+    let limits = gateway
+        .refresh_view()
+        .table
+        .as_ref()
+        .map(|table| table.limits);
+    let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout);
+    let header_bytes = limits.map_or(MIN_BUFFER_BYTES, |limits| limits.header_bytes);
     let service = service_fn(|request| {
         let gateway = Rc::clone(&gateway);
         async move { Ok::<_, Infallible>(gateway.answer(request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // This timer runs from the end of the answer before, so it bounds idle time as well.
+        // This timer starts when the answer before ends, so it also limits idle time.
         .header_read_timeout(idle)
-        .max_buf_size(header_bytes.max(LEAST_BUFFER_BYTES))
+        .max_buf_size(header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
-        // An error is a caller that went away or broke the protocol; nobody is left to tell.
+        // The caller disconnected or broke the protocol; nobody is left to receive an error.
         _ = connection.as_mut() => return,
         () = close.cancelled() => connection.as_mut().graceful_shutdown(),
     }
     let _ = connection.await;
 }
 
-/// Why a request goes no further than its connection.
-struct Turned {
+/// Why a request is refused before routing.
+struct EarlyRefusal {
     code: ResultCode,
     detail: String,
     retry_after: Option<Duration>,
 }
 
-impl From<GivenUp> for Turned {
-    fn from(given_up: GivenUp) -> Self {
+impl From<RefusalReason> for EarlyRefusal {
+    fn from(reason: RefusalReason) -> Self {
         Self {
-            code: given_up.code,
+            code: reason.code,
             detail: String::new(),
-            retry_after: given_up.retry_after,
+            retry_after: reason.retry_after,
         }
     }
 }
 
-impl Turned {
+impl EarlyRefusal {
     fn new(code: ResultCode, detail: impl Into<String>) -> Self {
         Self {
             code,
@@ -124,12 +129,14 @@
         let meta = self.dialect.read_call(&mut parts.headers);
         let id = request_id(meta.as_ref().ok());
         let mut answer = match self.read(parts, body, meta, began).await {
-            Ok(call) => self.carry(&Rc::new(call)).await,
-            Err(turned) => {
-                self.shared.metrics.request_ended(Some(turned.code), None);
-                let proof = Life::accept(id.clone()).not_run();
-                let refusal = Refusal::not_run(proof, turned.code, turned.detail);
-                let refusal = match turned.retry_after {
+            Ok(call) => self.handle(&Rc::new(call)).await,
+            Err(early_refusal) => {
+                self.shared
+                    .metrics
+                    .request_ended(Some(early_refusal.code), None);
+                let proof = RequestState::accept(id.clone()).not_run();
+                let refusal = Refusal::not_run(proof, early_refusal.code, early_refusal.detail);
+                let refusal = match early_refusal.retry_after {
                     Some(wait) => refusal.with_retry_after(wait),
                     None => refusal,
                 };
@@ -143,33 +150,38 @@
         answer
     }
 
-    /// Reads the request to its end and finds its route.
+    /// Reads the whole request and finds its route and caller.
     async fn read(
         &self,
         parts: Parts,
         body: Incoming,
         meta: Result<CallMeta, crate::BadHeader>,
         began: Instant,
-    ) -> Result<Call, Turned> {
-        let meta = meta.map_err(|bad| Turned::new(ResultCode::BadHeader, bad.to_string()))?;
-        if self.is_past_last_requests(began) {
-            return Err(Turned::new(ResultCode::NodeLeaving, "").retry_after(LEAVING_RETRY_AFTER));
+    ) -> Result<Call, EarlyRefusal> {
+        let meta = meta.map_err(|bad| EarlyRefusal::new(ResultCode::BadHeader, bad.to_string()))?;
+        if self.has_stopped_accepting(began) {
+            return Err(
+                EarlyRefusal::new(ResultCode::NodeLeaving, "").retry_after(LEAVING_RETRY_AFTER)
+            );
         }
-        let table = self.view().table.clone().ok_or_else(|| {
-            Turned::new(ResultCode::NoTextInForce, "").retry_after(Duration::from_millis(500))
+        let table = self.refresh_view().table.clone().ok_or_else(|| {
+            EarlyRefusal::new(ResultCode::NoTextInForce, "").retry_after(Duration::from_millis(500))
         })?;
         let body = read_body(body, &table).await?;
-        // The configuration may have changed while the body came in.
-        let view = self.view();
+        // The configuration may have changed while the body was received.
+        let view = self.refresh_view();
         let table = view.table.clone().unwrap_or(table);
         let host = host(&parts);
-        let route = table
-            .route(host, parts.uri.path())
-            .ok_or_else(|| Turned::new(ResultCode::UnknownPath, "no route leads from here"))?;
-        let caller = self.identify(route, &meta.key).await.map_err(|denied| {
-            self.log_denied(&request_id(Some(&meta)), route, &meta.key, denied);
-            Turned::from(GivenUp::from(denied))
+        let route = table.route(host, parts.uri.path()).ok_or_else(|| {
+            EarlyRefusal::new(ResultCode::UnknownPath, "no route leads from here")
         })?;
+        let caller = self
+            .identify_caller(route, &meta.key)
+            .await
+            .map_err(|denied| {
+                self.log_denied(&request_id(Some(&meta)), route, &meta.key, denied);
+                EarlyRefusal::from(RefusalReason::from(denied))
+            })?;
         let digest = RequestDigest::of(&RequestContent {
             method: parts.method.as_str(),
             host,
@@ -189,8 +201,8 @@
         let prompt = model.map(|model| PromptChain::new(model, &meta.prompt_parts));
         let id = request_id(Some(&meta));
         let waited_before = self.waited_before(&route.name, meta.deadline);
-        let waits = meta.deadline.unwrap_or(UNSTATED_DEADLINE);
-        let due = began + waits.min(route.timeout);
+        let wait_limit = meta.deadline.unwrap_or(DEFAULT_DEADLINE);
+        let deadline_at = began + wait_limit.min(route.timeout);
         Ok(Call {
             route: route.clone(),
             parts,
@@ -200,23 +212,23 @@
             digest,
             service,
             caller,
-            tokens: Tokens::default(),
+            tokens: QuotaTokens::default(),
             slot: RefCell::default(),
             waited_before,
             prompt: prompt.unwrap_or_default(),
             version,
             began,
-            due,
+            deadline_at,
         })
     }
 
-    fn is_past_last_requests(&self, now: Instant) -> bool {
+    fn has_stopped_accepting(&self, now: Instant) -> bool {
         let since = self.leaving_since.get();
-        since.is_some_and(|since| now.duration_since(since) > LAST_REQUESTS)
+        since.is_some_and(|since| now.duration_since(since) > LEAVING_ACCEPT_TIME)
     }
 }
 
-/// Counts a connection as open.
+/// Counts a connection as open until dropped.
 struct OpenConnection(Rc<Gateway>);
 
 impl OpenConnection {
@@ -232,21 +244,24 @@
     }
 }
 
-async fn read_body(body: Incoming, table: &RouteTable) -> Result<Bytes, Turned> {
+async fn read_body(body: Incoming, table: &RouteTable) -> Result<Bytes, EarlyRefusal> {
     let limit = table.limits.body_bytes;
     let collecting = Limited::new(body, limit).collect();
     match tokio::time::timeout(table.limits.read_timeout, collecting).await {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             let detail = format!("{limit} bytes are allowed");
-            Err(Turned::new(ResultCode::BodyTooLarge, detail))
+            Err(EarlyRefusal::new(ResultCode::BodyTooLarge, detail))
         }
-        Ok(Err(error)) => Err(Turned::new(ResultCode::MalformedBody, error.to_string())),
-        Err(_) => Err(Turned::new(ResultCode::SenderStalled, "")),
+        Ok(Err(error)) => Err(EarlyRefusal::new(
+            ResultCode::MalformedBody,
+            error.to_string(),
+        )),
+        Err(_) => Err(EarlyRefusal::new(ResultCode::SenderStalled, "")),
     }
 }
 
-/// The host that a request names, without a port.
+/// The host that a request names, without the port.
 fn host(parts: &Parts) -> &str {
     let named = parts.headers.get(header::HOST);
     let named = named.and_then(|host| host.to_str().ok());
--- a/crates/relay-node/src/traffic/plain_slot.rs
+++ b/crates/relay-node/src/traffic/plain_slot.rs
@@ -1,4 +1,4 @@
-//! Slots of plain upstreams, and turns at upstreams that name a limit, for the requests that go there.
+//! Takes concurrency slots of plain upstreams, and permits of rate-limited upstreams, for requests.
 
 use std::time::{Duration, Instant};
 
@@ -6,72 +6,75 @@
 use nutmegsail_relay::{Choice, Refusal as NoChoice, SlotAsk};
 
 use super::call::Call;
-use super::gateway::{Gateway, Sends};
-use super::refuse::GivenUp;
-use super::slot_client::SlotTaken;
+use super::gateway::{Gateway, SendHistory};
+use super::refuse::RefusalReason;
+use super::slot_client::SlotOutcome;
 
-/// How long a request may wait for a slot beyond the time in which its answer is in time. Its caller may be
-/// served sooner if it returns.
-const LATE_PATIENCE: Duration = Duration::from_millis(600);
+/// How long beyond the latency objective a request may wait for a slot. After that its caller may
+/// be served sooner by a retry.
+const MAX_LATENESS: Duration = Duration::from_millis(600);
 
-/// The least time after which a caller that found no room is asked to return.
-const LEAST_RETURN: Duration = Duration::from_millis(100);
+/// The shortest Retry-After for a caller whose request found no slot.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// What came of an ask for a slot or a turn.
-pub(super) enum Turn {
+/// The result of asking for a slot or a rate permit.
+pub(super) enum PermitResult {
     /// The request may be sent.
     Taken,
-    /// It may not; one would be free after about this time.
+    /// The request may not be sent; a slot or permit should be free after this time.
     Busy(Duration),
 }
 
 impl Gateway {
-    /// Takes a slot for a plain request at `first`, at another upstream that has one free, or where one is
-    /// free soonest.
+    /// Takes a slot for a plain request: at `first`, else at another upstream with a free slot,
+    /// else in the queue of the upstream whose slot is expected soonest.
     pub(super) async fn take_slot(
         &self,
         call: &Call,
-        sends: &Sends,
+        sends: &SendHistory,
         first: Choice,
-    ) -> Result<Choice, GivenUp> {
+    ) -> Result<Choice, RefusalReason> {
         let mut busy: Vec<(Duration, Choice)> = Vec::new();
         let mut next = Ok(first);
         while let Ok(choice) = next {
-            match self.ask_slot(call, &choice, false).await {
-                Turn::Taken => return Ok(choice),
-                Turn::Busy(wait) => busy.push((wait, choice)),
+            match self.request_permit(call, &choice, false).await {
+                PermitResult::Taken => return Ok(choice),
+                PermitResult::Busy(wait) => busy.push((wait, choice)),
             }
-            next = self.choose_beside(call, sends, &busy);
+            next = self.choose_not_busy(call, sends, &busy);
         }
         self.queue_at_soonest(call, busy).await
     }
 
-    /// Waits where a slot or a turn is free soonest, if that is soon enough.
+    /// Waits at the upstream where a slot or permit is expected soonest, if that is soon enough.
     pub(super) async fn queue_at_soonest(
         &self,
         call: &Call,
         busy: Vec<(Duration, Choice)>,
-    ) -> Result<Choice, GivenUp> {
+    ) -> Result<Choice, RefusalReason> {
         let soonest = busy.into_iter().min_by_key(|(wait, _)| *wait);
         let Some((_, choice)) = soonest else {
-            return Err(GivenUp::until(ResultCode::UpstreamRefused, LEAST_RETURN));
+            return Err(RefusalReason::retry_in(
+                ResultCode::UpstreamRefused,
+                MIN_RETRY_AFTER,
+            ));
         };
-        match self.ask_slot(call, &choice, true).await {
-            Turn::Taken => Ok(choice),
-            Turn::Busy(wait) => {
-                // Spread, so that those who were refused together don't return together.
-                let spread = (wait + LEAST_RETURN).mul_f64(rand::random());
-                let after = wait.max(LEAST_RETURN) + spread;
-                Err(GivenUp::until(ResultCode::UpstreamRefused, after))
+        match self.request_permit(call, &choice, true).await {
+            PermitResult::Taken => Ok(choice),
+            PermitResult::Busy(wait) => {
+                // Randomized, so that callers who were refused together do not retry together.
+                let jitter = (wait + MIN_RETRY_AFTER).mul_f64(rand::random());
+                let after = wait.max(MIN_RETRY_AFTER) + jitter;
+                Err(RefusalReason::retry_in(ResultCode::UpstreamRefused, after))
             }
         }
     }
 
-    /// Chooses among the upstreams that are not busy.
-    pub(super) fn choose_beside(
+    /// Chooses an upstream that is not in `busy`.
+    pub(super) fn choose_not_busy(
         &self,
         call: &Call,
-        sends: &Sends,
+        sends: &SendHistory,
         busy: &[(Duration, Choice)],
     ) -> Result<Choice, NoChoice> {
         let now = Instant::now();
@@ -84,56 +87,65 @@
         self.choose(call, &tried, now)
     }
 
-    /// Asks for a slot, or for a turn if the upstream names a limit.
-    pub(super) async fn ask_slot(&self, call: &Call, choice: &Choice, may_queue: bool) -> Turn {
+    /// Asks for a slot, or for a rate permit if the upstream has a limit.
+    pub(super) async fn request_permit(
+        &self,
+        call: &Call,
+        choice: &Choice,
+        may_queue: bool,
+    ) -> PermitResult {
         let (view, now) = (self.shared.view.load_full(), Instant::now());
         let upstream = &choice.upstream.id;
         let limit = self.shared.limits().told_of(upstream, now);
         let per_s = limit.as_ref().and_then(|limit| limit.per_s);
         let taken = match view.slot_nodes.get(upstream) {
             Some(node) => {
-                let ask = self.slot_ask(call, may_queue, now);
+                let ask = self.slot_request(call, may_queue, now);
                 self.slots.take(upstream, *node, ask, limit).await
             }
-            None => SlotTaken::NoAnswer,
+            None => SlotOutcome::NoAnswer,
         };
-        let turn = match (taken, per_s) {
-            (SlotTaken::Granted(permit), _) => {
+        let result = match (taken, per_s) {
+            (SlotOutcome::Granted(permit), _) => {
                 call.slot.replace(Some(permit));
-                Turn::Taken
+                PermitResult::Taken
+            }
+            (SlotOutcome::Busy(wait) | SlotOutcome::Refused(wait), _) => PermitResult::Busy(wait),
+            // Without an answer the request is sent: the upstream's own queue refuses what it has
+            // no room for.
+            (SlotOutcome::NoAnswer, None) => PermitResult::Taken,
+            (SlotOutcome::NoAnswer, Some(per_s)) => {
+                self.take_local_permit(upstream, per_s, view.nodes)
             }
-            (SlotTaken::Busy(wait) | SlotTaken::Refused(wait), _) => Turn::Busy(wait),
-            // The upstream's own queue turns away what it has no room for.
-            (SlotTaken::NoAnswer, None) => Turn::Taken,
-            (SlotTaken::NoAnswer, Some(per_s)) => self.take_own_share(upstream, per_s, view.nodes),
         };
-        if let (Turn::Busy(wait), Some(_)) = (&turn, per_s) {
-            self.note_held_back(call, upstream, *wait);
+        if let (PermitResult::Busy(wait), Some(_)) = (&result, per_s) {
+            self.record_held_back(call, upstream, *wait);
         }
-        turn
+        result
     }
 
-    fn slot_ask(&self, call: &Call, may_queue: bool, now: Instant) -> SlotAsk {
+    fn slot_request(&self, call: &Call, may_queue: bool, now: Instant) -> SlotAsk {
         let elapsed = now.duration_since(call.began) + call.waited_before;
         let in_time = call.route.objective.saturating_sub(elapsed);
         SlotAsk {
             in_time_ms: whole_millis(in_time),
-            patience_ms: whole_millis(call.remaining(now).min(in_time + LATE_PATIENCE)),
+            patience_ms: whole_millis(call.remaining(now).min(in_time + MAX_LATENESS)),
             may_queue,
             rank: call.priority(),
         }
     }
 
-    /// How long the caller of a request has waited before, by what it states of its patience.
-    pub(super) fn waited_before(&self, route: &str, patience: Option<Duration>) -> Duration {
-        let Some(patience) = patience else {
+    /// How long the caller has already waited with earlier attempts, estimated from the wait limit
+    /// that it states.
+    pub(super) fn waited_before(&self, route: &str, stated_wait: Option<Duration>) -> Duration {
+        let Some(stated_wait) = stated_wait else {
             return Duration::ZERO;
         };
         let mut known = self.stated_patience.borrow_mut();
         if let Some(stated) = known.get_mut(route) {
-            return stated.waited(patience);
+            return stated.waited(stated_wait);
         }
-        known.entry(route.into()).or_default().waited(patience)
+        known.entry(route.into()).or_default().waited(stated_wait)
     }
 }
 
--- a/crates/relay-node/src/traffic/slot_client.rs
+++ b/crates/relay-node/src/traffic/slot_client.rs
@@ -1,4 +1,5 @@
-//! Takes slots of plain upstreams, and turns at upstreams that name a limit, from the nodes that hand them out.
+//! Takes slots of plain upstreams, and permits of rate-limited upstreams, from the nodes that issue
+//! them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -11,59 +12,59 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-use super::link::Link;
+use super::peer_socket::PeerSocket;
 use crate::traffic_message::{SlotAskId, SlotMessage, TrafficMessage};
 
-/// How long the node that hands out slots is waited for.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(40);
+/// How long to wait for the node that issues slots.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// How long a node that did not answer is not asked.
-const SILENT_FOR: Duration = Duration::from_millis(1_000);
+/// How long a node that did not answer is not asked again.
+const UNRESPONSIVE_TIME: Duration = Duration::from_millis(1_000);
 
-/// How much longer than its patience a request waits for the answer that ends its time in the queue.
+/// How much longer than its wait limit a queued request waits for the issuing node's final answer.
 const QUEUE_MARGIN: Duration = Duration::from_millis(60);
 
 type Answers = mpsc::UnboundedReceiver<SlotAnswer>;
 
-/// What came of an ask.
-pub(crate) enum SlotTaken {
-    /// The slot.
+/// The result of asking for a slot.
+pub(crate) enum SlotOutcome {
+    /// The slot is taken.
     Granted(SlotPermit),
-    /// Nobody hands them out, or whoever does was not heard.
+    /// No node issues slots of this upstream, or the node did not answer.
     NoAnswer,
-    /// None is free; one would be after about this time.
+    /// None is free; one should be after about this time.
     Busy(Duration),
-    /// It cannot be served; whoever returns after this time finds room.
+    /// The request cannot be served in time; a retry after this time should find a slot.
     Refused(Duration),
 }
 
-/// This node's asks for slots.
+/// Sends this node's requests for slots and tracks their answers.
 pub(crate) struct SlotClient {
-    link: Rc<Link>,
-    asks: Cell<SlotAskId>,
-    waiting: RefCell<HashMap<SlotAskId, mpsc::UnboundedSender<SlotAnswer>>>,
-    silent: RefCell<HashMap<SocketAddr, Instant>>,
+    peer_socket: Rc<PeerSocket>,
+    last_id: Cell<SlotAskId>,
+    pending: RefCell<HashMap<SlotAskId, mpsc::UnboundedSender<SlotAnswer>>>,
+    unresponsive: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
-/// A slot that is taken, or an ask for one. Dropped, it is given back.
+/// A slot that is taken or asked for. It is returned on drop.
 pub(crate) struct SlotPermit {
     client: Rc<SlotClient>,
     id: SlotAskId,
     upstream: UpstreamId,
     node: SocketAddr,
-    /// Whether the other node knows of it.
+    /// Whether the issuing node has to be told when the slot is returned.
     is_known: bool,
-    /// How long the request was at the upstream.
+    /// How long the request was at the upstream, in milliseconds.
     took_ms: Option<u32>,
 }
 
 impl SlotPermit {
-    /// Takes in that the request was answered, `took` after it was sent.
-    pub(super) fn note_answered(&mut self, took: Duration) {
+    /// Records that the request was answered, `took` after it was sent.
+    pub(super) fn record_answered(&mut self, took: Duration) {
         self.took_ms = u32::try_from(took.as_millis()).ok();
     }
 
-    /// Takes in that the other node has refused it.
+    /// Records that the issuing node refused the slot.
     fn forget(&mut self) {
         self.is_known = false;
     }
@@ -71,7 +72,7 @@
 
 impl Drop for SlotPermit {
     fn drop(&mut self) {
-        self.client.waiting.borrow_mut().remove(&self.id);
+        self.client.pending.borrow_mut().remove(&self.id);
         if self.is_known {
             self.client
                 .release(self.id, &self.upstream, self.node, self.took_ms);
@@ -80,55 +81,55 @@
 }
 
 impl SlotClient {
-    pub(crate) fn new(link: Rc<Link>) -> Self {
+    pub(crate) fn new(peer_socket: Rc<PeerSocket>) -> Self {
         Self {
-            link,
-            asks: Cell::new(rand::random()),
-            waiting: RefCell::default(),
-            silent: RefCell::default(),
+            peer_socket,
+            last_id: Cell::new(rand::random()),
+            pending: RefCell::default(),
+            unresponsive: RefCell::default(),
         }
     }
 
-    /// Asks `node` for a slot of `upstream`, and waits for it if the ask may queue.
+    /// Asks `node` for a slot of `upstream`, and waits in its queue if `ask` allows that.
     pub(crate) async fn take(
         self: &Rc<Self>,
         upstream: &UpstreamId,
         node: SocketAddr,
         ask: SlotAsk,
         limit: Option<LimitTold>,
-    ) -> SlotTaken {
-        if self.is_silent(node) {
-            return SlotTaken::NoAnswer;
+    ) -> SlotOutcome {
+        if self.is_unresponsive(node) {
+            return SlotOutcome::NoAnswer;
         }
         let (mut permit, mut answers) = self.ask(upstream, node, ask, limit);
-        let mut patience = ANSWER_PATIENCE;
+        let mut wait_limit = ANSWER_TIMEOUT;
         loop {
-            match timeout(patience, answers.recv()).await {
-                Ok(Some(SlotAnswer::Granted)) => return SlotTaken::Granted(permit),
+            match timeout(wait_limit, answers.recv()).await {
+                Ok(Some(SlotAnswer::Granted)) => return SlotOutcome::Granted(permit),
                 Ok(Some(SlotAnswer::Busy { wait_ms })) => {
                     permit.forget();
-                    return SlotTaken::Busy(millis(wait_ms));
+                    return SlotOutcome::Busy(millis(wait_ms));
                 }
                 Ok(Some(SlotAnswer::Refused { wait_ms })) => {
                     permit.forget();
-                    return SlotTaken::Refused(millis(wait_ms));
+                    return SlotOutcome::Refused(millis(wait_ms));
                 }
                 Ok(Some(SlotAnswer::Queued)) => {
-                    patience = millis(ask.patience_ms) + QUEUE_MARGIN;
+                    wait_limit = millis(ask.patience_ms) + QUEUE_MARGIN;
                 }
-                Ok(None) | Err(_) if patience == ANSWER_PATIENCE => {
-                    self.silent.borrow_mut().insert(node, Instant::now());
-                    return SlotTaken::NoAnswer;
+                Ok(None) | Err(_) if wait_limit == ANSWER_TIMEOUT => {
+                    self.unresponsive.borrow_mut().insert(node, Instant::now());
+                    return SlotOutcome::NoAnswer;
                 }
-                Ok(None) | Err(_) => return SlotTaken::Refused(ANSWER_PATIENCE),
+                Ok(None) | Err(_) => return SlotOutcome::Refused(ANSWER_TIMEOUT),
             }
         }
     }
 
-    fn is_silent(&self, node: SocketAddr) -> bool {
-        let mut silent = self.silent.borrow_mut();
-        silent.retain(|_, at| at.elapsed() < SILENT_FOR);
-        silent.contains_key(&node)
+    fn is_unresponsive(&self, node: SocketAddr) -> bool {
+        let mut unresponsive = self.unresponsive.borrow_mut();
+        unresponsive.retain(|_, at| at.elapsed() < UNRESPONSIVE_TIME);
+        unresponsive.contains_key(&node)
     }
 
     fn ask(
@@ -138,10 +139,10 @@
         ask: SlotAsk,
         limit: Option<LimitTold>,
     ) -> (SlotPermit, Answers) {
-        let id = self.asks.get().wrapping_add(1);
-        self.asks.set(id);
+        let id = self.last_id.get().wrapping_add(1);
+        self.last_id.set(id);
         let (answer, answers) = mpsc::unbounded_channel();
-        self.waiting.borrow_mut().insert(id, answer);
+        self.pending.borrow_mut().insert(id, answer);
         let upstream = upstream.clone();
         let message = SlotMessage::Ask {
             id,
@@ -149,7 +150,7 @@
             ask,
             limit,
         };
-        self.link.send(TrafficMessage::Slots(message), node);
+        self.peer_socket.send(TrafficMessage::Slots(message), node);
         let permit = SlotPermit {
             client: Rc::clone(self),
             id,
@@ -161,16 +162,16 @@
         (permit, answers)
     }
 
-    /// Takes in an answer. A slot for a request that has gone is given back.
-    pub(super) fn take_answer(
+    /// Processes an answer. A slot whose request is gone is returned.
+    pub(super) fn receive_answer(
         &self,
         id: SlotAskId,
         upstream: &UpstreamId,
         answer: SlotAnswer,
         sender: SocketAddr,
     ) {
-        let is_taken = match self.waiting.borrow().get(&id) {
-            Some(waiting) => waiting.send(answer).is_ok(),
+        let is_taken = match self.pending.borrow().get(&id) {
+            Some(pending) => pending.send(answer).is_ok(),
             None => false,
         };
         if !is_taken && answer == SlotAnswer::Granted {
@@ -191,7 +192,7 @@
             upstream,
             took_ms,
         };
-        self.link.send(TrafficMessage::Slots(message), node);
+        self.peer_socket.send(TrafficMessage::Slots(message), node);
     }
 }
 
