--- a/crates/base/src/adapter_ref.rs
+++ b/crates/base/src/adapter_ref.rs
@@ -1,4 +1,4 @@
-//! The adapter and version that a request names.
+//! A reference to an adapter with its version, as requests give it in their model name.
 
 use std::str::FromStr;
 
@@ -28,7 +28,7 @@
 }
 
 impl AdapterRef {
-    /// Names version `version` of the adapter `name`.
+    /// Creates a reference to version `version` of the adapter `name`.
     ///
     /// ```
     /// let adapter = nutmegsail_base::AdapterRef::new("proof-style", 2);
@@ -42,13 +42,13 @@
     }
 }
 
-/// Why a model name is not an [`AdapterRef`].
+/// Why a model name could not be parsed as an [`AdapterRef`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum AdapterRefError {
-    /// There is no `@` with a name before it.
-    #[error("`{0}` does not name an adapter as `name@version`")]
+    /// There is no `@`, or no name before it.
+    #[error("`{0}` is not of the form `name@version`")]
     MissingVersion(String),
-    /// What follows `@` is not a whole number.
+    /// The text after `@` is not a 32-bit unsigned integer.
     #[error("the version in `{0}` is not a whole number")]
     BadVersion(String),
 }
--- a/crates/base/src/class.rs
+++ b/crates/base/src/class.rs
@@ -1,11 +1,11 @@
-//! The two classes of work.
+//! The two priority classes of requests.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// How urgent a request is. Urgent work never queues behind routine work.
+/// The priority class of a request. Urgent requests never queue behind routine ones.
 ///
-/// The order is by urgency: [`Class::Urgent`] sorts first.
+/// Ordered by priority: [`Class::Urgent`] sorts first.
 #[derive(
     Clone,
     Copy,
@@ -23,9 +23,9 @@
 #[serde(rename_all = "lowercase")]
 #[display(rename_all = "lowercase")]
 pub enum Class {
-    /// Somebody waits for the answer.
+    /// Somebody is waiting for the answer.
     Urgent,
-    /// The answer may wait a little.
+    /// The answer can wait a little.
     #[default]
     Routine,
 }
@@ -34,7 +34,7 @@
     /// Both classes, the urgent one first.
     pub const ALL: [Self; 2] = [Self::Urgent, Self::Routine];
 
-    /// The more urgent of two classes, as inherited along a dependency.
+    /// The more urgent of two classes. A service that an urgent one depends on becomes urgent too.
     ///
     /// ```
     /// use nutmegsail_base::Class;
--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -1,17 +1,18 @@
-//! Time, passed in as an interface.
+//! Time sources behind a trait, so that tests can control time.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime};
 
-/// Reads the time. Decision cores take `now` as an argument and never read a clock themselves.
+/// A source of time. Code that only makes decisions takes `now` as an argument instead and never
+/// reads a clock.
 pub trait Clock: Send + Sync + std::fmt::Debug {
-    /// The steady time, for durations. It never goes back.
+    /// The monotonic time, for measuring durations.
     fn now(&self) -> Instant;
-    /// The time of day, which may jump and differs between machines.
+    /// The wall-clock time, which can jump and differs between machines.
     fn wall(&self) -> SystemTime;
 }
 
-/// The machine's own clocks.
+/// The clocks of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
@@ -25,7 +26,7 @@
     }
 }
 
-/// A clock that moves only when told to, for tests and measurements.
+/// A clock that advances only by [`ManualClock::advance`], for tests and measurements.
 ///
 /// ```
 /// use std::time::Duration;
@@ -55,7 +56,7 @@
 }
 
 impl ManualClock {
-    /// Moves both times forward by `by`.
+    /// Advances both the monotonic and the wall-clock time by `by`.
     pub fn advance(&self, by: Duration) {
         *self.elapsed.lock().unwrap_or_else(PoisonError::into_inner) += by;
     }
--- a/crates/base/src/engine_report.rs
+++ b/crates/base/src/engine_report.rs
@@ -1,49 +1,50 @@
-//! What an engine says about itself, some hundred milliseconds late.
+//! Status reports of engines, which are some hundred milliseconds old when they are read.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{AdapterRef, Incarnation};
 
-/// How far an adapter is on its way into an engine's slot.
+/// Whether an adapter in an engine's slot is loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AdapterState {
-    /// Requests for it run at once.
+    /// Loaded: requests for it run at once.
     Ready,
-    /// Its weights are on their way from the weight store.
+    /// Its weights are being loaded from the weight store.
     Loading,
 }
 
-/// An adapter that takes up a slot of an engine.
+/// An adapter that occupies a slot of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldAdapter {
-    /// Which adapter and version.
+    /// The adapter and its version.
     pub adapter: AdapterRef,
-    /// Whether it can serve.
+    /// Whether it is loaded.
     pub state: AdapterState,
-    /// Requests that run on it.
+    /// Number of requests running on it.
     pub running: u32,
 }
 
-/// An engine's report on itself. It lags behind the truth.
+/// An engine's report of its own status. It lags behind the engine's actual state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// The run of the engine's process. A restart is cold and draws a new one.
+    /// Identifies the run of the engine's process. A restarted engine has a new one and no adapters
+    /// loaded.
     pub incarnation: Incarnation,
-    /// How many orders this incarnation has accepted.
+    /// Number of orders that this incarnation has accepted.
     pub order_seq: u64,
-    /// The highest fencing number seen, for engines that check it.
+    /// Highest fencing token that the engine has seen, for engines that check it.
     pub fence: u64,
-    /// Adapters that take up a slot.
+    /// Adapters that occupy a slot.
     pub adapters: Vec<HeldAdapter>,
-    /// How many adapters fit.
+    /// Total number of adapter slots.
     pub adapter_slots: u32,
-    /// Requests in the running batch.
+    /// Number of requests in the running batch.
     pub in_flight: u32,
-    /// Requests that wait inside the engine.
+    /// Number of requests queued inside the engine.
     pub queued: u32,
-    /// How many requests a step can batch.
+    /// Maximum number of requests in a batch.
     pub batch_slots: u32,
-    /// Whether the engine is leaving and wants no new work.
+    /// Whether the engine is shutting down and takes no new requests.
     pub is_leaving: bool,
 }
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,8 +1,9 @@
-//! The vocabulary that every crate of nutmegsail shares: names, the clock, result codes and the
-//! load reports of engines.
+//! Types shared by all crates of nutmegsail: names, the clock, result codes and the status reports
+//! of engines.
 //!
-//! This crate decides nothing and does no I/O. Start at [`AdapterRef`] for what a caller asks for,
-//! at [`ResultCode`] for what a caller is told, and at [`Clock`] for how time is passed in.
+//! This crate holds no logic beyond these types and does no I/O. Start at [`AdapterRef`] for what
+//! callers request, [`ResultCode`] for the results that they receive, and [`Clock`] for how time is
+//! passed in.
 
 mod adapter_ref;
 mod class;
--- a/crates/base/src/names.rs
+++ b/crates/base/src/names.rs
@@ -1,6 +1,6 @@
-//! Names of the things that nutmegsail routes between.
+//! Typed names and ids.
 //!
-//! Every name is a shared immutable string, so cloning one costs a reference count.
+//! Names are shared immutable strings: cloning one only increments a reference count.
 
 use std::sync::Arc;
 
@@ -34,7 +34,7 @@
 }
 
 shared_name! {
-    /// A service of the operators' text, engine-served or plain.
+    /// A service in the operators' configuration text, served by engines or by plain upstreams.
     ///
     /// ```
     /// let desk = nutmegsail_base::ServiceName::from("spa-desk");
@@ -43,7 +43,7 @@
     ServiceName
 }
 shared_name! {
-    /// A kind of call on a service, such as a booking confirmation.
+    /// One of the calls that a service offers, such as a booking confirmation.
     CallName
 }
 shared_name! {
@@ -51,27 +51,27 @@
     AdapterName
 }
 shared_name! {
-    /// A failure domain: machines that fail together and may be cut off together.
+    /// A failure domain: machines that can fail or be cut off from the network together.
     FailureDomain
 }
 shared_name! {
-    /// An entry VM's node, across restarts of its process.
+    /// The node on an entry VM. It keeps its id when its process restarts.
     NodeId
 }
 shared_name! {
-    /// An upstream as the operators' text lists it: its `host:port`.
+    /// An upstream, by its `host:port` as listed in the operators' configuration text.
     UpstreamId
 }
 shared_name! {
-    /// Who sends requests, for fairness between callers.
+    /// A sender of requests, for fairness between callers.
     CallerId
 }
 shared_name! {
-    /// Callers that share keys and a quota.
+    /// A team: callers that share API keys and a quota.
     TeamName
 }
 shared_name! {
-    /// One request of one caller, unique over the deployment.
+    /// The id of a request, unique over the deployment.
     RequestId
 }
 
@@ -82,7 +82,7 @@
 #[serde(transparent)]
 pub struct AdapterVersion(pub u32);
 
-/// One run of a process, node or upstream. A restart draws a new one.
+/// Identifies one run of a node's or upstream's process. A restart gets a new one.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord, From, Serialize, Deserialize,
 )]
--- a/crates/base/src/result_code.rs
+++ b/crates/base/src/result_code.rs
@@ -1,14 +1,13 @@
-//! The numbered results that callers and operators see.
+//! The numbered result codes that callers and operators see.
 
 use serde::Serialize;
 
 macro_rules! result_codes {
     ($($number:literal $variant:ident $status:literal $retry:literal $text:literal;)*) => {
-        /// A numbered result. `docs/CODES.md` lists them all; a test compares it with this table.
+        /// A numbered result code. `docs/CODES.md` lists them all; a test compares it with this table.
         ///
-        /// 1xxx: the caller's request is at fault. 2xxx: limits and load. 3xxx: upstreams.
-        /// 4xxx: calls that run once. 5xxx: the operators' text. 6xxx: the platform.
-        /// 7xxx: the node itself.
+        /// 1xxx: invalid requests. 2xxx: limits and load. 3xxx: upstreams. 4xxx: calls that run at
+        /// most once. 5xxx: the operators' configuration text. 6xxx: the platform. 7xxx: the node.
         ///
         /// ```
         /// use nutmegsail_base::ResultCode;
@@ -21,25 +20,25 @@
         }
 
         impl ResultCode {
-            /// Every code, in order of its number.
+            /// All codes, ordered by number.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
-            /// The number, stable over releases.
+            /// The number of the code. It never changes between releases.
             pub fn number(self) -> u16 {
                 match self { $(Self::$variant => $number,)* }
             }
 
-            /// The HTTP status that carries this result to a caller.
+            /// The HTTP status of responses with this code.
             pub fn http_status(self) -> u16 {
                 match self { $(Self::$variant => $status,)* }
             }
 
-            /// Whether the same request, sent again later, can succeed.
+            /// Whether the same request can succeed if it is sent again later.
             pub fn retry_helps(self) -> bool {
                 match self { $(Self::$variant => $retry,)* }
             }
 
-            /// What happened, in a sentence.
+            /// A sentence that describes the result.
             pub fn text(self) -> &'static str {
                 match self { $(Self::$variant => $text,)* }
             }
--- a/crates/base/src/store_era.rs
+++ b/crates/base/src/store_era.rs
@@ -1,12 +1,12 @@
-//! Histories of the platform's store.
+//! Counts how often the platform's store was restored from a backup.
 
 use derive_more::{Display, From};
 use serde::{Deserialize, Serialize};
 
-/// A number that rises by one each time that the platform's store comes back from an older copy of itself.
+/// A counter that the platform's store increments each time it is restored from a backup.
 ///
-/// What was written after the copy is gone then, and revisions and numbers of leases are given out again. So these count
-/// within an era only.
+/// A restore loses the writes made after the backup, and the store then assigns the same revisions
+/// and lease ids again. So these are comparable only within one era.
 ///
 /// ```
 /// use nutmegsail_base::StoreEra;
