--- a/crates/base/src/store_number.rs
+++ b/crates/base/src/store_number.rs
@@ -1,15 +1,17 @@
-//! Numbers that the platform's store gives out.
+//! Revisions and lease ids of the platform's store, made unique across eras.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::StoreEra;
 
-/// How far the fences of two eras lie apart: more than the revisions that can go with a store's history.
+/// Distance between the fencing tokens of two eras. It exceeds the number of revisions that a
+/// restore from a backup can lose.
 const FENCES_PER_ERA: u64 = 1 << 22;
 
-/// A number that the platform's store gives out, with the era in which it did. Those of a later era come later,
-/// whatever the store calls them; 0 stands for none, in each era.
+/// A number assigned by the platform's store (a revision or a lease id), with the era in which it
+/// was assigned. Numbers of a later era compare greater, whatever their value. 0 means none, in
+/// every era.
 ///
 /// ```
 /// use nutmegsail_base::{StoreEra, StoreNumber};
@@ -40,13 +42,13 @@
 }
 
 impl StoreNumber {
-    /// Stands for a key that does not exist, or for no lease.
+    /// The revision of a key that does not exist, or the id of no lease.
     pub const NONE: Self = Self {
         era: StoreEra(0),
         number: 0,
     };
 
-    /// What the store calls `number` in `era`.
+    /// The number that the store assigned as `number` in `era`.
     pub const fn of(era: StoreEra, number: u64) -> Self {
         match number {
             0 => Self::NONE,
@@ -54,30 +56,30 @@
         }
     }
 
-    /// What a store calls `number` that tells no era.
+    /// A number from a store that reports no era.
     pub const fn plain(number: u64) -> Self {
         Self::of(StoreEra(0), number)
     }
 
-    /// The era that it counts in.
+    /// The era in which the store assigned it.
     pub const fn era(self) -> StoreEra {
         self.era
     }
 
-    /// What the store calls it.
+    /// The number as the store knows it.
     pub const fn number(self) -> u64 {
         self.number
     }
 
-    /// Whether it names something, of another era than `era`.
+    /// Whether it is not [`NONE`](Self::NONE) and was assigned in another era than `era`.
     pub fn is_outside(self, era: StoreEra) -> bool {
         self != Self::NONE && self.era != era
     }
 
-    /// A fencing token that rises with it; nothing if no such token fits into 64 bits.
+    /// A fencing token that increases with this number, or `None` if it does not fit into 64 bits.
     ///
-    /// Engines order claims by one number. A store that comes back from a copy gives out revisions again that lie
-    /// somewhat below the last ones; the distance of two eras makes up for that.
+    /// Engines order ownership claims by a single number. A restored store assigns revisions below
+    /// the last ones again; adding a fixed distance per era keeps the tokens increasing.
     ///
     /// ```
     /// use nutmegsail_base::{StoreEra, StoreNumber};
--- a/crates/base/tests/store_number.rs
+++ b/crates/base/tests/store_number.rs
@@ -1,9 +1,9 @@
-//! What is made of the numbers that the platform's store gives out.
+//! Ordering and fencing tokens of the store's numbers across eras.
 
 use nutmegsail_base::{StoreEra, StoreNumber};
 use proptest::prelude::*;
 
-/// Revisions that may go with the store's history: 400 writes a second for an hour.
+/// Most revisions that a restore from a backup loses: 400 writes a second for an hour.
 const LOST_MOST: u64 = 1_440_000;
 
 proptest! {
@@ -13,7 +13,8 @@
         ..ProptestConfig::default()
     })]
 
-    // Guards against an engine that refuses its owner for good, as the token went back with the store.
+    // Guards against an engine that refuses its owner for good because the owner's fencing token
+    // went down when the store was restored.
     #[test]
     fn fences_rise_with_each_claim_whatever_the_store_loses(
         first_era in prop_oneof![0u64..10, 4_090u64..4_100, 0u64..1 << 41],
--- a/crates/quota/src/account.rs
+++ b/crates/quota/src/account.rs
@@ -1,4 +1,4 @@
-//! The tokens that one node has borrowed.
+//! Tokens that one node has borrowed and not spent yet.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,13 +6,13 @@
 use crate::{Ask, AskId, GRANT_LIFE, Lent};
 use nutmegsail_base::TeamName;
 
-/// In this time half of a team's demand at this node is forgotten.
+/// Half-life of a team's recorded demand at this node, in seconds.
 const DEMAND_HALF_LIFE_S: f64 = 1.0;
 
-/// How long a team without requests is remembered.
+/// How long the state of a team without requests is kept.
 const IDLE_LIFE: Duration = Duration::from_secs(10);
 
-/// The tokens of all teams that one node may spend.
+/// The borrowed tokens of all teams that one node can spend.
 ///
 /// ```
 /// use std::time::Duration;
@@ -32,7 +32,7 @@
     asks: u64,
 }
 
-/// Tokens that are set aside for one request.
+/// Tokens reserved for one request.
 #[derive(Clone, Debug, PartialEq)]
 #[must_use]
 pub struct Reservation {
@@ -41,7 +41,7 @@
 }
 
 impl Reservation {
-    /// Whether the tokens may still be spent.
+    /// Whether none of the tokens have expired.
     pub fn is_valid(&self, now: Duration) -> bool {
         self.parts.iter().all(|part| now < part.expires)
     }
@@ -61,8 +61,8 @@
 }
 
 impl Account {
-    /// An empty account whose first ask has the id `first`. A node that starts again begins elsewhere, so that
-    /// answers to its earlier process are not taken for its own.
+    /// An empty account whose first request has the id after `first`. A restarted node must pass
+    /// another value, so that it does not accept replies meant for its previous process.
     pub fn new(first: AskId) -> Self {
         Self {
             teams: HashMap::new(),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Sets tokens aside for a request, if enough are held.
+    /// Reserves tokens for a request, if enough unexpired ones are held.
     pub fn take(&mut self, team: &TeamName, tokens: u32, now: Duration) -> Option<Reservation> {
         let held = self.teams.get_mut(team)?;
         held.grants.retain(|grant| now < grant.expires);
@@ -82,7 +82,7 @@
         if all < u64::from(tokens) {
             return None;
         }
-        // What expires first goes first.
+        // Spend the tokens that expire first.
         held.grants.sort_by_key(|grant| grant.expires);
         let mut left = tokens;
         let mut parts = Vec::new();
@@ -105,7 +105,7 @@
         })
     }
 
-    /// Puts back what a request did not spend.
+    /// Returns reserved tokens that the request did not spend. Expired ones are dropped.
     pub fn give_back(&mut self, reservation: Reservation, now: Duration) {
         let held = self.teams.entry(reservation.team).or_default();
         let fresh = reservation
@@ -115,7 +115,8 @@
         held.grants.extend(fresh);
     }
 
-    /// The ask for a request's tokens, and for those of requests that are likely to follow.
+    /// Creates a loan request for the tokens that a request needs, plus extra for the requests that
+    /// are expected in the next half [`GRANT_LIFE`].
     pub fn ask(&mut self, team: &TeamName, need_tokens: u32, now: Duration) -> Ask {
         self.teams
             .retain(|_, held| now.saturating_sub(held.demand_at) < IDLE_LIFE);
@@ -130,16 +131,16 @@
         }
     }
 
-    /// Counts a request, so that asks foresee the next ones.
+    /// Records the demand of a request, from which [`ask`](Self::ask) estimates the extra tokens.
     pub fn note_demand(&mut self, team: &TeamName, tokens: u32, now: Duration) {
         let held = self.teams.entry(team.clone()).or_default();
         held.demand_tokens = held.remembered(now) + f64::from(tokens);
         held.demand_at = now;
     }
 
-    /// Takes in what was lent on an ask of `asked_at`.
+    /// Adds the tokens of a reply to a request made at `asked_at`.
     ///
-    /// The life of tokens counts from the ask, so a late answer does not prolong it.
+    /// They expire [`GRANT_LIFE`] after the request, so a late reply does not extend their life.
     pub fn put(&mut self, lent: &Lent, asked_at: Duration) {
         if lent.tokens > 0 {
             let held = self.teams.entry(lent.team.clone()).or_default();
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Tokens of a team that may be spent now.
+    /// Number of a team's tokens that can be spent now.
     pub fn held_tokens(&self, team: &str, now: Duration) -> u64 {
         let grants = self.teams.get(team).map(|held| held.grants.iter());
         let fresh = grants
@@ -167,7 +168,8 @@
         self.demand_tokens * 0.5_f64.powf(age_s / DEMAND_HALF_LIFE_S)
     }
 
-    /// A steady rate `r` is remembered as `r` times the half-life over the logarithm of two.
+    /// Estimates the demand rate. With exponential decay a steady rate `r` accumulates to `r` times
+    /// the half-life divided by ln 2, so this inverts that.
     fn demand_per_s(&self, now: Duration) -> f64 {
         self.remembered(now) * std::f64::consts::LN_2 / DEMAND_HALF_LIFE_S
     }
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Tokens that fill in at a rate up to a capacity.
+/// A count of tokens that refills at a rate up to a capacity.
 #[derive(Clone, Debug)]
 pub(crate) struct Bucket {
     level_tokens: f64,
@@ -17,7 +17,8 @@
         }
     }
 
-    /// Fills in what came since the last time. A capacity that fell takes away what is above it.
+    /// Adds the tokens for the time since the last refill. Tokens above the capacity are dropped,
+    /// also if the capacity was lowered.
     pub(crate) fn fill(&mut self, tokens_per_s: f64, capacity_tokens: f64, now: Duration) {
         let passed = now.saturating_sub(self.filled_at);
         self.filled_at = self.filled_at.max(now);
@@ -29,20 +30,21 @@
         self.level_tokens
     }
 
-    /// Takes tokens out.
+    /// Removes tokens.
     ///
     /// # Panics
     ///
-    /// If the bucket holds fewer: the sum of what all nodes spend would pass the quota.
+    /// If the bucket holds fewer. Lending tokens that do not exist would let the nodes exceed the
+    /// quota together.
     pub(crate) fn take(&mut self, tokens: f64) {
         assert!(
             tokens <= self.level_tokens + 1e-6,
-            "a bucket lends only what it holds"
+            "cannot take more tokens than the bucket holds"
         );
         self.level_tokens = (self.level_tokens - tokens).max(0.0);
     }
 
-    /// Puts tokens in that another bucket gave.
+    /// Adds tokens that were borrowed from another lender's bucket.
     pub(crate) fn put(&mut self, tokens: f64) {
         self.level_tokens += tokens;
     }
--- a/crates/quota/src/lender.rs
+++ b/crates/quota/src/lender.rs
@@ -1,4 +1,4 @@
-//! Lends the tokens of one failure domain.
+//! The lender of one failure domain: holds the teams' token buckets and lends from them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,33 +7,34 @@
 use crate::{Ask, AskId, GRANT_LIFE, Lent, Quota, QuotaBounds, Quotas};
 use nutmegsail_base::TeamName;
 
-/// The part of a bucket that is kept for requests at hand: extra tokens, and tokens for other lenders,
-/// are lent from what is above it.
+/// Fraction of a bucket's capacity that is reserved for tokens that nodes need now. Extra tokens
+/// and tokens for other lenders are lent only from what is above it.
 const KEPT_SHARE: f64 = 0.3;
 
-/// The least time between two asks to other lenders for one team.
+/// Minimum time between two rounds of requests to other lenders for one team.
 const BORROW_INTERVAL: Duration = Duration::from_millis(30);
 
-/// How long an unmet need lets a bucket hold more than its capacity, which may be less than one request.
+/// How long after a refused request a bucket may hold more than its capacity. Without this, a
+/// request that needs more than the capacity could never be met with tokens from other lenders.
 const NEED_LIFE: Duration = Duration::from_millis(200);
 
-/// The longest wait that is told: demand changes within seconds.
+/// Longest wait in a reply. Demand changes within seconds, so a longer estimate would not hold.
 const LONGEST_WAIT: Duration = Duration::from_secs(4);
 
-/// How long the bucket of a team without a quota is remembered, so that a quota which returns brings no
-/// second burst.
+/// How long the bucket of a team is kept after its quota was removed, so that restoring the quota
+/// does not grant a second burst.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// What the buckets of a new lender hold.
+/// How full the buckets of a new lender are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FirstFill {
-    /// All that fits: nobody has lent anything yet.
+    /// Full: no lender has lent from them before.
     Full,
-    /// Nothing: what the lender before had lent is not known.
+    /// Empty: how much the previous lender has lent is unknown.
     Empty,
 }
 
-/// The buckets of one failure domain.
+/// Lends tokens from one failure domain's buckets.
 ///
 /// ```
 /// use std::time::Duration;
@@ -53,7 +54,7 @@
     first_fill: FirstFill,
     teams: HashMap<TeamName, TeamBucket>,
     asks: u64,
-    /// Asks to other lenders without an answer, and when they were made.
+    /// Unanswered requests to other lenders, with the time of each.
     open: HashMap<AskId, Duration>,
 }
 
@@ -62,9 +63,9 @@
     quota: Option<Quota>,
     quota_since: Duration,
     bucket: Bucket,
-    /// The last need that could not be met.
+    /// The last request that was refused for lack of tokens.
     unmet: Option<Unmet>,
-    /// When tokens are there for all who were told to return.
+    /// When there are enough tokens for every refused node that was told to ask again.
     returns_until: Duration,
     borrowed_at: Option<Duration>,
 }
@@ -76,8 +77,9 @@
 }
 
 impl Lender {
-    /// A lender whose buckets begin with `first_fill`, and whose first ask to another one has the id `first`. One that
-    /// starts again begins elsewhere, so that answers to the one before are not taken for its own.
+    /// Creates a lender whose buckets start as `first_fill` says. Its first request to another
+    /// lender has the id after `first`, which must differ for each new lender, so that it does not
+    /// accept replies meant for the previous one.
     pub fn new(bounds: QuotaBounds, first_fill: FirstFill, first: AskId) -> Self {
         Self {
             bounds,
@@ -88,7 +90,8 @@
         }
     }
 
-    /// Takes in the quotas in force. What is above a lower quota's capacity is gone at once.
+    /// Applies the quotas in force. If a quota was lowered, tokens above the new capacity cannot be
+    /// lent any more.
     pub fn set_quotas(&mut self, quotas: &Quotas, now: Duration) {
         for (team, known) in &mut self.teams {
             known.fill(&self.bounds, now);
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Lends to a node of the failure domain.
+    /// Lends to a node: all tokens that it needs, and extra ones if there are enough; or none.
     pub fn ask(&mut self, ask: &Ask, now: Duration) -> Lent {
         let bounds = self.bounds;
         let Some(team) = self.teams.get_mut(&ask.team) else {
@@ -136,7 +139,8 @@
         lent(ask, tokens, Duration::ZERO)
     }
 
-    /// Lends to the lender of another failure domain, whose callers need more than its part of the rate.
+    /// Lends to the lender of another failure domain whose callers need more than that domain's
+    /// share of the rate.
     pub fn lender_ask(&mut self, ask: &Ask, now: Duration) -> Lent {
         let bounds = self.bounds;
         let Some(team) = self.teams.get_mut(&ask.team) else {
@@ -150,7 +154,7 @@
         lent(ask, tokens, Duration::ZERO)
     }
 
-    /// What the bucket of each team with a quota holds.
+    /// The tokens in the bucket of each team that has a quota.
     pub fn levels(&mut self, now: Duration) -> Vec<(TeamName, f64)> {
         let mut levels = Vec::new();
         for (name, team) in &mut self.teams {
@@ -162,8 +166,9 @@
         levels
     }
 
-    /// What to ask each of `lenders` other lenders for, after a need of `team` that was not met; nothing if they
-    /// were asked a moment ago.
+    /// Creates a request to each of `lenders` other lenders for the tokens that the team's last
+    /// refused request lacked. Empty if none was refused recently, or if the other lenders were
+    /// asked a moment ago.
     pub fn borrow(&mut self, team: &TeamName, lenders: usize, now: Duration) -> Vec<Ask> {
         let Some(short) = self.short_of(team, now) else {
             return Vec::new();
@@ -184,7 +189,7 @@
         asks.collect()
     }
 
-    /// What the bucket of `team` lacks, if others are to be asked for it now.
+    /// The number of tokens that `team`'s bucket lacks, if other lenders should be asked now.
     fn short_of(&mut self, team: &TeamName, now: Duration) -> Option<f64> {
         let known = self.teams.get_mut(team)?;
         let unmet = known.unmet_at(now)?;
@@ -196,8 +201,8 @@
         Some((unmet - known.bucket.level_tokens()).max(1.0))
     }
 
-    /// Takes in what another lender lent. An answer that comes twice, or to no ask, brings nothing: its tokens would exist
-    /// twice.
+    /// Adds the tokens that another lender has lent. A duplicate reply, or one to an unknown
+    /// request, is ignored: its tokens would be counted twice.
     pub fn take_lent(&mut self, lent: &Lent, now: Duration) {
         if self.open.remove(&lent.id).is_none() {
             return;
@@ -230,7 +235,7 @@
         let rate = self.quota.map_or(0.0, |quota| bounds.lender_rate(quota));
         let unmet = self.unmet_at(now).unwrap_or(0.0);
         let capacity = self.capacity(bounds);
-        // What is filled in stays within the capacity; only borrowed tokens may go beyond it.
+        // Refilling stops at the capacity; only borrowed tokens can exceed it.
         let level = self.bucket.level_tokens();
         let filled_to = capacity.max(level.min(unmet));
         self.bucket.fill(rate, filled_to, now);
@@ -241,7 +246,8 @@
         (now.saturating_sub(unmet.at) < NEED_LIFE).then_some(unmet.tokens)
     }
 
-    /// When tokens will be there for one more who returns, after all who were told before.
+    /// How long a refused node should wait until there are enough tokens for it and for all nodes
+    /// refused before it.
     fn wait(&mut self, bounds: &QuotaBounds, need_tokens: f64, now: Duration) -> Duration {
         let rate = self.quota.map_or(0.0, |quota| bounds.lender_rate(quota));
         if rate <= 0.0 {
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,13 +1,14 @@
-//! Teams' quotas over all nodes.
+//! Team quotas across all nodes.
 //!
-//! Decides how many tokens of a team's quota a node may spend. A [`Lender`] in each failure domain
-//! fills a bucket with its part of the rate and lends from it; an [`Account`] at each node holds
-//! what was borrowed until it is spent or expires. Told quotas, asks and the time; it does no I/O
-//! and reads no clock. It answers teams that send more than their quota, from any node, also while
-//! failure domains are cut off from each other.
+//! Decides how many tokens of a team's quota a node may spend. Each failure domain has one
+//! [`Lender`] with a token bucket per team, which refills at the domain's share of the team's rate.
+//! Nodes borrow tokens from it, and an [`Account`] on each node holds them until a request spends
+//! them or they expire. The caller passes in quotas, messages and the current time: this crate does
+//! no I/O and reads no clock. Teams are limited whichever nodes they send to, also while failure
+//! domains are cut off from each other.
 //!
-//! The sum of what all nodes spend in a window stays within [`QuotaBounds::window_limit`]: each
-//! token is created by one lender, is lent once, and expires where it is not spent.
+//! In any window all nodes together spend at most [`QuotaBounds::window_limit`] tokens: each token
+//! is created by one lender, is never counted twice, and expires if it is not spent.
 
 mod account;
 mod bucket;
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,48 +1,48 @@
-//! What nodes and lenders tell each other.
+//! Messages between nodes and lenders.
 
 use nutmegsail_base::TeamName;
 use serde::{Deserialize, Serialize};
 
-/// Tells the asks of one sender apart.
+/// Identifies one of a sender's requests for tokens, so that the reply can be matched to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct AskId(pub u64);
 
-/// An ask for tokens of a team's quota.
+/// A request to borrow tokens of a team's quota.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Which ask.
+    /// Identifies the request; the reply carries it too.
     pub id: AskId,
-    /// The team.
+    /// The team whose tokens are requested.
     pub team: TeamName,
-    /// Tokens without which the ask is of no use.
+    /// Tokens needed now. A node is lent all of them or none; another lender may be lent a part.
     pub need_tokens: u32,
-    /// Tokens beyond that, if there are plenty.
+    /// Tokens for later requests, lent in addition only if the bucket can spare them.
     pub extra_tokens: u32,
 }
 
-/// The answer to an [`Ask`].
+/// The reply to an [`Ask`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lent {
-    /// The ask.
+    /// The id of the request.
     pub id: AskId,
-    /// The team.
+    /// The team whose tokens were requested.
     pub team: TeamName,
-    /// Tokens that are lent: none, or what is needed and more.
+    /// Tokens lent; zero if the lender has too few.
     pub tokens: u32,
-    /// When tokens will be there for whoever got none, in milliseconds.
+    /// If no tokens were lent to a node: when to ask again, in milliseconds from now.
     pub wait_ms: u32,
 }
 
 /// A message about quotas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaMessage {
-    /// From a node to a lender.
+    /// Node to lender: a request for tokens.
     Ask(Ask),
-    /// From a lender to a lender of another failure domain.
+    /// Lender to the lender of another failure domain: a request for tokens.
     LenderAsk(Ask),
-    /// From a lender to the node that asked.
+    /// Lender to node: the reply to its request.
     Lent(Lent),
-    /// From a lender to the lender that asked.
+    /// Lender to lender: the reply to its request.
     LenderLent(Lent),
 }
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -1,40 +1,40 @@
-//! What a team may ask for, and how exactly that is kept over all nodes.
+//! A team's quota, and how far all nodes together may exceed it.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use nutmegsail_base::TeamName;
 
-/// How long borrowed tokens may be spent, from when they were asked for. A request may wait that long
-/// for its adapter; what is not spent by then is lost to the team.
+/// How long borrowed tokens can be spent, counted from the request for them. A request may wait
+/// this long for its adapter; tokens that are unspent by then are lost to the team.
 pub const GRANT_LIFE: Duration = Duration::from_millis(600);
 
-/// The part of the tolerance that buckets use. The rest covers clocks that run apart and requests
-/// that wait at an upstream's door.
+/// Share of the tolerated overrun that the buckets use. The rest covers clocks that run at
+/// different speeds and requests that wait in front of an upstream.
 const USED_TOLERANCE: f64 = 0.85;
 
-/// The quotas of all teams that have one, by the team's name.
+/// Quotas by team name. A team that is not listed has no quota.
 pub type Quotas = HashMap<TeamName, Quota>;
 
-/// What a team may ask for over all nodes.
+/// The rate and burst that a team is limited to over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Tokens in a second.
+    /// Sustained rate, in tokens per second.
     pub tokens_per_s: f64,
-    /// Tokens that may be asked for at once after a pause.
+    /// Tokens that a team can spend at once after a pause.
     pub burst_tokens: f64,
 }
 
-/// How far all nodes together may miss a quota, as agreed with the operators.
+/// How far all nodes together may exceed a quota, as agreed with the operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaBounds {
-    /// The window in which tokens are counted.
+    /// Length of the window over which spent tokens are counted.
     pub window: Duration,
-    /// Tokens beyond a quota that are tolerated in a window, as a part of the quota.
+    /// Tolerated overrun per window, as a fraction of the quota.
     pub over_ratio: f64,
-    /// Tokens that are tolerated besides.
+    /// Tolerated overrun per window in tokens, in addition to `over_ratio`.
     pub slack_tokens: f64,
-    /// Failure domains, each with a lender.
+    /// Number of failure domains. Each has one lender.
     pub failure_domains: u32,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl QuotaBounds {
-    /// The most tokens of a team that all nodes together spend in one window.
+    /// Maximum number of a team's tokens that all nodes together spend in one window.
     ///
     /// ```
     /// use nutmegsail_quota::{Quota, QuotaBounds};
@@ -63,27 +63,28 @@
         within * (1.0 + self.over_ratio) + self.slack_tokens
     }
 
-    /// Tokens that one lender fills in, in a second.
+    /// Refill rate of one lender's bucket, in tokens per second.
     ///
-    /// In a window all lenders lend what they fill in and what their buckets held at its start, and nodes
-    /// spend besides what was lent in the [`GRANT_LIFE`] before. So what a window allows beyond the buckets is
-    /// filled in over both.
+    /// The tokens spent in a window come from three sources: what the buckets held at its start,
+    /// what they refill during it, and what nodes borrowed in the [`GRANT_LIFE`] before it. So the
+    /// window's limit, less the capacity of the buckets, is refilled over the window plus
+    /// [`GRANT_LIFE`].
     pub(crate) fn lender_rate(&self, quota: Quota) -> f64 {
         let filled = (self.used_limit(quota) - self.capacity(quota)).max(0.0);
         filled / (self.window + GRANT_LIFE).as_secs_f64() / self.lenders()
     }
 
-    /// What one lender's bucket holds at most.
+    /// Capacity of one lender's bucket, in tokens.
     pub(crate) fn lender_capacity(&self, quota: Quota) -> f64 {
         self.capacity(quota) / self.lenders()
     }
 
-    /// What all buckets hold at most: a team may ask for its burst at once.
+    /// Capacity of all buckets together: enough for a team to spend its whole burst at once.
     fn capacity(&self, quota: Quota) -> f64 {
         quota.burst_tokens + self.slack_tokens * USED_TOLERANCE
     }
 
-    /// The part of [`QuotaBounds::window_limit`] that is used.
+    /// [`QuotaBounds::window_limit`] with only [`USED_TOLERANCE`] of the tolerated overrun.
     fn used_limit(&self, quota: Quota) -> f64 {
         let within = quota.tokens_per_s * self.window.as_secs_f64() + quota.burst_tokens;
         within * (1.0 + self.over_ratio * USED_TOLERANCE) + self.slack_tokens * USED_TOLERANCE
--- a/crates/quota/tests/lending.rs
+++ b/crates/quota/tests/lending.rs
@@ -1,4 +1,4 @@
-//! Lenders and accounts: what each team gets.
+//! What lenders and accounts give each team.
 
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Asks until the lender refuses; returns what it lent.
+/// Borrows until the lender refuses; returns the number of tokens lent.
 fn drain(lender: &mut Lender, need_tokens: u32, now: Duration) -> u32 {
     let mut all = 0;
     loop {
@@ -52,13 +52,14 @@
     }
 }
 
-// Guards against a second burst: a lender that starts after another may not lend what that one lent already.
+// Guards against a second burst when a lender is replaced: the new one must not lend tokens that
+// the previous one may have lent already.
 #[test]
 fn a_lender_after_another_begins_with_nothing() {
     let mut lender = lender(FirstFill::Empty);
     assert_eq!(drain(&mut lender, 100, Duration::ZERO), 0);
     let after = drain(&mut lender, 100, SECOND);
-    // Its part of the rate, and of what a window allows beyond that.
+    // Its share of the rate and of the tolerated overrun, per second of the window.
     let most = three_domains().window_limit(QUOTA) / 3.0 / 8.0;
     assert!(
         after >= 900 && f64::from(after) <= most,
@@ -74,7 +75,7 @@
     assert!(all > 1_000 && f64::from(all) < limit, "{all} of {limit}");
 }
 
-// Guards against spending the old quota's burst after operators have lowered the quota.
+// Guards against lending the old quota's burst after operators have lowered the quota.
 #[test]
 fn a_lower_quota_takes_away_what_its_bucket_cannot_hold() {
     let mut lender = lender(FirstFill::Full);
@@ -94,7 +95,7 @@
     assert!(drain(&mut lender, 1, Duration::ZERO) < 5_000);
 }
 
-// Guards against a second burst for a team whose quota was taken away and given back.
+// Guards against a second burst for a team whose quota was removed and restored.
 #[test]
 fn a_quota_that_returns_brings_no_second_burst() {
     let mut lender = lender(FirstFill::Full);
@@ -116,8 +117,8 @@
     assert!(waits[2].abs_diff(3 * waits[0]) <= 2, "{waits:?}");
 }
 
-// Guards against refusing a team whose callers are all in one failure domain while the tokens of the others
-// lie unused.
+// Guards against refusing a team whose callers are all in one failure domain while the other
+// domains have unused tokens.
 #[test]
 fn a_lender_borrows_what_its_callers_need_from_the_others() {
     let (mut here, mut there) = (lender(FirstFill::Empty), lender(FirstFill::Full));
@@ -126,7 +127,7 @@
     let borrow = here.borrow(&team, 1, Duration::ZERO);
     assert!(
         here.borrow(&team, 1, Duration::ZERO).is_empty(),
-        "not at each ask"
+        "lenders are not asked for every refused request"
     );
     let lent = there.lender_ask(&borrow[0], Duration::ZERO);
     assert_eq!(lent.tokens, 1_500);
@@ -134,7 +135,7 @@
     assert_eq!(here.ask(&ask(1_500), Duration::ZERO).tokens, 1_500);
 }
 
-// Guards against a datagram that comes twice and fills a bucket twice.
+// Guards against adding the tokens of a duplicated datagram twice.
 #[test]
 fn a_loan_that_comes_twice_counts_once() {
     let (mut here, mut there) = (lender(FirstFill::Empty), lender(FirstFill::Full));
@@ -148,7 +149,7 @@
     assert_eq!(here.ask(&ask(1_500), Duration::ZERO).tokens, 0);
 }
 
-// Guards against an answer to the lender before, whose tokens are counted as spent.
+// Guards against accepting a reply meant for the previous lender, whose tokens count as spent.
 #[test]
 fn a_lender_that_starts_anew_takes_no_loan_that_it_did_not_ask_for() {
     let mut there = lender(FirstFill::Full);
@@ -185,7 +186,7 @@
     assert_eq!(lenders[0].ask(&ask(need), Duration::ZERO).tokens, need);
 }
 
-// Guards against tokens that live on in a node which was frozen, or whose answer came late.
+// Guards against spending expired tokens after a node was frozen or a reply came late.
 #[test]
 fn borrowed_tokens_expire_by_the_time_of_the_ask() {
     let (mut account, team) = (Account::default(), TeamName::from("desk"));
--- a/crates/quota/tests/promise.rs
+++ b/crates/quota/tests/promise.rs
@@ -1,4 +1,4 @@
-//! The promise: in no window do all nodes together spend more than the limit.
+//! All nodes together never spend more than the limit in any window.
 
 mod world;
 
@@ -13,8 +13,8 @@
         ..ProptestConfig::default()
     })]
 
-    // Guards against tokens that exist twice: by a lender that restarts or changes hands, a cut, lost or late
-    // messages, a node that was frozen.
+    // Guards against spending tokens twice: after a lender restarts or moves to another node, after
+    // a partition, after lost, late or duplicated messages, or when a frozen node resumes.
     #[test]
     fn no_window_passes_the_limit_whatever_fails(
         seed in any::<u64>(),
@@ -31,7 +31,7 @@
     }
 }
 
-// Guards against a bucket that keeps its promise by refusing what is within the quota.
+// Guards against keeping the limit by refusing requests that are within the quota.
 #[test]
 fn a_team_within_its_quota_is_hardly_refused() {
     let mut world = World::new(7);
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -1,4 +1,5 @@
-//! Nodes and lenders of three failure domains, with messages that are late, lost and cut off.
+//! Simulates nodes and lenders in three failure domains, with delayed, lost and duplicated messages
+//! and network partitions.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
@@ -13,20 +14,20 @@
 const REQUEST_TOKENS: u32 = 1_500;
 const HEDGE_AFTER: Duration = Duration::from_millis(40);
 
-/// What strikes the world.
+/// A fault, or a change of the conditions, to inject into the simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// A lender starts anew, or another node takes it over.
+    /// The lender of a failure domain restarts, or another node takes over its role.
     LenderRestarts(usize),
-    /// A failure domain is cut off, or heard again.
+    /// Toggles whether a failure domain is cut off from the others.
     Cut(usize),
-    /// A node stands still, or goes on.
+    /// Toggles whether a node is frozen.
     Freeze(usize),
-    /// A node starts anew.
+    /// A node restarts and loses its state.
     NodeRestarts(usize),
-    /// Messages take so many steps.
+    /// Sets the maximum message delay, in steps.
     Delay(u32),
-    /// The demand changes, in tenths of the quota.
+    /// Sets the demand, in tenths of the quota.
     Demand(u32),
 }
 
@@ -88,12 +89,13 @@
 struct Node {
     account: Account,
     is_frozen: bool,
-    /// Requests that wait for tokens, with when they give up.
+    /// For each request that waits for tokens, the time at which it gives up.
     waiting: VecDeque<Duration>,
-    /// When it asked last, and how often without an answer.
+    /// When the node last asked a lender.
     asked_at: Duration,
+    /// How many times it has asked since the last reply.
     unanswered: usize,
-    /// Asks without an answer. A second answer to one is none, as with a node's own client.
+    /// Requests without a reply. Duplicate replies are ignored, as in a real node.
     open: HashSet<AskId>,
 }
 
@@ -109,7 +111,7 @@
     sent: Vec<Sent>,
     spent: Vec<(Duration, u32)>,
     state: u64,
-    /// What callers ask for, as a part of the quota.
+    /// The callers' demand, as a fraction of the quota.
     pub demand_share: f64,
     pub asked: u32,
     pub refused: u32,
@@ -157,7 +159,7 @@
         lender
     }
 
-    /// A number from 0 up to 1, by a xorshift generator.
+    /// A random number in [0, 1) from a xorshift generator.
     fn draw(&mut self) -> f64 {
         self.state ^= self.state << 13;
         self.state ^= self.state >> 7;
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Plays one step of time.
+    /// Advances the simulation by one step.
     pub fn step(&mut self) {
         self.now += STEP;
         self.arrive();
@@ -187,7 +189,7 @@
         let mut requests = rate / f64::from(REQUEST_TOKENS);
         while requests > 0.0 {
             if self.draw() < requests {
-                // Half of the callers are in the first failure domain.
+                // Half of the requests go to the first failure domain; the rest to all nodes.
                 let place = match self.draw() < 0.5 {
                     true => (self.draw() * 4.0) as usize * DOMAINS,
                     false => (self.draw() * NODES as f64) as usize,
@@ -227,7 +229,7 @@
         let ask = place.account.ask(&team, REQUEST_TOKENS, now);
         place.open.insert(ask.id);
         place.asked_at = now;
-        // Another lender is asked where the nearest does not answer.
+        // Ask the own failure domain's lender first, then the next one if there was no reply.
         let (home, asked) = ((node + place.unanswered) % DOMAINS, now);
         place.unanswered += 1;
         self.send(node % DOMAINS, home, &Message::Ask { node, asked, ask });
--- a/crates/store/src/encoding.rs
+++ b/crates/store/src/encoding.rs
@@ -1,4 +1,4 @@
-//! How the calls of a key-value service look on the wire.
+//! Translation between key-value operations and the HTTP calls of a particular service.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -9,19 +9,19 @@
 
 use crate::{Changes, Item, KeyValueError, LeaseGrant, LeaseId, Page, Revision, Txn};
 
-/// A call as it goes out.
+/// An HTTP request to the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path with its query, percent-encoded.
+    /// Path and query, percent-encoded.
     pub path_and_query: String,
-    /// The body; empty if the call has none.
+    /// The body; may be empty.
     pub body: Bytes,
 }
 
 impl StoreRequest {
-    /// A call without a body.
+    /// Creates a request without a body.
     ///
     /// ```
     /// use nutmegsail_store::StoreRequest;
@@ -36,14 +36,14 @@
         }
     }
 
-    /// The same call with a body.
+    /// Sets the body.
     pub fn with_body(mut self, body: impl Into<Bytes>) -> Self {
         self.body = body.into();
         self
     }
 }
 
-/// Why a body could not be written or read.
+/// A request body that could not be encoded, or a response body that could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct EncodingError(pub String);
@@ -60,68 +60,69 @@
     }
 }
 
-/// Paths and bodies of one kind of key-value service.
+/// Encodes the requests and decodes the responses of one kind of key-value service.
 ///
-/// [`HttpKeyValue`](crate::HttpKeyValue) makes the calls and knows what a status or a missing
-/// answer means; an encoding only translates. It writes revisions and leases as the service's own numbers, and
-/// reads them without eras.
+/// [`HttpKeyValue`](crate::HttpKeyValue) makes the calls and interprets status codes and missing
+/// responses; an encoding only translates. It encodes revisions and lease ids as the service's own
+/// numbers and decodes them without an era.
 pub trait StoreEncoding: Send + Sync + Debug {
-    /// Reads one key.
+    /// Encodes a read of one key.
     fn get(&self, key: &str) -> StoreRequest;
-    /// Reads the keys that begin with `prefix`, after the key `after` if given.
+    /// Encodes a read of the keys that begin with `prefix`, starting after the key `after` if
+    /// given.
     fn range(&self, prefix: &str, after: Option<&str>) -> StoreRequest;
-    /// Waits for changes.
+    /// Encodes a watch that waits up to `wait` for changes after a revision.
     fn watch(&self, prefix: &str, after: Revision, wait: Duration) -> StoreRequest;
-    /// Writes a transaction.
+    /// Encodes a transaction.
     ///
     /// # Errors
     ///
-    /// If a value cannot be carried.
+    /// If a value cannot be represented in a request.
     fn commit(&self, txn: &Txn) -> Result<StoreRequest, EncodingError>;
-    /// Grants a lease.
+    /// Encodes the grant of a lease.
     fn grant_lease(&self, ttl: Duration) -> StoreRequest;
-    /// Renews a lease.
+    /// Encodes the renewal of a lease.
     fn keep_lease(&self, lease: LeaseId) -> StoreRequest;
-    /// Ends a lease.
+    /// Encodes the revocation of a lease.
     fn end_lease(&self, lease: LeaseId) -> StoreRequest;
 
-    /// The service's era, if an answer tells it.
+    /// Reads the service's era from a response's headers, if they contain it.
     fn era(&self, headers: &HeaderMap) -> Option<StoreEra>;
 
-    /// The answer to [`get`](Self::get).
+    /// Decodes the response to [`get`](Self::get).
     ///
     /// # Errors
     ///
-    /// If the body cannot be read, as for all that follow.
+    /// If the body cannot be decoded.
     fn item(&self, body: &[u8]) -> Result<Item, EncodingError>;
-    /// The answer to [`range`](Self::range).
+    /// Decodes the response to [`range`](Self::range).
     ///
     /// # Errors
     ///
-    /// If the body cannot be read.
+    /// If the body cannot be decoded.
     fn page(&self, body: &[u8]) -> Result<Page, EncodingError>;
-    /// The answer to [`watch`](Self::watch).
+    /// Decodes the response to [`watch`](Self::watch).
     ///
     /// # Errors
     ///
-    /// If the body cannot be read.
+    /// If the body cannot be decoded.
     fn changes(&self, body: &[u8]) -> Result<Changes, EncodingError>;
-    /// The answer to [`commit`](Self::commit).
+    /// Decodes the response to [`commit`](Self::commit).
     ///
     /// # Errors
     ///
-    /// If the body cannot be read.
+    /// If the body cannot be decoded.
     fn committed(&self, body: &[u8]) -> Result<Revision, EncodingError>;
-    /// The items as they are, when a condition of a transaction did not hold.
+    /// Decodes the response to a transaction whose conditions did not hold: the current items.
     ///
     /// # Errors
     ///
-    /// If the body cannot be read.
+    /// If the body cannot be decoded.
     fn conflict(&self, body: &[u8]) -> Result<Vec<Item>, EncodingError>;
-    /// The answer to [`grant_lease`](Self::grant_lease).
+    /// Decodes the response to [`grant_lease`](Self::grant_lease).
     ///
     /// # Errors
     ///
-    /// If the body cannot be read.
+    /// If the body cannot be decoded.
     fn granted(&self, body: &[u8]) -> Result<LeaseGrant, EncodingError>;
 }
--- a/crates/store/src/http_call.rs
+++ b/crates/store/src/http_call.rs
@@ -1,4 +1,5 @@
-//! One HTTP call to the platform, with what is known when it fails.
+//! A single HTTP call to the platform, which reports on failure whether the request may have
+//! arrived.
 
 use std::time::Duration;
 
@@ -10,19 +11,19 @@
 
 use crate::StoreRequest;
 
-/// The largest answer that is read, in bytes. A page of values is far below.
+/// Maximum size of a response body. A page of values is far smaller.
 const ANSWER_LIMIT_BYTES: usize = 64 * 1024 * 1024;
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallError {
-    /// Nothing was sent.
+    /// The request was not sent.
     NotSent,
-    /// The call may have arrived; no whole answer came back.
+    /// The request may have arrived, but no complete response came back.
     NoAnswer,
 }
 
-/// A whole answer.
+/// A complete response.
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
@@ -30,10 +31,10 @@
 }
 
 impl StoreRequest {
-    /// Makes the call once, within `deadline` from sending to the last byte of the answer.
+    /// Sends the request once. `deadline` limits the time until the last byte of the response.
     ///
-    /// A frozen service keeps its connections open and says nothing, so only the timeout ends such
-    /// a call; what it may have done is unknown then.
+    /// A frozen service keeps its connections open without responding, so only the timeout ends
+    /// such a call. Whether the service has executed it is unknown then.
     pub(crate) async fn send(
         self,
         pool: &Pool,
--- a/crates/store/src/http_key_value.rs
+++ b/crates/store/src/http_key_value.rs
@@ -1,4 +1,4 @@
-//! The key-value service over HTTP.
+//! HTTP client of the platform's key-value service.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -14,7 +14,7 @@
     OwnEncoding, Page, PlatformSettings, Revision, StoreEncoding, StoreRequest, Txn,
 };
 
-/// [`KeyValue`] over HTTP/1.1. Each call goes out at most once.
+/// [`KeyValue`] over HTTP/1.1. A call is sent at most once and never retried here.
 ///
 /// ```
 /// use nutmegsail_store::{HttpKeyValue, PlatformSettings};
@@ -26,11 +26,11 @@
     settings: PlatformSettings,
     encoding: Arc<dyn StoreEncoding>,
     pool: Pool,
-    /// The newest era that an answer has told.
+    /// The newest era seen in a response.
     era: Arc<Mutex<Option<StoreEra>>>,
 }
 
-/// Whether a call changes anything, which decides what a missing answer means.
+/// Whether a call only reads or may write. It decides which error a missing response becomes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Effect {
     Read,
@@ -38,10 +38,11 @@
 }
 
 impl Effect {
-    /// What is known when the call may have arrived and no readable answer came.
+    /// The error for a call that may have arrived but got no usable response.
     ///
-    /// A write whose answer was lost may have taken effect, or may yet. Reported as "not
-    /// available" it would be written again, or a claim thought free that is taken.
+    /// A write whose response was lost may have taken effect or may still do so. If it were
+    /// reported as [`KeyValueError::Unavailable`], the caller would write it again, or assume that
+    /// a claim is free although it is taken.
     fn without_answer(self) -> KeyValueError {
         match self {
             Self::Read => KeyValueError::Unavailable,
@@ -58,12 +59,12 @@
 }
 
 impl HttpKeyValue {
-    /// A client of nutmegsail's own stand-in at `settings.address`. Nothing is sent yet.
+    /// Creates a client of nutmegsail's own stand-in at `settings.address`. Sends nothing yet.
     pub fn new(settings: PlatformSettings) -> Self {
         Self::with_encoding(settings, Arc::new(OwnEncoding))
     }
 
-    /// A client of a service that speaks `encoding`. Nothing is sent yet.
+    /// Creates a client of a service that uses `encoding`. Sends nothing yet.
     pub fn with_encoding(settings: PlatformSettings, encoding: Arc<dyn StoreEncoding>) -> Self {
         let pool = Pool::new(settings.pool());
         Self {
@@ -109,7 +110,8 @@
             .await
     }
 
-    /// The answer with its era; nothing if a later one is known, as what it says is gone.
+    /// Adds the era to a response and records it. `None` if a later era is known already: the
+    /// response then describes a state that was lost in a restore.
     fn told(&self, answer: Answer) -> Option<Told> {
         let mut known = self.known_era();
         let era = self.encoding.era(&answer.headers).or(*known);
@@ -135,8 +137,8 @@
         }
     }
 
-    /// Refuses what a transaction names of another era than the one that is known: the service would take other
-    /// revisions and leases for it, which have the same numbers.
+    /// Rejects a transaction with revisions or leases of another era than the known one. The
+    /// service would mistake them for those of its current era that have the same numbers.
     fn check_eras(&self, txn: &Txn) -> Result<(), KeyValueError> {
         let Some(known) = self.era() else {
             return Ok(());
@@ -157,7 +159,7 @@
     }
 }
 
-/// A whole answer with the era that it counts in.
+/// A complete response with the era of its revisions and lease ids.
 struct Told {
     answer: Answer,
     era: StoreEra,
@@ -187,7 +189,7 @@
     }
 }
 
-/// Whether a transaction names revisions or leases of another era than `era`.
+/// Whether a transaction contains revisions or leases of another era than `era`.
 fn names_outside(txn: &Txn, era: StoreEra) -> bool {
     expects_outside(txn, era) || leases_outside(txn, era)
 }
@@ -240,7 +242,7 @@
         let deadline = wait + self.settings.call_timeout;
         let told = found(self.call(Effect::Read, call, deadline).await?)?;
         if after.is_outside(told.era) {
-            // The position was taken for one of another history.
+            // The service took the position for a revision of its current era.
             return Err(KeyValueError::Compacted);
         }
         let changes = self.encoding.changes(&told.answer.body)?;
@@ -288,7 +290,7 @@
         }
         let told = lease_found(self.write(self.encoding.keep_lease(lease)).await?)?;
         match lease.is_outside(told.era) {
-            // Another lease has its number now.
+            // The service renewed another lease that has the same number now.
             true => Err(KeyValueError::LeaseGone),
             false => Ok(()),
         }
@@ -296,10 +298,10 @@
 
     async fn end_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
         if self.is_outside(lease) {
-            // It is gone, and another one may have its number.
+            // The lease was lost in a restore, and another one may have its number now.
             return Ok(());
         }
-        // A lease that is gone already has ended.
+        // A response with status 404 means that the lease has ended already: also a success.
         self.write(self.encoding.end_lease(lease)).await?;
         Ok(())
     }
--- a/crates/store/src/http_vm_list.rs
+++ b/crates/store/src/http_vm_list.rs
@@ -1,4 +1,4 @@
-//! The list of VMs over HTTP.
+//! HTTP client of the platform's VM list.
 
 use async_trait::async_trait;
 use http::{Method, StatusCode};
@@ -26,7 +26,7 @@
 }
 
 impl HttpVmList {
-    /// A client of the list at `settings.address`. Nothing is sent yet.
+    /// Creates a client of the VM list at `settings.address`. Sends nothing yet.
     pub fn new(settings: PlatformSettings) -> Self {
         let pool = Pool::new(settings.pool());
         Self { settings, pool }
--- a/crates/store/src/key_value.rs
+++ b/crates/store/src/key_value.rs
@@ -1,4 +1,4 @@
-//! The trait of the platform's key-value service.
+//! [`KeyValue`], the trait of the platform's key-value service, and its types.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,8 +10,11 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The service's change counter, with the era that it counts in; [`Revision::NONE`] stands for "does not exist". It only
-/// rises: the service's own counter goes back when it comes back from an older copy, and the era rises then.
+/// The service's change counter together with its era; [`Revision::NONE`] means that a key does not
+/// exist.
+///
+/// Revisions only increase. A restore from a backup sets the service's counter back, but increments
+/// the era, which is compared first.
 ///
 /// ```
 /// use nutmegsail_base::StoreEra;
@@ -39,42 +42,42 @@
 pub struct Revision(StoreNumber);
 
 impl Revision {
-    /// Stands for a key that does not exist.
+    /// The revision of a key that does not exist.
     pub const NONE: Self = Self(StoreNumber::NONE);
 
-    /// The revision that the service calls `number` in `era`.
+    /// The revision with the service's number `number` in `era`.
     pub const fn of(era: StoreEra, number: u64) -> Self {
         Self(StoreNumber::of(era, number))
     }
 
-    /// The revision that a service calls `number` which tells no era.
+    /// The revision `number` of a service that reports no era.
     pub const fn plain(number: u64) -> Self {
         Self(StoreNumber::plain(number))
     }
 }
 
-/// A lease of the key-value service, with the era that it was granted in; [`LeaseId::NONE`] stands for "none".
+/// The id of a lease together with the era in which it was granted.
 #[derive(
     Clone, Copy, Debug, Default, Deref, Display, PartialEq, Eq, Hash, Serialize, Deserialize,
 )]
 pub struct LeaseId(StoreNumber);
 
 impl LeaseId {
-    /// Stands for no lease.
+    /// No lease.
     pub const NONE: Self = Self(StoreNumber::NONE);
 
-    /// The lease that the service calls `number` in `era`.
+    /// The lease with the service's number `number` in `era`.
     pub const fn of(era: StoreEra, number: u64) -> Self {
         Self(StoreNumber::of(era, number))
     }
 
-    /// The lease that a service calls `number` which tells no era.
+    /// The lease `number` of a service that reports no era.
     pub const fn plain(number: u64) -> Self {
         Self(StoreNumber::plain(number))
     }
 }
 
-/// A stored value with the revision that wrote it.
+/// A key with its value and the revision that last wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
     /// The key, at most 200 bytes.
@@ -83,22 +86,22 @@
     pub value: Bytes,
     /// The revision of its last change.
     pub revision: Revision,
-    /// The lease that removes it when it ends.
+    /// The lease to which the item is bound: when it ends, the item is removed.
     pub lease: LeaseId,
 }
 
-/// Some items of a range, with the key to go on from.
+/// One page of a range. The next page starts after its last key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// Items in order of their keys.
+    /// Items ordered by key.
     pub items: Vec<Item>,
-    /// Whether more items follow the last one.
+    /// Whether the range has more items after this page.
     pub has_more: bool,
-    /// The service's revision at the read.
+    /// The service's revision when the page was read.
     pub revision: Revision,
 }
 
-/// One change that a watch saw.
+/// One change reported by a watch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// The item was written.
@@ -130,16 +133,17 @@
     }
 }
 
-/// What a watch returned. An empty list means the wait ran out.
+/// The result of a watch. An empty list means that nothing changed within the wait.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     /// The changes, oldest first.
     pub changes: Vec<Change>,
-    /// The revision to watch from next.
+    /// The revision after which the next watch continues.
     pub revision: Revision,
 }
 
-/// A condition of a transaction: the key has this revision ([`Revision::NONE`]: it does not exist).
+/// A condition of a transaction: the key has this revision, or does not exist if it is
+/// [`Revision::NONE`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Expect {
     /// The key.
@@ -155,23 +159,23 @@
     pub key: Arc<str>,
     /// The new value.
     pub value: Bytes,
-    /// The lease to bind it to, or none.
+    /// The lease to bind the key to, or [`LeaseId::NONE`].
     pub lease: LeaseId,
 }
 
-/// An all-or-nothing write of at most 32 entries.
+/// A transaction of at most 32 entries that takes effect completely or not at all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
-    /// Conditions; all must hold.
+    /// Conditions that must all hold.
     pub expects: Vec<Expect>,
-    /// Writes.
+    /// Keys to write.
     pub puts: Vec<Put>,
     /// Keys to remove.
     pub removes: Vec<Arc<str>>,
 }
 
 impl Txn {
-    /// A compare-and-swap of one key: writes `value` if the key still has `revision`.
+    /// A compare-and-swap of one key: writes `value` if the key has `revision`.
     ///
     /// ```
     /// use nutmegsail_store::{Revision, Txn};
@@ -193,49 +197,50 @@
     }
 }
 
-/// A lease as granted.
+/// The result of granting a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseGrant {
     /// The lease.
     pub lease: LeaseId,
-    /// How long it lives from the arrival of the call.
+    /// How long it lasts after the service received the call.
     pub ttl: Duration,
 }
 
 /// Why a call to the key-value service failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum KeyValueError {
-    /// A condition did not hold; nothing was written. `current` are the items as they are now.
+    /// A condition of the transaction did not hold; nothing was written.
     #[error("a condition of the transaction did not hold")]
     Conflict {
-        /// The items named in the conditions that exist, as they are now.
+        /// The current items of the keys in the conditions, as far as they exist.
         current: Vec<Item>,
     },
-    /// The call was over the rate limit; nothing was done.
+    /// The call exceeded the rate limit and was not executed.
     #[error("the key-value service refused the call: too many calls")]
     Refused,
-    /// The service said that it did nothing, or no connection could be made.
+    /// The service reported that it did not execute the call, or no connection could be made.
     #[error("the key-value service is not available")]
     Unavailable,
-    /// No answer came after the call was sent; a write may have taken effect, or may yet.
-    #[error("no answer came from the key-value service; a write may have taken effect")]
+    /// No usable response came after the call was sent. A write may have taken effect or may still
+    /// do so.
+    #[error("no response came from the key-value service; a write may have taken effect")]
     Ambiguous,
-    /// The history from this revision on is gone; read the range anew.
-    #[error("the history from this revision is gone")]
+    /// The service no longer has the changes after this revision; read the range again.
+    #[error("the key-value service no longer has the changes after this revision")]
     Compacted,
     /// The lease has ended.
     #[error("the lease has ended")]
     LeaseGone,
-    /// A key or value is over its limit, or there are too many entries.
-    #[error("a key or value is over the limit of the key-value service")]
+    /// A key or value is too large, or a transaction has too many entries.
+    #[error("a key, value or transaction exceeds a limit of the key-value service")]
     TooLarge,
-    /// The answer could not be read.
-    #[error("the key-value service answered what cannot be read: {0}")]
+    /// The response could not be decoded.
+    #[error("the response of the key-value service cannot be decoded: {0}")]
     Malformed(String),
 }
 
 impl KeyValueError {
-    /// The numbered result for operators and callers.
+    /// The result code reported to operators and callers.
     pub fn code(&self) -> ResultCode {
         match self {
             Self::Conflict { .. } | Self::Refused | Self::TooLarge => ResultCode::PlatformRefused,
@@ -247,33 +252,35 @@
     }
 }
 
-/// The platform's key-value service. Reads are linearizable; every call counts against its rates.
+/// The platform's key-value service. Reads are linearizable. Every call counts against its rate
+/// limits.
 ///
-/// It may come back from an older copy of itself, in a new era. Positions, leases and conditions of before do not hold
-/// then: watches end with [`KeyValueError::Compacted`], leases with [`KeyValueError::LeaseGone`].
+/// The service may be restored from a backup, which starts a new era. Revisions and leases of
+/// earlier eras are no longer valid then: watches end with [`KeyValueError::Compacted`], leases
+/// with [`KeyValueError::LeaseGone`], and conditions do not hold.
 #[async_trait]
 pub trait KeyValue: Send + Sync + std::fmt::Debug {
-    /// The newest era that an answer has told; nothing if the service tells none.
+    /// The newest era seen in a response; `None` if the service reports no era.
     fn era(&self) -> Option<StoreEra> {
         None
     }
     /// Reads one key.
     async fn get(&self, key: &str) -> Result<Option<Item>, KeyValueError>;
-    /// Reads the keys that begin with `prefix`, after the key `after` if given.
+    /// Reads a page of the keys that begin with `prefix`, starting after the key `after` if given.
     async fn range(&self, prefix: &str, after: Option<&str>) -> Result<Page, KeyValueError>;
-    /// Waits up to `wait` for changes after `after` to keys that begin with `prefix`.
+    /// Waits up to `wait` for changes after the revision `after` to keys that begin with `prefix`.
     async fn watch(
         &self,
         prefix: &str,
         after: Revision,
         wait: Duration,
     ) -> Result<Changes, KeyValueError>;
-    /// Writes all of `txn` or nothing.
+    /// Executes a transaction completely or not at all.
     async fn commit(&self, txn: Txn) -> Result<Revision, KeyValueError>;
     /// Grants a lease.
     async fn grant_lease(&self, ttl: Duration) -> Result<LeaseGrant, KeyValueError>;
     /// Renews a lease.
     async fn keep_lease(&self, lease: LeaseId) -> Result<(), KeyValueError>;
-    /// Ends a lease and removes its keys.
+    /// Ends a lease, which removes the keys bound to it.
     async fn end_lease(&self, lease: LeaseId) -> Result<(), KeyValueError>;
 }
--- a/crates/store/src/key_value_json.rs
+++ b/crates/store/src/key_value_json.rs
@@ -1,4 +1,4 @@
-//! The JSON that the key-value service speaks.
+//! JSON request and response bodies of [`OwnEncoding`](crate::OwnEncoding).
 
 use std::sync::Arc;
 
@@ -120,7 +120,7 @@
 }
 
 impl<'a> TxnJson<'a> {
-    /// The transaction as JSON; an error if a value is not UTF-8, since values travel as text.
+    /// Fails if a value is not UTF-8: values are JSON strings.
     pub(crate) fn new(txn: &'a Txn) -> Result<Self, std::str::Utf8Error> {
         let expects = txn.expects.iter().map(|expect| ExpectJson {
             key: &expect.key,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,8 @@
-//! The platform as nutmegsail sees it: the key-value service and the VM list.
+//! Clients of the platform: its key-value service and its VM list.
 //!
-//! [`KeyValue`] and [`VmList`] are the traits that everything else uses; [`HttpKeyValue`] and
-//! [`HttpVmList`] speak to the platform. This crate translates and decides nothing; above all it
-//! never sends a write a second time by itself. Start at [`KeyValue`].
+//! Other crates use the traits [`KeyValue`] and [`VmList`]; [`HttpKeyValue`] and [`HttpVmList`]
+//! implement them over HTTP. This crate only translates calls: in particular it never retries a
+//! write. Start at [`KeyValue`].
 
 mod encoding;
 mod http_call;
--- a/crates/store/src/own_encoding.rs
+++ b/crates/store/src/own_encoding.rs
@@ -1,4 +1,4 @@
-//! The encoding that nutmegsail's own stand-in speaks.
+//! The encoding of nutmegsail's own stand-in for the key-value service.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
     Txn,
 };
 
-/// Rises by one each time that the service comes back from an older copy of itself.
+/// Header with the service's [`StoreEra`].
 const ERA: HeaderName = HeaderName::from_static("store-era");
 
-/// JSON under `/v1/kv/`; values travel as text.
+/// JSON under `/v1/kv/`, with values as strings.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OwnEncoding;
 
--- a/crates/store/src/platform_settings.rs
+++ b/crates/store/src/platform_settings.rs
@@ -1,4 +1,4 @@
-//! Where the platform is and how long its calls may take.
+//! Address and timeouts of a platform service.
 
 use std::time::Duration;
 
@@ -15,9 +15,9 @@
 pub struct PlatformSettings {
     /// The service's `host:port`.
     pub address: String,
-    /// How long one call may take; a watch may take this much longer than it waits.
+    /// Timeout of one call. For a watch it is added to the time that the watch waits.
     pub call_timeout: Duration,
-    /// How long opening a connection may take.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl PlatformSettings {
-    /// The default timeouts, with the service at `address` (`host:port`).
+    /// Settings for the service at `address` (`host:port`) with the default timeouts.
     pub fn at(address: impl Into<String>) -> Self {
         Self {
             address: address.into(),
--- a/crates/store/src/vm_list.rs
+++ b/crates/store/src/vm_list.rs
@@ -1,57 +1,58 @@
-//! The trait of the platform's list of VMs.
+//! [`VmList`], the trait of the platform's list of VMs, and its types.
 
 use async_trait::async_trait;
 use nutmegsail_base::{FailureDomain, NodeId};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// What a VM is for.
+/// What a VM runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmDuty {
-    /// It runs a node of nutmegsail.
+    /// A node of nutmegsail.
     Entry,
-    /// It runs an upstream.
+    /// An upstream.
     Upstream,
 }
 
-/// How a VM stands, as far as the platform knows.
+/// State of a VM as the platform reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// It runs.
+    /// Running.
     Live,
-    /// It is about to be taken away and wants no new work.
+    /// About to be removed; it should get no new requests.
     Leaving,
 }
 
 /// One VM of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// The VM's name; for an entry VM the id of its node.
+    /// The VM's name. For an entry VM this is also its node's id.
     pub id: NodeId,
-    /// `host:port`: an entry VM's address for other nodes, or an upstream's address.
+    /// `host:port`: the address of an upstream, or the one at which other nodes reach an entry VM.
     pub address: String,
-    /// Where it stands.
+    /// The failure domain it is in.
     pub failure_domain: FailureDomain,
-    /// What it is for.
+    /// What it runs.
     pub duty: VmDuty,
-    /// How it stands.
+    /// Whether it is running or leaving.
     pub state: VmState,
 }
 
 /// Why the list could not be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum VmListError {
-    /// The platform did not answer.
+    /// The platform did not answer, or answered with an error.
     #[error("the platform's VM list is not available")]
     Unavailable,
-    /// The answer could not be read.
-    #[error("the platform's VM list cannot be read: {0}")]
+    /// The response could not be decoded.
+    #[error("the platform's VM list cannot be decoded: {0}")]
     Malformed(String),
 }
 
-/// The platform's list of VMs. It lags behind reality and decides nothing that safety rests on.
+/// The platform's list of VMs. It lags behind their actual state, so correctness must not depend
+/// on it.
 #[async_trait]
 pub trait VmList: Send + Sync + std::fmt::Debug {
     /// Reads the whole list.
--- a/crates/store/tests/against_stand_ins.rs
+++ b/crates/store/tests/against_stand_ins.rs
@@ -1,4 +1,4 @@
-//! The clients against the stand-ins over HTTP.
+//! Tests [`HttpKeyValue`] against the stand-in key-value service over HTTP.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -54,7 +54,8 @@
     assert_ne!(grant.lease, LeaseId::default());
 }
 
-/// The store writes and its answer is lost: the client must not say that nothing happened.
+/// Guards against reporting a write as not executed when the store made it and only the response
+/// was lost.
 #[tokio::test]
 async fn a_lost_answer_is_ambiguous_and_the_write_stands() {
     let (fake, _server, store) = store().await;
--- a/crates/store/tests/http_key_value.rs
+++ b/crates/store/tests/http_key_value.rs
@@ -1,4 +1,4 @@
-//! What each answer of the key-value service means, and what a missing one means.
+//! Maps every kind of response of the platform's services, or a missing one, to a result.
 
 #[path = "../../http-pool/tests/scripted_server/mod.rs"]
 mod scripted_server;
@@ -16,7 +16,7 @@
     HttpKeyValue::new(PlatformSettings::at(address))
 }
 
-/// A store that gives up on an answer soon, for servers that never give one.
+/// A client with a short timeout, for servers that never respond.
 fn impatient_store_at(address: &str) -> HttpKeyValue {
     HttpKeyValue::new(PlatformSettings {
         call_timeout: Duration::from_millis(100),
@@ -31,7 +31,7 @@
 async fn commit(turn: Turn) -> Result<Revision, KeyValueError> {
     let server = ScriptedServer::start([turn]).await;
     let result = store_at(&server.address).commit(claim()).await;
-    assert_eq!(server.seen().len(), 1, "a write goes out once");
+    assert_eq!(server.seen().len(), 1, "a write is sent once");
     result
 }
 
@@ -83,8 +83,9 @@
     );
 }
 
-/// Two nodes claim one booking. The first claim is written, its answer is lost with the connection.
-/// Told "not available", the first node would claim again, lose to itself and refuse the guest.
+/// Guards against reporting a write as not executed when its response was lost with the connection.
+/// Of two nodes that claim one booking, the one whose claim was written would claim again, conflict
+/// with itself and refuse the guest.
 #[rstest]
 #[case::no_answer(Vec::new())]
 #[case::half_a_head(b"HTTP/1.1 200 O".to_vec())]
@@ -97,7 +98,8 @@
     assert_eq!(read, Err(KeyValueError::Unavailable));
 }
 
-/// A frozen service keeps its connections and says nothing: each call must end by itself.
+/// Guards against calls that never end: a frozen service keeps its connections open without
+/// responding.
 #[tokio::test]
 async fn a_silent_service_ends_by_the_timeout() {
     let hang = || Turn::AnswerAndHang(Vec::new());
--- a/crates/store/tests/store_eras.rs
+++ b/crates/store/tests/store_eras.rs
@@ -1,6 +1,6 @@
-//! What a store that comes back from an older copy makes of numbers of before.
+//! Revisions and leases of earlier eras after the store was restored from a backup.
 
-#![allow(clippy::unwrap_used, reason = "a stand-in that fails fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failing stand-in must fail the test")]
 
 #[path = "../../http-pool/tests/scripted_server/mod.rs"]
 mod scripted_server;
@@ -22,7 +22,7 @@
     Turn::Answer(answer(status, &format!("store-era: {era}\r\n"), body))
 }
 
-/// A store that answers in era 1 first.
+/// A client that has seen era 1, and the server that responds with `turns` next.
 async fn store(turns: impl IntoIterator<Item = Turn>) -> (HttpKeyValue, ScriptedServer) {
     let turns: Vec<Turn> = [in_era(1, 200, ITEM)].into_iter().chain(turns).collect();
     let server = ScriptedServer::start(turns).await;
@@ -55,7 +55,7 @@
     LeaseId::of(StoreEra(1), number)
 }
 
-// Guards against a later revision of the store that is taken for an earlier one, as its number is lower.
+// Guards against taking a revision for an older one because its number was set back by a restore.
 #[tokio::test]
 async fn revisions_of_a_later_era_come_later() {
     let (store, _server) = store([in_era(2, 200, &ITEM.replace('7', "3"))]).await;
@@ -65,7 +65,8 @@
     assert_eq!(store.era(), Some(StoreEra(2)));
 }
 
-// Guards against a position that is taken for one of the store's new history.
+// Guards against continuing a watch at a revision of an earlier era, which the store would take
+// for one of its current era.
 #[tokio::test]
 async fn a_watch_does_not_go_on_in_another_era() {
     let (store, server) = store([in_era(2, 200, NO_CHANGES)]).await;
@@ -77,11 +78,12 @@
     assert_eq!(
         server.seen().len(),
         2,
-        "the second is known to be over without a call"
+        "the second watch fails without a call"
     );
 }
 
-// Guards against a lease that is kept for another holder, to whom its number was given out again.
+// Guards against renewing the lease of another holder that was granted the same number after a
+// restore.
 #[tokio::test]
 async fn a_lease_ends_with_its_era() {
     let (store, server) = store([in_era(2, 200, "")]).await;
@@ -93,7 +95,8 @@
     assert_eq!(server.seen().len(), 2);
 }
 
-// Guards against a claim over a revision that was given out again to another node's claim.
+// Guards against overwriting another node's claim whose revision has the same number after a
+// restore.
 #[tokio::test]
 async fn a_condition_of_another_era_does_not_hold() {
     let (store, server) = store([in_era(2, 200, ITEM)]).await;
@@ -101,10 +104,11 @@
     let swapped = store.commit(swap(revision(7), LeaseId::NONE)).await;
     let current = Vec::new();
     assert_eq!(swapped, Err(KeyValueError::Conflict { current }));
-    assert_eq!(server.seen().len(), 2, "the store is not asked");
+    assert_eq!(server.seen().len(), 2, "no call is made");
 }
 
-// Guards against a write that counts as a success under a condition that the store took for another one.
+// Guards against reporting a write as successful when the store checked its condition or lease
+// against one of another era with the same number.
 #[rstest]
 #[case::condition(revision(7), LeaseId::NONE)]
 #[case::lease(Revision::NONE, lease(4))]
@@ -118,7 +122,8 @@
     assert_eq!(swapped, Err(KeyValueError::Ambiguous));
 }
 
-// Guards against an answer that was on its way while the store came back, and tells what is gone.
+// Guards against using a response that was sent before the store was restored: it describes state
+// that was lost.
 #[tokio::test]
 async fn an_answer_of_an_earlier_era_tells_nothing() {
     let (store, _server) = store([
@@ -145,7 +150,8 @@
     assert_eq!(swapped, Ok(Revision::plain(9)));
 }
 
-/// Numbers that a store may give out: past what a cut to fewer bits keeps, and past what a float keeps exact.
+/// Numbers that a store may assign: too large for truncation to fewer bits, and for a float to
+/// represent exactly.
 const NUMBERS: [u64; 4] = [1 << 41, (1 << 53) + 1, (1 << 63) + 7, u64::MAX];
 
 fn told(era: Option<u64>, body: &str) -> Turn {
@@ -153,7 +159,7 @@
     Turn::Answer(answer(200, &header, body))
 }
 
-// Guards against a lease that is renewed under another number than the store gave it.
+// Guards against renewing a lease under another number than the store assigned.
 #[rstest]
 #[tokio::test]
 async fn a_lease_is_called_what_the_store_calls_it(
@@ -177,7 +183,7 @@
     assert!(seen[3].body.contains(&format!(r#""lease":{number}"#)));
 }
 
-// Guards against a position or condition that names another revision than the store told.
+// Guards against watches and conditions that send another revision than the store assigned.
 #[rstest]
 #[tokio::test]
 async fn a_revision_is_called_what_the_store_calls_it(
