--- a/crates/base/src/result_code.rs
+++ b/crates/base/src/result_code.rs
@@ -28,7 +28,7 @@
                 match self { $(Self::$variant => $number,)* }
             }
 
-            /// The HTTP status of responses with this code.
+            /// The HTTP status of answers with this code.
             pub fn http_status(self) -> u16 {
                 match self { $(Self::$variant => $status,)* }
             }
--- a/crates/base/src/store_era.rs
+++ b/crates/base/src/store_era.rs
@@ -1,11 +1,11 @@
-//! Counts how often the platform's store was restored from a backup.
+//! Counts how often the platform's store was restored from an older copy.
 
 use derive_more::{Display, From};
 use serde::{Deserialize, Serialize};
 
-/// A counter that the platform's store increments each time it is restored from a backup.
+/// A counter that the platform's store increments each time it is restored from an older copy.
 ///
-/// A restore loses the writes made after the backup, and the store then assigns the same revisions
+/// A restore loses the writes made after that copy, and the store then assigns the same revisions
 /// and lease ids again. So these are comparable only within one era.
 ///
 /// ```
--- a/crates/base/src/store_number.rs
+++ b/crates/base/src/store_number.rs
@@ -6,7 +6,7 @@
 use crate::StoreEra;
 
 /// Distance between the fencing tokens of two eras. It exceeds the number of revisions that a
-/// restore from a backup can lose.
+/// restore from an older copy can lose.
 const FENCES_PER_ERA: u64 = 1 << 22;
 
 /// A number assigned by the platform's store (a revision or a lease id), with the era in which it
--- a/crates/base/tests/store_number.rs
+++ b/crates/base/tests/store_number.rs
@@ -3,7 +3,7 @@
 use nutmegsail_base::{StoreEra, StoreNumber};
 use proptest::prelude::*;
 
-/// Most revisions that a restore from a backup loses: 400 writes a second for an hour.
+/// Most revisions that a restore from an older copy loses: 400 writes a second for an hour.
 const LOST_MOST: u64 = 1_440_000;
 
 proptest! {
--- a/crates/store/src/encoding.rs
+++ b/crates/store/src/encoding.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// A request body that could not be encoded, or a response body that could not be decoded.
+/// A request body that could not be encoded, or an answer body that could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct EncodingError(pub String);
@@ -60,10 +60,10 @@
     }
 }
 
-/// Encodes the requests and decodes the responses of one kind of key-value service.
+/// Encodes the requests and decodes the answers of one kind of key-value service.
 ///
 /// [`HttpKeyValue`](crate::HttpKeyValue) makes the calls and interprets status codes and missing
-/// responses; an encoding only translates. It encodes revisions and lease ids as the service's own
+/// answers; an encoding only translates. It encodes revisions and lease ids as the service's own
 /// numbers and decodes them without an era.
 pub trait StoreEncoding: Send + Sync + Debug {
     /// Encodes a read of one key.
@@ -86,40 +86,40 @@
     /// Encodes the revocation of a lease.
     fn end_lease(&self, lease: LeaseId) -> StoreRequest;
 
-    /// Reads the service's era from a response's headers, if they contain it.
+    /// Reads the service's era from an answer's headers, if they contain it.
     fn era(&self, headers: &HeaderMap) -> Option<StoreEra>;
 
-    /// Decodes the response to [`get`](Self::get).
+    /// Decodes the answer to [`get`](Self::get).
     ///
     /// # Errors
     ///
     /// If the body cannot be decoded.
     fn item(&self, body: &[u8]) -> Result<Item, EncodingError>;
-    /// Decodes the response to [`range`](Self::range).
+    /// Decodes the answer to [`range`](Self::range).
     ///
     /// # Errors
     ///
     /// If the body cannot be decoded.
     fn page(&self, body: &[u8]) -> Result<Page, EncodingError>;
-    /// Decodes the response to [`watch`](Self::watch).
+    /// Decodes the answer to [`watch`](Self::watch).
     ///
     /// # Errors
     ///
     /// If the body cannot be decoded.
     fn changes(&self, body: &[u8]) -> Result<Changes, EncodingError>;
-    /// Decodes the response to [`commit`](Self::commit).
+    /// Decodes the answer to [`commit`](Self::commit).
     ///
     /// # Errors
     ///
     /// If the body cannot be decoded.
     fn committed(&self, body: &[u8]) -> Result<Revision, EncodingError>;
-    /// Decodes the response to a transaction whose conditions did not hold: the current items.
+    /// Decodes the answer to a transaction whose conditions did not hold: the current items.
     ///
     /// # Errors
     ///
     /// If the body cannot be decoded.
     fn conflict(&self, body: &[u8]) -> Result<Vec<Item>, EncodingError>;
-    /// Decodes the response to [`grant_lease`](Self::grant_lease).
+    /// Decodes the answer to [`grant_lease`](Self::grant_lease).
     ///
     /// # Errors
     ///
--- a/crates/store/src/http_call.rs
+++ b/crates/store/src/http_call.rs
@@ -11,19 +11,19 @@
 
 use crate::StoreRequest;
 
-/// Maximum size of a response body. A page of values is far smaller.
+/// Maximum size of an answer body. A page of values is far smaller.
 const ANSWER_LIMIT_BYTES: usize = 64 * 1024 * 1024;
 
-/// Why a call has no response.
+/// Why a call has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallError {
     /// The request was not sent.
     NotSent,
-    /// The request may have arrived, but no complete response came back.
+    /// The request may have arrived, but no complete answer came back.
     NoAnswer,
 }
 
-/// A complete response.
+/// A complete answer.
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
@@ -31,9 +31,9 @@
 }
 
 impl StoreRequest {
-    /// Sends the request once. `deadline` limits the time until the last byte of the response.
+    /// Sends the request once. `deadline` limits the time until the last byte of the answer.
     ///
-    /// A frozen service keeps its connections open without responding, so only the timeout ends
+    /// A frozen service keeps its connections open without answering, so only the timeout ends
     /// such a call. Whether the service has executed it is unknown then.
     pub(crate) async fn send(
         self,
--- a/crates/store/src/http_key_value.rs
+++ b/crates/store/src/http_key_value.rs
@@ -26,11 +26,11 @@
     settings: PlatformSettings,
     encoding: Arc<dyn StoreEncoding>,
     pool: Pool,
-    /// The newest era seen in a response.
+    /// The newest era seen in an answer.
     era: Arc<Mutex<Option<StoreEra>>>,
 }
 
-/// Whether a call only reads or may write. It decides which error a missing response becomes.
+/// Whether a call only reads or may write. It decides which error a missing answer becomes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Effect {
     Read,
@@ -38,9 +38,9 @@
 }
 
 impl Effect {
-    /// The error for a call that may have arrived but got no usable response.
+    /// The error for a call that may have arrived but got no usable answer.
     ///
-    /// A write whose response was lost may have taken effect or may still do so. If it were
+    /// A write whose answer was lost may have taken effect or may still do so. If it were
     /// reported as [`KeyValueError::Unavailable`], the caller would write it again, or assume that
     /// a claim is free although it is taken.
     fn without_answer(self) -> KeyValueError {
@@ -110,8 +110,8 @@
             .await
     }
 
-    /// Adds the era to a response and records it. `None` if a later era is known already: the
-    /// response then describes a state that was lost in a restore.
+    /// Adds the era to an answer and records it. `None` if a later era is known already: the
+    /// answer then describes a state that was lost in a restore.
     fn told(&self, answer: Answer) -> Option<Told> {
         let mut known = self.known_era();
         let era = self.encoding.era(&answer.headers).or(*known);
@@ -159,7 +159,7 @@
     }
 }
 
-/// A complete response with the era of its revisions and lease ids.
+/// A complete answer with the era of its revisions and lease ids.
 struct Told {
     answer: Answer,
     era: StoreEra,
@@ -301,7 +301,7 @@
             // The lease was lost in a restore, and another one may have its number now.
             return Ok(());
         }
-        // A response with status 404 means that the lease has ended already: also a success.
+        // An answer with status 404 means that the lease has ended already: also a success.
         self.write(self.encoding.end_lease(lease)).await?;
         Ok(())
     }
--- a/crates/store/src/key_value.rs
+++ b/crates/store/src/key_value.rs
@@ -13,8 +13,8 @@
 /// The service's change counter together with its era; [`Revision::NONE`] means that a key does not
 /// exist.
 ///
-/// Revisions only increase. A restore from a backup sets the service's counter back, but increments
-/// the era, which is compared first.
+/// Revisions only increase. A restore from an older copy sets the service's counter back, but
+/// increments the era, which is compared first.
 ///
 /// ```
 /// use nutmegsail_base::StoreEra;
@@ -221,9 +221,9 @@
     /// The service reported that it did not execute the call, or no connection could be made.
     #[error("the key-value service is not available")]
     Unavailable,
-    /// No usable response came after the call was sent. A write may have taken effect or may still
+    /// No usable answer came after the call was sent. A write may have taken effect or may still
     /// do so.
-    #[error("no response came from the key-value service; a write may have taken effect")]
+    #[error("no answer came from the key-value service; a write may have taken effect")]
     Ambiguous,
     /// The service no longer has the changes after this revision; read the range again.
     #[error("the key-value service no longer has the changes after this revision")]
@@ -234,8 +234,8 @@
     /// A key or value is too large, or a transaction has too many entries.
     #[error("a key, value or transaction exceeds a limit of the key-value service")]
     TooLarge,
-    /// The response could not be decoded.
-    #[error("the response of the key-value service cannot be decoded: {0}")]
+    /// The answer could not be decoded.
+    #[error("the answer of the key-value service cannot be decoded: {0}")]
     Malformed(String),
 }
 
@@ -255,12 +255,12 @@
 /// The platform's key-value service. Reads are linearizable. Every call counts against its rate
 /// limits.
 ///
-/// The service may be restored from a backup, which starts a new era. Revisions and leases of
+/// The service may be restored from an older copy, which starts a new era. Revisions and leases of
 /// earlier eras are no longer valid then: watches end with [`KeyValueError::Compacted`], leases
 /// with [`KeyValueError::LeaseGone`], and conditions do not hold.
 #[async_trait]
 pub trait KeyValue: Send + Sync + std::fmt::Debug {
-    /// The newest era seen in a response; `None` if the service reports no era.
+    /// The newest era seen in an answer; `None` if the service reports no era.
     fn era(&self) -> Option<StoreEra> {
         None
     }
--- a/crates/store/src/key_value_json.rs
+++ b/crates/store/src/key_value_json.rs
@@ -1,4 +1,4 @@
-//! JSON request and response bodies of [`OwnEncoding`](crate::OwnEncoding).
+//! JSON request and answer bodies of [`OwnEncoding`](crate::OwnEncoding).
 
 use std::sync::Arc;
 
--- a/crates/store/src/vm_list.rs
+++ b/crates/store/src/vm_list.rs
@@ -46,7 +46,7 @@
     /// The platform did not answer, or answered with an error.
     #[error("the platform's VM list is not available")]
     Unavailable,
-    /// The response could not be decoded.
+    /// The answer could not be decoded.
     #[error("the platform's VM list cannot be decoded: {0}")]
     Malformed(String),
 }
--- a/crates/store/tests/against_stand_ins.rs
+++ b/crates/store/tests/against_stand_ins.rs
@@ -54,7 +54,7 @@
     assert_ne!(grant.lease, LeaseId::default());
 }
 
-/// Guards against reporting a write as not executed when the store made it and only the response
+/// Guards against reporting a write as not executed when the store made it and only the answer
 /// was lost.
 #[tokio::test]
 async fn a_lost_answer_is_ambiguous_and_the_write_stands() {
--- a/crates/store/tests/http_key_value.rs
+++ b/crates/store/tests/http_key_value.rs
@@ -1,4 +1,4 @@
-//! Maps every kind of response of the platform's services, or a missing one, to a result.
+//! Maps every kind of answer of the platform's services, or a missing one, to a result.
 
 #[path = "../../http-pool/tests/scripted_server/mod.rs"]
 mod scripted_server;
@@ -16,7 +16,7 @@
     HttpKeyValue::new(PlatformSettings::at(address))
 }
 
-/// A client with a short timeout, for servers that never respond.
+/// A client with a short timeout, for servers that never answer.
 fn impatient_store_at(address: &str) -> HttpKeyValue {
     HttpKeyValue::new(PlatformSettings {
         call_timeout: Duration::from_millis(100),
@@ -83,7 +83,7 @@
     );
 }
 
-/// Guards against reporting a write as not executed when its response was lost with the connection.
+/// Guards against reporting a write as not executed when its answer was lost with the connection.
 /// Of two nodes that claim one booking, the one whose claim was written would claim again, conflict
 /// with itself and refuse the guest.
 #[rstest]
@@ -99,7 +99,7 @@
 }
 
 /// Guards against calls that never end: a frozen service keeps its connections open without
-/// responding.
+/// answering.
 #[tokio::test]
 async fn a_silent_service_ends_by_the_timeout() {
     let hang = || Turn::AnswerAndHang(Vec::new());
--- a/crates/store/tests/store_eras.rs
+++ b/crates/store/tests/store_eras.rs
@@ -1,4 +1,4 @@
-//! Revisions and leases of earlier eras after the store was restored from a backup.
+//! Revisions and leases of earlier eras after the store was restored from an older copy.
 
 #![allow(clippy::unwrap_used, reason = "a failing stand-in must fail the test")]
 
@@ -22,7 +22,7 @@
     Turn::Answer(answer(status, &format!("store-era: {era}\r\n"), body))
 }
 
-/// A client that has seen era 1, and the server that responds with `turns` next.
+/// A client that has seen era 1, and the server that answers with `turns` next.
 async fn store(turns: impl IntoIterator<Item = Turn>) -> (HttpKeyValue, ScriptedServer) {
     let turns: Vec<Turn> = [in_era(1, 200, ITEM)].into_iter().chain(turns).collect();
     let server = ScriptedServer::start(turns).await;
@@ -122,7 +122,7 @@
     assert_eq!(swapped, Err(KeyValueError::Ambiguous));
 }
 
-// Guards against using a response that was sent before the store was restored: it describes state
+// Guards against using an answer that was sent before the store was restored: it describes state
 // that was lost.
 #[tokio::test]
 async fn an_answer_of_an_earlier_era_tells_nothing() {
