--- a/crates/quota/src/account.rs
+++ b/crates/quota/src/account.rs
@@ -10,7 +10,7 @@
 const DEMAND_HALF_LIFE_S: f64 = 1.0;
 
 /// How long the state of a team without requests is kept.
-const IDLE_LIFE: Duration = Duration::from_secs(10);
+const IDLE_TEAM_TTL: Duration = Duration::from_secs(10);
 
 /// The borrowed tokens of all teams that one node can spend.
 ///
@@ -28,8 +28,8 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Account {
-    teams: HashMap<TeamName, Held>,
-    asks: u64,
+    teams: HashMap<TeamName, TeamAccount>,
+    last_loan_id: u64,
 }
 
 /// Tokens reserved for one request.
@@ -37,7 +37,7 @@
 #[must_use]
 pub struct Reservation {
     team: TeamName,
-    parts: Vec<Grant>,
+    parts: Vec<Loan>,
 }
 
 impl Reservation {
@@ -48,57 +48,57 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Grant {
+struct Loan {
     tokens: u32,
     expires: Duration,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Held {
-    grants: Vec<Grant>,
+struct TeamAccount {
+    loans: Vec<Loan>,
     demand_tokens: f64,
     demand_at: Duration,
 }
 
 impl Account {
-    /// An empty account whose first request has the id after `first`. A restarted node must pass
+    /// An empty account whose first request has the id after `id_seed`. A restarted node must pass
     /// another value, so that it does not accept replies meant for its previous process.
-    pub fn new(first: AskId) -> Self {
+    pub fn new(id_seed: AskId) -> Self {
         Self {
             teams: HashMap::new(),
-            asks: first.0,
+            last_loan_id: id_seed.0,
         }
     }
 
     /// Reserves tokens for a request, if enough unexpired ones are held.
     pub fn take(&mut self, team: &TeamName, tokens: u32, now: Duration) -> Option<Reservation> {
-        let held = self.teams.get_mut(team)?;
-        held.grants.retain(|grant| now < grant.expires);
-        let all: u64 = held
-            .grants
+        let team_account = self.teams.get_mut(team)?;
+        team_account.loans.retain(|loan| now < loan.expires);
+        let available: u64 = team_account
+            .loans
             .iter()
-            .map(|grant| u64::from(grant.tokens))
+            .map(|loan| u64::from(loan.tokens))
             .sum();
-        if all < u64::from(tokens) {
+        if available < u64::from(tokens) {
             return None;
         }
         // Spend the tokens that expire first.
-        held.grants.sort_by_key(|grant| grant.expires);
-        let mut left = tokens;
+        team_account.loans.sort_by_key(|loan| loan.expires);
+        let mut remaining = tokens;
         let mut parts = Vec::new();
-        for grant in &mut held.grants {
-            let part = grant.tokens.min(left);
-            grant.tokens -= part;
-            left -= part;
+        for loan in &mut team_account.loans {
+            let part = loan.tokens.min(remaining);
+            loan.tokens -= part;
+            remaining -= part;
             if part > 0 {
-                let expires = grant.expires;
-                parts.push(Grant {
+                let expires = loan.expires;
+                parts.push(Loan {
                     tokens: part,
                     expires,
                 });
             }
         }
-        held.grants.retain(|grant| grant.tokens > 0);
+        team_account.loans.retain(|loan| loan.tokens > 0);
         Some(Reservation {
             team: team.clone(),
             parts,
@@ -107,35 +107,35 @@
 
     /// Returns reserved tokens that the request did not spend. Expired ones are dropped.
     pub fn give_back(&mut self, reservation: Reservation, now: Duration) {
-        let held = self.teams.entry(reservation.team).or_default();
-        let fresh = reservation
+        let team_account = self.teams.entry(reservation.team).or_default();
+        let unexpired = reservation
             .parts
             .into_iter()
             .filter(|part| now < part.expires);
-        held.grants.extend(fresh);
+        team_account.loans.extend(unexpired);
     }
 
     /// Creates a loan request for the tokens that a request needs, plus extra for the requests that
     /// are expected in the next half [`GRANT_LIFE`].
     pub fn ask(&mut self, team: &TeamName, need_tokens: u32, now: Duration) -> Ask {
         self.teams
-            .retain(|_, held| now.saturating_sub(held.demand_at) < IDLE_LIFE);
-        let held = self.teams.entry(team.clone()).or_default();
-        let coming = held.demand_per_s(now) * GRANT_LIFE.as_secs_f64() / 2.0;
-        self.asks = self.asks.wrapping_add(1);
+            .retain(|_, team_account| now.saturating_sub(team_account.demand_at) < IDLE_TEAM_TTL);
+        let team_account = self.teams.entry(team.clone()).or_default();
+        let expected_tokens = team_account.demand_per_s(now) * GRANT_LIFE.as_secs_f64() / 2.0;
+        self.last_loan_id = self.last_loan_id.wrapping_add(1);
         Ask {
-            id: AskId(self.asks),
+            id: AskId(self.last_loan_id),
             team: team.clone(),
             need_tokens,
-            extra_tokens: coming as u32,
+            extra_tokens: expected_tokens as u32,
         }
     }
 
     /// Records the demand of a request, from which [`ask`](Self::ask) estimates the extra tokens.
     pub fn note_demand(&mut self, team: &TeamName, tokens: u32, now: Duration) {
-        let held = self.teams.entry(team.clone()).or_default();
-        held.demand_tokens = held.remembered(now) + f64::from(tokens);
-        held.demand_at = now;
+        let team_account = self.teams.entry(team.clone()).or_default();
+        team_account.demand_tokens = team_account.decayed_demand(now) + f64::from(tokens);
+        team_account.demand_at = now;
     }
 
     /// Adds the tokens of a reply to a request made at `asked_at`.
@@ -143,8 +143,8 @@
     /// They expire [`GRANT_LIFE`] after the request, so a late reply does not extend their life.
     pub fn put(&mut self, lent: &Lent, asked_at: Duration) {
         if lent.tokens > 0 {
-            let held = self.teams.entry(lent.team.clone()).or_default();
-            held.grants.push(Grant {
+            let team_account = self.teams.entry(lent.team.clone()).or_default();
+            team_account.loans.push(Loan {
                 tokens: lent.tokens,
                 expires: asked_at + GRANT_LIFE,
             });
@@ -152,18 +152,21 @@
     }
 
     /// Number of a team's tokens that can be spent now.
-    pub fn held_tokens(&self, team: &str, now: Duration) -> u64 {
-        let grants = self.teams.get(team).map(|held| held.grants.iter());
-        let fresh = grants
+    pub fn available_tokens(&self, team: &str, now: Duration) -> u64 {
+        let loans = self
+            .teams
+            .get(team)
+            .map(|team_account| team_account.loans.iter());
+        let unexpired = loans
             .into_iter()
             .flatten()
-            .filter(|grant| now < grant.expires);
-        fresh.map(|grant| u64::from(grant.tokens)).sum()
+            .filter(|loan| now < loan.expires);
+        unexpired.map(|loan| u64::from(loan.tokens)).sum()
     }
 }
 
-impl Held {
-    fn remembered(&self, now: Duration) -> f64 {
+impl TeamAccount {
+    fn decayed_demand(&self, now: Duration) -> f64 {
         let age_s = now.saturating_sub(self.demand_at).as_secs_f64();
         self.demand_tokens * 0.5_f64.powf(age_s / DEMAND_HALF_LIFE_S)
     }
@@ -171,6 +174,6 @@
     /// Estimates the demand rate. With exponential decay a steady rate `r` accumulates to `r` times
     /// the half-life divided by ln 2, so this inverts that.
     fn demand_per_s(&self, now: Duration) -> f64 {
-        self.remembered(now) * std::f64::consts::LN_2 / DEMAND_HALF_LIFE_S
+        self.decayed_demand(now) * std::f64::consts::LN_2 / DEMAND_HALF_LIFE_S
     }
 }
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -6,23 +6,23 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Bucket {
     level_tokens: f64,
-    filled_at: Duration,
+    refilled_at: Duration,
 }
 
 impl Bucket {
     pub(crate) fn new(level_tokens: f64, now: Duration) -> Self {
         Self {
             level_tokens,
-            filled_at: now,
+            refilled_at: now,
         }
     }
 
     /// Adds the tokens for the time since the last refill. Tokens above the capacity are dropped,
     /// also if the capacity was lowered.
-    pub(crate) fn fill(&mut self, tokens_per_s: f64, capacity_tokens: f64, now: Duration) {
-        let passed = now.saturating_sub(self.filled_at);
-        self.filled_at = self.filled_at.max(now);
-        let filled = self.level_tokens + tokens_per_s * passed.as_secs_f64();
+    pub(crate) fn refill(&mut self, tokens_per_s: f64, capacity_tokens: f64, now: Duration) {
+        let elapsed = now.saturating_sub(self.refilled_at);
+        self.refilled_at = self.refilled_at.max(now);
+        let filled = self.level_tokens + tokens_per_s * elapsed.as_secs_f64();
         self.level_tokens = filled.min(capacity_tokens);
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// Adds tokens that were borrowed from another lender's bucket.
-    pub(crate) fn put(&mut self, tokens: f64) {
+    pub(crate) fn add(&mut self, tokens: f64) {
         self.level_tokens += tokens;
     }
 }
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -11,7 +11,7 @@
 
 /// Share of the tolerated overrun that the buckets use. The rest covers clocks that run at
 /// different speeds and requests that wait in front of an upstream.
-const USED_TOLERANCE: f64 = 0.85;
+const USED_TOLERANCE_SHARE: f64 = 0.85;
 
 /// Quotas by team name. A team that is not listed has no quota.
 pub type Quotas = HashMap<TeamName, Quota>;
@@ -59,8 +59,8 @@
     /// assert_eq!(bounds.window_limit(quota).round(), 945.0);
     /// ```
     pub fn window_limit(&self, quota: Quota) -> f64 {
-        let within = quota.tokens_per_s * self.window.as_secs_f64() + quota.burst_tokens;
-        within * (1.0 + self.over_ratio) + self.slack_tokens
+        let quota_tokens = quota.tokens_per_s * self.window.as_secs_f64() + quota.burst_tokens;
+        quota_tokens * (1.0 + self.over_ratio) + self.slack_tokens
     }
 
     /// Refill rate of one lender's bucket, in tokens per second.
@@ -70,27 +70,28 @@
     /// window's limit, less the capacity of the buckets, is refilled over the window plus
     /// [`GRANT_LIFE`].
     pub(crate) fn lender_rate(&self, quota: Quota) -> f64 {
-        let filled = (self.used_limit(quota) - self.capacity(quota)).max(0.0);
-        filled / (self.window + GRANT_LIFE).as_secs_f64() / self.lenders()
+        let filled = (self.used_limit(quota) - self.total_capacity(quota)).max(0.0);
+        filled / (self.window + GRANT_LIFE).as_secs_f64() / self.lender_count()
     }
 
     /// Capacity of one lender's bucket, in tokens.
     pub(crate) fn lender_capacity(&self, quota: Quota) -> f64 {
-        self.capacity(quota) / self.lenders()
+        self.total_capacity(quota) / self.lender_count()
     }
 
     /// Capacity of all buckets together: enough for a team to spend its whole burst at once.
-    fn capacity(&self, quota: Quota) -> f64 {
-        quota.burst_tokens + self.slack_tokens * USED_TOLERANCE
+    fn total_capacity(&self, quota: Quota) -> f64 {
+        quota.burst_tokens + self.slack_tokens * USED_TOLERANCE_SHARE
     }
 
-    /// [`QuotaBounds::window_limit`] with only [`USED_TOLERANCE`] of the tolerated overrun.
+    /// [`QuotaBounds::window_limit`] with only [`USED_TOLERANCE_SHARE`] of the tolerated overrun.
     fn used_limit(&self, quota: Quota) -> f64 {
-        let within = quota.tokens_per_s * self.window.as_secs_f64() + quota.burst_tokens;
-        within * (1.0 + self.over_ratio * USED_TOLERANCE) + self.slack_tokens * USED_TOLERANCE
+        let quota_tokens = quota.tokens_per_s * self.window.as_secs_f64() + quota.burst_tokens;
+        quota_tokens * (1.0 + self.over_ratio * USED_TOLERANCE_SHARE)
+            + self.slack_tokens * USED_TOLERANCE_SHARE
     }
 
-    fn lenders(&self) -> f64 {
+    fn lender_count(&self) -> f64 {
         f64::from(self.failure_domains.max(1))
     }
 }
--- a/crates/quota/tests/lending.rs
+++ b/crates/quota/tests/lending.rs
@@ -55,7 +55,7 @@
 // Guards against a second burst when a lender is replaced: the new one must not lend tokens that
 // the previous one may have lent already.
 #[test]
-fn a_lender_after_another_begins_with_nothing() {
+fn a_lender_that_replaces_another_starts_with_empty_buckets() {
     let mut lender = lender(FirstFill::Empty);
     assert_eq!(drain(&mut lender, 100, Duration::ZERO), 0);
     let after = drain(&mut lender, 100, SECOND);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_first_lender_has_its_part_of_burst_and_tolerance() {
+fn the_first_lender_starts_with_its_share_of_burst_and_tolerance() {
     let mut lender = lender(FirstFill::Full);
     let all = drain(&mut lender, 100, Duration::ZERO);
     let limit = three_domains().window_limit(QUOTA) / 3.0;
@@ -77,7 +77,7 @@
 
 // Guards against lending the old quota's burst after operators have lowered the quota.
 #[test]
-fn a_lower_quota_takes_away_what_its_bucket_cannot_hold() {
+fn lowering_a_quota_drops_tokens_above_the_new_capacity() {
     let mut lender = lender(FirstFill::Full);
     let low = Quota {
         tokens_per_s: 30.0,
@@ -97,7 +97,7 @@
 
 // Guards against a second burst for a team whose quota was removed and restored.
 #[test]
-fn a_quota_that_returns_brings_no_second_burst() {
+fn restoring_a_removed_quota_grants_no_second_burst() {
     let mut lender = lender(FirstFill::Full);
     drain(&mut lender, 1, Duration::ZERO);
     lender.set_quotas(&Quotas::new(), Duration::ZERO);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn whoever_gets_nothing_is_told_to_return_one_after_the_other() {
+fn refused_requests_get_successively_longer_waits() {
     let mut lender = lender(FirstFill::Empty);
     let waits: Vec<u32> = (0..3)
         .map(|_| lender.ask(&ask(500), Duration::ZERO).wait_ms)
@@ -120,51 +120,51 @@
 // Guards against refusing a team whose callers are all in one failure domain while the other
 // domains have unused tokens.
 #[test]
-fn a_lender_borrows_what_its_callers_need_from_the_others() {
-    let (mut here, mut there) = (lender(FirstFill::Empty), lender(FirstFill::Full));
-    assert_eq!(here.ask(&ask(1_500), Duration::ZERO).tokens, 0);
+fn a_lender_borrows_missing_tokens_from_other_lenders() {
+    let (mut borrower, mut other_lender) = (lender(FirstFill::Empty), lender(FirstFill::Full));
+    assert_eq!(borrower.ask(&ask(1_500), Duration::ZERO).tokens, 0);
     let team: TeamName = "desk".into();
-    let borrow = here.borrow(&team, 1, Duration::ZERO);
+    let borrow = borrower.borrow(&team, 1, Duration::ZERO);
     assert!(
-        here.borrow(&team, 1, Duration::ZERO).is_empty(),
+        borrower.borrow(&team, 1, Duration::ZERO).is_empty(),
         "lenders are not asked for every refused request"
     );
-    let lent = there.lender_ask(&borrow[0], Duration::ZERO);
+    let lent = other_lender.lender_ask(&borrow[0], Duration::ZERO);
     assert_eq!(lent.tokens, 1_500);
-    here.take_lent(&lent, Duration::ZERO);
-    assert_eq!(here.ask(&ask(1_500), Duration::ZERO).tokens, 1_500);
+    borrower.take_lent(&lent, Duration::ZERO);
+    assert_eq!(borrower.ask(&ask(1_500), Duration::ZERO).tokens, 1_500);
 }
 
 // Guards against adding the tokens of a duplicated datagram twice.
 #[test]
-fn a_loan_that_comes_twice_counts_once() {
-    let (mut here, mut there) = (lender(FirstFill::Empty), lender(FirstFill::Full));
+fn a_duplicate_loan_reply_is_ignored() {
+    let (mut borrower, mut other_lender) = (lender(FirstFill::Empty), lender(FirstFill::Full));
     let team = TeamName::from("desk");
-    here.ask(&ask(1_500), Duration::ZERO);
-    let borrow = here.borrow(&team, 1, Duration::ZERO);
-    let lent = there.lender_ask(&borrow[0], Duration::ZERO);
-    here.take_lent(&lent, Duration::ZERO);
-    here.take_lent(&lent, Duration::ZERO);
-    assert_eq!(here.ask(&ask(1_500), Duration::ZERO).tokens, 1_500);
-    assert_eq!(here.ask(&ask(1_500), Duration::ZERO).tokens, 0);
+    borrower.ask(&ask(1_500), Duration::ZERO);
+    let borrow = borrower.borrow(&team, 1, Duration::ZERO);
+    let lent = other_lender.lender_ask(&borrow[0], Duration::ZERO);
+    borrower.take_lent(&lent, Duration::ZERO);
+    borrower.take_lent(&lent, Duration::ZERO);
+    assert_eq!(borrower.ask(&ask(1_500), Duration::ZERO).tokens, 1_500);
+    assert_eq!(borrower.ask(&ask(1_500), Duration::ZERO).tokens, 0);
 }
 
 // Guards against accepting a reply meant for the previous lender, whose tokens count as spent.
 #[test]
-fn a_lender_that_starts_anew_takes_no_loan_that_it_did_not_ask_for() {
-    let mut there = lender(FirstFill::Full);
+fn a_new_lender_ignores_replies_to_its_predecessor() {
+    let mut other_lender = lender(FirstFill::Full);
     let mut before = lender(FirstFill::Empty);
     before.ask(&ask(1_500), Duration::ZERO);
     let borrow = before.borrow(&"desk".into(), 1, Duration::ZERO);
-    let lent = there.lender_ask(&borrow[0], Duration::ZERO);
-    let mut here = Lender::new(three_domains(), FirstFill::Empty, AskId(9_000));
-    here.set_quotas(&quotas(QUOTA), Duration::ZERO);
-    here.take_lent(&lent, Duration::ZERO);
-    assert_eq!(here.ask(&ask(1), Duration::ZERO).tokens, 0);
+    let lent = other_lender.lender_ask(&borrow[0], Duration::ZERO);
+    let mut borrower = Lender::new(three_domains(), FirstFill::Empty, AskId(9_000));
+    borrower.set_quotas(&quotas(QUOTA), Duration::ZERO);
+    borrower.take_lent(&lent, Duration::ZERO);
+    assert_eq!(borrower.ask(&ask(1), Duration::ZERO).tokens, 0);
 }
 
 #[test]
-fn a_request_larger_than_one_bucket_is_met_by_several() {
+fn a_request_larger_than_one_bucket_is_met_with_borrowed_tokens() {
     let quota = Quota {
         tokens_per_s: 300.0,
         burst_tokens: 300.0,
@@ -188,7 +188,7 @@
 
 // Guards against spending expired tokens after a node was frozen or a reply came late.
 #[test]
-fn borrowed_tokens_expire_by_the_time_of_the_ask() {
+fn borrowed_tokens_expire_relative_to_the_time_of_the_request() {
     let (mut account, team) = (Account::default(), TeamName::from("desk"));
     let lent = Lent {
         id: AskId(1),
@@ -202,11 +202,11 @@
     let late = SECOND + GRANT_LIFE;
     assert!(!reserved.is_valid(late));
     account.give_back(reserved, late);
-    assert_eq!(account.held_tokens(&team, late), 0);
+    assert_eq!(account.available_tokens(&team, late), 0);
 }
 
 #[test]
-fn tokens_of_a_request_that_did_not_run_are_spent_by_the_next() {
+fn returned_tokens_can_be_spent_by_the_next_request() {
     let (mut account, team) = (Account::default(), TeamName::from("desk"));
     let lent = Lent {
         id: AskId(1),
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_busy_node_asks_ahead_of_its_requests() {
+fn a_busy_node_borrows_extra_tokens_for_expected_requests() {
     let (mut account, team) = (Account::default(), TeamName::from("desk"));
     for step in 0..100 {
         account.note_demand(&team, 1_000, SECOND + SECOND * step / 10);
--- a/crates/quota/tests/promise.rs
+++ b/crates/quota/tests/window_limit.rs
@@ -16,33 +16,33 @@
     // Guards against spending tokens twice: after a lender restarts or moves to another node, after
     // a partition, after lost, late or duplicated messages, or when a frozen node resumes.
     #[test]
-    fn no_window_passes_the_limit_whatever_fails(
+    fn no_window_exceeds_the_limit_under_any_faults(
         seed in any::<u64>(),
         events in prop::collection::vec((0u32..900, any::<Event>()), 0..40),
     ) {
         let mut world = World::new(seed);
         for step in 0..900 {
             for (_, event) in events.iter().filter(|(at, _)| *at == step) {
-                world.strike(*event);
+                world.apply(*event);
             }
             world.step();
         }
-        prop_assert!(world.most_in_a_window() <= world.limit(), "{} of {}", world.most_in_a_window(), world.limit());
+        prop_assert!(world.max_spent_in_a_window() <= world.limit(), "{} of {}", world.max_spent_in_a_window(), world.limit());
     }
 }
 
 // Guards against keeping the limit by refusing requests that are within the quota.
 #[test]
-fn a_team_within_its_quota_is_hardly_refused() {
+fn a_team_within_its_quota_is_rarely_refused() {
     let mut world = World::new(7);
     world.demand_share = 0.8;
     (0..2_000).for_each(|_| world.step());
-    let refused = f64::from(world.refused) / f64::from(world.asked);
+    let refused = f64::from(world.refused) / f64::from(world.requested);
     assert!(refused < 0.01, "{refused}");
 }
 
 #[test]
-fn a_team_far_beyond_its_quota_gets_nearly_all_of_it() {
+fn a_team_that_demands_far_more_gets_about_its_quota() {
     let mut world = World::new(8);
     world.demand_share = 4.0;
     (0..2_000).for_each(|_| world.step());
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -18,17 +18,17 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
     /// The lender of a failure domain restarts, or another node takes over its role.
-    LenderRestarts(usize),
+    RestartLender(usize),
     /// Toggles whether a failure domain is cut off from the others.
-    Cut(usize),
+    ToggleCutOff(usize),
     /// Toggles whether a node is frozen.
-    Freeze(usize),
+    ToggleFreeze(usize),
     /// A node restarts and loses its state.
-    NodeRestarts(usize),
+    RestartNode(usize),
     /// Sets the maximum message delay, in steps.
-    Delay(u32),
+    SetMaxDelay(u32),
     /// Sets the demand, in tenths of the quota.
-    Demand(u32),
+    SetDemand(u32),
 }
 
 mod strategies {
@@ -37,12 +37,12 @@
 
     pub fn arbitrary_event() -> BoxedStrategy<Event> {
         prop_oneof![
-            (0usize..3).prop_map(Event::LenderRestarts),
-            (0usize..3).prop_map(Event::Cut),
-            (0usize..12).prop_map(Event::Freeze),
-            (0usize..12).prop_map(Event::NodeRestarts),
-            (0u32..40).prop_map(Event::Delay),
-            (1u32..80).prop_map(Event::Demand),
+            (0usize..3).prop_map(Event::RestartLender),
+            (0usize..3).prop_map(Event::ToggleCutOff),
+            (0usize..12).prop_map(Event::ToggleFreeze),
+            (0usize..12).prop_map(Event::RestartNode),
+            (0u32..40).prop_map(Event::SetMaxDelay),
+            (1u32..80).prop_map(Event::SetDemand),
         ]
         .boxed()
     }
@@ -80,7 +80,7 @@
 }
 
 struct Sent {
-    arrives: Duration,
+    arrives_at: Duration,
     between: (usize, usize),
     to_lender: usize,
     message: Message,
@@ -106,14 +106,14 @@
     team: TeamName,
     lenders: Vec<Lender>,
     nodes: Vec<Node>,
-    is_cut: [bool; DOMAINS],
+    is_cut_off: [bool; DOMAINS],
     delay: Duration,
     sent: Vec<Sent>,
     spent: Vec<(Duration, u32)>,
     state: u64,
     /// The callers' demand, as a fraction of the quota.
     pub demand_share: f64,
-    pub asked: u32,
+    pub requested: u32,
     pub refused: u32,
 }
 
@@ -135,13 +135,13 @@
             team: "desk".into(),
             lenders: Vec::new(),
             nodes: Vec::new(),
-            is_cut: [false; DOMAINS],
+            is_cut_off: [false; DOMAINS],
             delay: Duration::from_millis(1),
             sent: Vec::new(),
             spent: Vec::new(),
             state: seed | 1,
             demand_share: 3.0,
-            asked: 0,
+            requested: 0,
             refused: 0,
         };
         world.lenders = (0..DOMAINS)
@@ -152,7 +152,7 @@
     }
 
     fn lender(&mut self, fill: FirstFill) -> Lender {
-        let first = AskId((self.draw() * 1e15) as u64);
+        let first = AskId((self.random() * 1e15) as u64);
         let mut lender = Lender::new(self.bounds, fill, first);
         let quotas = Quotas::from([(self.team.clone(), self.quota)]);
         lender.set_quotas(&quotas, self.now);
@@ -160,49 +160,49 @@
     }
 
     /// A random number in [0, 1) from a xorshift generator.
-    fn draw(&mut self) -> f64 {
+    fn random(&mut self) -> f64 {
         self.state ^= self.state << 13;
         self.state ^= self.state >> 7;
         self.state ^= self.state << 17;
         (self.state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    pub fn strike(&mut self, event: Event) {
+    pub fn apply(&mut self, event: Event) {
         match event {
-            Event::LenderRestarts(domain) => self.lenders[domain] = self.lender(FirstFill::Empty),
-            Event::Cut(domain) => self.is_cut[domain] = !self.is_cut[domain],
-            Event::Freeze(node) => {
+            Event::RestartLender(domain) => self.lenders[domain] = self.lender(FirstFill::Empty),
+            Event::ToggleCutOff(domain) => self.is_cut_off[domain] = !self.is_cut_off[domain],
+            Event::ToggleFreeze(node) => {
                 let node = &mut self.nodes[node];
                 node.is_frozen = !node.is_frozen;
             }
-            Event::NodeRestarts(node) => self.nodes[node] = Node::new(),
-            Event::Delay(steps) => self.delay = STEP * steps,
-            Event::Demand(tenths) => self.demand_share = f64::from(tenths) / 10.0,
+            Event::RestartNode(node) => self.nodes[node] = Node::new(),
+            Event::SetMaxDelay(steps) => self.delay = STEP * steps,
+            Event::SetDemand(tenths) => self.demand_share = f64::from(tenths) / 10.0,
         }
     }
 
     /// Advances the simulation by one step.
     pub fn step(&mut self) {
         self.now += STEP;
-        self.arrive();
+        self.deliver_due();
         let rate = self.quota.tokens_per_s * self.demand_share * STEP.as_secs_f64();
         let mut requests = rate / f64::from(REQUEST_TOKENS);
         while requests > 0.0 {
-            if self.draw() < requests {
+            if self.random() < requests {
                 // Half of the requests go to the first failure domain; the rest to all nodes.
-                let place = match self.draw() < 0.5 {
-                    true => (self.draw() * 4.0) as usize * DOMAINS,
-                    false => (self.draw() * NODES as f64) as usize,
+                let index = match self.random() < 0.5 {
+                    true => (self.random() * 4.0) as usize * DOMAINS,
+                    false => (self.random() * NODES as f64) as usize,
                 };
-                self.request(place.min(NODES - 1));
+                self.request(index.min(NODES - 1));
             }
             requests -= 1.0;
         }
         for node in 0..NODES {
             self.spend(node);
-            let place = &self.nodes[node];
-            let is_late = self.now - place.asked_at >= HEDGE_AFTER;
-            if is_late && !place.is_frozen && !place.waiting.is_empty() {
+            let node_state = &self.nodes[node];
+            let is_late = self.now - node_state.asked_at >= HEDGE_AFTER;
+            if is_late && !node_state.is_frozen && !node_state.waiting.is_empty() {
                 self.ask(node);
             }
         }
@@ -212,7 +212,7 @@
         if self.nodes[node].is_frozen {
             return;
         }
-        self.asked += 1;
+        self.requested += 1;
         let until = self.now + Duration::from_millis(250);
         let account = &mut self.nodes[node].account;
         account.note_demand(&self.team, REQUEST_TOKENS, self.now);
@@ -225,29 +225,33 @@
 
     fn ask(&mut self, node: usize) {
         let (team, now) = (self.team.clone(), self.now);
-        let place = &mut self.nodes[node];
-        let ask = place.account.ask(&team, REQUEST_TOKENS, now);
-        place.open.insert(ask.id);
-        place.asked_at = now;
+        let node_state = &mut self.nodes[node];
+        let ask = node_state.account.ask(&team, REQUEST_TOKENS, now);
+        node_state.open.insert(ask.id);
+        node_state.asked_at = now;
         // Ask the own failure domain's lender first, then the next one if there was no reply.
-        let (home, asked) = ((node + place.unanswered) % DOMAINS, now);
-        place.unanswered += 1;
-        self.send(node % DOMAINS, home, &Message::Ask { node, asked, ask });
+        let (lender_domain, asked) = ((node + node_state.unanswered) % DOMAINS, now);
+        node_state.unanswered += 1;
+        self.send(
+            node % DOMAINS,
+            lender_domain,
+            &Message::Ask { node, asked, ask },
+        );
     }
 
     fn spend(&mut self, node: usize) {
         let (team, now) = (self.team.clone(), self.now);
-        let place = &mut self.nodes[node];
-        if place.is_frozen {
+        let node_state = &mut self.nodes[node];
+        if node_state.is_frozen {
             return;
         }
-        while let Some(until) = place.waiting.front().copied() {
+        while let Some(until) = node_state.waiting.front().copied() {
             if now > until {
-                place.waiting.pop_front();
+                node_state.waiting.pop_front();
                 self.refused += 1;
-            } else if let Some(reserved) = place.account.take(&team, REQUEST_TOKENS, now) {
+            } else if let Some(reserved) = node_state.account.take(&team, REQUEST_TOKENS, now) {
                 assert!(reserved.is_valid(now));
-                place.waiting.pop_front();
+                node_state.waiting.pop_front();
                 self.spent.push((now, REQUEST_TOKENS));
             } else {
                 break;
@@ -256,15 +260,15 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: &Message) {
-        let copies = match self.draw() {
+        let copies = match self.random() {
             lost if lost < 0.01 => 0,
             twice if twice > 0.99 => 2,
             _ => 1,
         };
         for _ in 0..copies {
-            let late = self.delay.mul_f64(self.draw());
+            let message_delay = self.delay.mul_f64(self.random());
             self.sent.push(Sent {
-                arrives: self.now + late,
+                arrives_at: self.now + message_delay,
                 between: (from, to),
                 to_lender: to,
                 message: message.clone(),
@@ -272,22 +276,22 @@
         }
     }
 
-    fn arrive(&mut self) {
+    fn deliver_due(&mut self) {
         let now = self.now;
         let (due, later) = std::mem::take(&mut self.sent)
             .into_iter()
-            .partition(|sent| sent.arrives <= now);
+            .partition(|sent| sent.arrives_at <= now);
         self.sent = later;
         for sent in due {
             let (from, to) = sent.between;
-            if from != to && (self.is_cut[from] || self.is_cut[to]) {
+            if from != to && (self.is_cut_off[from] || self.is_cut_off[to]) {
                 continue;
             }
-            self.take(sent.to_lender, sent.message);
+            self.deliver(sent.to_lender, sent.message);
         }
     }
 
-    fn take(&mut self, domain: usize, message: Message) {
+    fn deliver(&mut self, domain: usize, message: Message) {
         match message {
             Message::Ask { node, asked, ask } => {
                 let lent = self.lenders[domain].ask(&ask, self.now);
@@ -334,7 +338,7 @@
             .sum()
     }
 
-    pub fn most_in_a_window(&self) -> f64 {
+    pub fn max_spent_in_a_window(&self) -> f64 {
         let (mut most, mut sum, mut first) = (0.0_f64, 0.0, 0);
         for (at, tokens) in &self.spent {
             sum += f64::from(*tokens);
