--- a/crates/base/src/store_number.rs
+++ b/crates/base/src/store_number.rs
@@ -7,7 +7,7 @@
 
 /// Distance between the fencing tokens of two eras. It exceeds the number of revisions that a
 /// restore from an older copy can lose.
-const FENCES_PER_ERA: u64 = 1 << 22;
+const FENCING_TOKENS_PER_ERA: u64 = 1 << 22;
 
 /// A number assigned by the platform's store (a revision or a lease id), with the era in which it
 /// was assigned. Numbers of a later era compare greater, whatever their value. 0 means none, in
@@ -72,7 +72,7 @@
     }
 
     /// Whether it is not [`NONE`](Self::NONE) and was assigned in another era than `era`.
-    pub fn is_outside(self, era: StoreEra) -> bool {
+    pub fn is_from_other_era(self, era: StoreEra) -> bool {
         self != Self::NONE && self.era != era
     }
 
@@ -88,7 +88,7 @@
     /// assert!(lost < again);
     /// ```
     pub fn fence(self) -> Option<u64> {
-        let base = self.era.0.checked_mul(FENCES_PER_ERA)?;
+        let base = self.era.0.checked_mul(FENCING_TOKENS_PER_ERA)?;
         base.checked_add(self.number)
     }
 }
--- a/crates/base/tests/store_number.rs
+++ b/crates/base/tests/store_number.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 /// Most revisions that a restore from an older copy loses: 400 writes a second for an hour.
-const LOST_MOST: u64 = 1_440_000;
+const MAX_LOST_REVISIONS: u64 = 1_440_000;
 
 proptest! {
     #![proptest_config(ProptestConfig {
@@ -16,10 +16,10 @@
     // Guards against an engine that refuses its owner for good because the owner's fencing token
     // went down when the store was restored.
     #[test]
-    fn fences_rise_with_each_claim_whatever_the_store_loses(
+    fn fencing_tokens_increase_with_each_claim_across_restores(
         first_era in prop_oneof![0u64..10, 4_090u64..4_100, 0u64..1 << 41],
         first_revision in prop_oneof![1u64..10, (1u64 << 40) - 9..1 << 40, 1u64..1 << 62],
-        claims in prop::collection::vec((1u64..1_000_000, prop::option::of(0..LOST_MOST)), 1..50),
+        claims in prop::collection::vec((1u64..1_000_000, prop::option::of(0..MAX_LOST_REVISIONS)), 1..50),
     ) {
         let (mut era, mut revision) = (first_era, first_revision);
         let mut last = StoreNumber::of(StoreEra(era), revision);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_token_that_does_not_fit_is_none() {
+fn a_fencing_token_that_does_not_fit_into_64_bits_is_none() {
     assert_eq!(StoreNumber::of(StoreEra(u64::MAX), 1).fence(), None);
     assert_eq!(StoreNumber::of(StoreEra(1), u64::MAX).fence(), None);
 }
--- a/crates/store/src/http_call.rs
+++ b/crates/store/src/http_call.rs
@@ -12,7 +12,7 @@
 use crate::StoreRequest;
 
 /// Maximum size of an answer body. A page of values is far smaller.
-const ANSWER_LIMIT_BYTES: usize = 64 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
 /// Why a call has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
                     SendError::Broken => CallError::NoAnswer,
                 })?;
             let (head, body) = answer.into_parts();
-            let body = Limited::new(body, ANSWER_LIMIT_BYTES)
+            let body = Limited::new(body, MAX_ANSWER_BYTES)
                 .collect()
                 .await
                 .map_err(|_| CallError::NoAnswer)?
--- a/crates/store/src/http_key_value.rs
+++ b/crates/store/src/http_key_value.rs
@@ -43,14 +43,14 @@
     /// A write whose answer was lost may have taken effect or may still do so. If it were
     /// reported as [`KeyValueError::Unavailable`], the caller would write it again, or assume that
     /// a claim is free although it is taken.
-    fn without_answer(self) -> KeyValueError {
+    fn missing_answer_error(self) -> KeyValueError {
         match self {
             Self::Read => KeyValueError::Unavailable,
             Self::Write => KeyValueError::Ambiguous,
         }
     }
 
-    fn unreadable(self, why: EncodingError) -> KeyValueError {
+    fn decode_error(self, why: EncodingError) -> KeyValueError {
         match self {
             Self::Read => KeyValueError::Malformed(why.0),
             Self::Write => KeyValueError::Ambiguous,
@@ -80,39 +80,41 @@
         effect: Effect,
         call: StoreRequest,
         deadline: Duration,
-    ) -> Result<Told, KeyValueError> {
+    ) -> Result<TaggedAnswer, KeyValueError> {
         let answer = call
             .send(&self.pool, &self.settings.address, deadline)
             .await
             .map_err(|error| match error {
                 CallError::NotSent => KeyValueError::Unavailable,
-                CallError::NoAnswer => effect.without_answer(),
+                CallError::NoAnswer => effect.missing_answer_error(),
             })?;
-        let told = self.told(answer).ok_or(effect.without_answer())?;
-        match told.answer.status {
-            status if status.is_success() || status == StatusCode::NOT_FOUND => Ok(told),
+        let tagged = self
+            .tag_with_era(answer)
+            .ok_or(effect.missing_answer_error())?;
+        match tagged.answer.status {
+            status if status.is_success() || status == StatusCode::NOT_FOUND => Ok(tagged),
             StatusCode::TOO_MANY_REQUESTS => Err(KeyValueError::Refused),
             StatusCode::SERVICE_UNAVAILABLE => Err(KeyValueError::Unavailable),
             StatusCode::GONE => Err(KeyValueError::Compacted),
             StatusCode::PAYLOAD_TOO_LARGE => Err(KeyValueError::TooLarge),
-            StatusCode::PRECONDITION_FAILED => Err(self.conflict(effect, &told)),
-            _ => Err(effect.without_answer()),
+            StatusCode::PRECONDITION_FAILED => Err(self.conflict(effect, &tagged)),
+            _ => Err(effect.missing_answer_error()),
         }
     }
 
-    async fn read(&self, call: StoreRequest) -> Result<Told, KeyValueError> {
+    async fn read(&self, call: StoreRequest) -> Result<TaggedAnswer, KeyValueError> {
         self.call(Effect::Read, call, self.settings.call_timeout)
             .await
     }
 
-    async fn write(&self, call: StoreRequest) -> Result<Told, KeyValueError> {
+    async fn write(&self, call: StoreRequest) -> Result<TaggedAnswer, KeyValueError> {
         self.call(Effect::Write, call, self.settings.call_timeout)
             .await
     }
 
     /// Adds the era to an answer and records it. `None` if a later era is known already: the
     /// answer then describes a state that was lost in a restore.
-    fn told(&self, answer: Answer) -> Option<Told> {
+    fn tag_with_era(&self, answer: Answer) -> Option<TaggedAnswer> {
         let mut known = self.known_era();
         let era = self.encoding.era(&answer.headers).or(*known);
         if era < *known {
@@ -121,19 +123,19 @@
         *known = era;
         drop(known);
         let era = era.unwrap_or_default();
-        Some(Told { answer, era })
+        Some(TaggedAnswer { answer, era })
     }
 
     fn known_era(&self) -> MutexGuard<'_, Option<StoreEra>> {
         self.era.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn conflict(&self, effect: Effect, told: &Told) -> KeyValueError {
-        match self.encoding.conflict(&told.answer.body) {
+    fn conflict(&self, effect: Effect, tagged: &TaggedAnswer) -> KeyValueError {
+        match self.encoding.conflict(&tagged.answer.body) {
             Ok(current) => KeyValueError::Conflict {
-                current: current.into_iter().map(|item| told.item(item)).collect(),
+                current: current.into_iter().map(|item| tagged.item(item)).collect(),
             },
-            Err(error) => effect.unreadable(error),
+            Err(error) => effect.decode_error(error),
         }
     }
 
@@ -143,29 +145,30 @@
         let Some(known) = self.era() else {
             return Ok(());
         };
-        if expects_outside(txn, known) {
+        if expects_other_era(txn, known) {
             return Err(KeyValueError::Conflict {
                 current: Vec::new(),
             });
         }
-        match leases_outside(txn, known) {
+        match uses_lease_of_other_era(txn, known) {
             true => Err(KeyValueError::LeaseGone),
             false => Ok(()),
         }
     }
 
-    fn is_outside(&self, lease: LeaseId) -> bool {
-        self.era().is_some_and(|known| lease.is_outside(known))
+    fn is_from_other_era(&self, lease: LeaseId) -> bool {
+        self.era()
+            .is_some_and(|known| lease.is_from_other_era(known))
     }
 }
 
 /// A complete answer with the era of its revisions and lease ids.
-struct Told {
+struct TaggedAnswer {
     answer: Answer,
     era: StoreEra,
 }
 
-impl Told {
+impl TaggedAnswer {
     fn revision(&self, raw: Revision) -> Revision {
         Revision::of(self.era, raw.number())
     }
@@ -190,17 +193,17 @@
 }
 
 /// Whether a transaction contains revisions or leases of another era than `era`.
-fn names_outside(txn: &Txn, era: StoreEra) -> bool {
-    expects_outside(txn, era) || leases_outside(txn, era)
+fn has_other_era(txn: &Txn, era: StoreEra) -> bool {
+    expects_other_era(txn, era) || uses_lease_of_other_era(txn, era)
 }
 
-fn expects_outside(txn: &Txn, era: StoreEra) -> bool {
+fn expects_other_era(txn: &Txn, era: StoreEra) -> bool {
     let mut expects = txn.expects.iter();
-    expects.any(|expect| expect.revision.is_outside(era))
+    expects.any(|expect| expect.revision.is_from_other_era(era))
 }
 
-fn leases_outside(txn: &Txn, era: StoreEra) -> bool {
-    txn.puts.iter().any(|put| put.lease.is_outside(era))
+fn uses_lease_of_other_era(txn: &Txn, era: StoreEra) -> bool {
+    txn.puts.iter().any(|put| put.lease.is_from_other_era(era))
 }
 
 #[async_trait]
@@ -210,21 +213,25 @@
     }
 
     async fn get(&self, key: &str) -> Result<Option<Item>, KeyValueError> {
-        let told = self.read(self.encoding.get(key)).await?;
-        if told.answer.status == StatusCode::NOT_FOUND {
+        let tagged = self.read(self.encoding.get(key)).await?;
+        if tagged.answer.status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        let item = self.encoding.item(&told.answer.body)?;
-        Ok(Some(told.item(item)))
+        let item = self.encoding.item(&tagged.answer.body)?;
+        Ok(Some(tagged.item(item)))
     }
 
     async fn range(&self, prefix: &str, after: Option<&str>) -> Result<Page, KeyValueError> {
-        let told = found(self.read(self.encoding.range(prefix, after)).await?)?;
-        let page = self.encoding.page(&told.answer.body)?;
+        let tagged = require_found(self.read(self.encoding.range(prefix, after)).await?)?;
+        let page = self.encoding.page(&tagged.answer.body)?;
         Ok(Page {
-            items: page.items.into_iter().map(|item| told.item(item)).collect(),
+            items: page
+                .items
+                .into_iter()
+                .map(|item| tagged.item(item))
+                .collect(),
             has_more: page.has_more,
-            revision: told.revision(page.revision),
+            revision: tagged.revision(page.revision),
         })
     }
 
@@ -234,24 +241,24 @@
         after: Revision,
         wait: Duration,
     ) -> Result<Changes, KeyValueError> {
-        let is_over = |known| after.is_outside(known) && after.era() < known;
-        if self.era().is_some_and(is_over) {
+        let is_from_past_era = |known| after.is_from_other_era(known) && after.era() < known;
+        if self.era().is_some_and(is_from_past_era) {
             return Err(KeyValueError::Compacted);
         }
         let call = self.encoding.watch(prefix, after, wait);
         let deadline = wait + self.settings.call_timeout;
-        let told = found(self.call(Effect::Read, call, deadline).await?)?;
-        if after.is_outside(told.era) {
+        let tagged = require_found(self.call(Effect::Read, call, deadline).await?)?;
+        if after.is_from_other_era(tagged.era) {
             // The service took the position for a revision of its current era.
             return Err(KeyValueError::Compacted);
         }
-        let changes = self.encoding.changes(&told.answer.body)?;
+        let changes = self.encoding.changes(&tagged.answer.body)?;
         Ok(Changes {
-            revision: told.revision(changes.revision),
+            revision: tagged.revision(changes.revision),
             changes: changes
                 .changes
                 .into_iter()
-                .map(|change| told.change(change))
+                .map(|change| tagged.change(change))
                 .collect(),
         })
     }
@@ -260,8 +267,8 @@
         self.check_eras(&txn)?;
         let writes = !txn.puts.is_empty() || !txn.removes.is_empty();
         let call = self.encoding.commit(&txn)?;
-        let told = lease_found(self.write(call).await?)?;
-        if names_outside(&txn, told.era) {
+        let tagged = require_lease(self.write(call).await?)?;
+        if has_other_era(&txn, tagged.era) {
             return Err(match writes {
                 true => KeyValueError::Ambiguous,
                 false => KeyValueError::Conflict {
@@ -269,27 +276,27 @@
                 },
             });
         }
-        let committed = self.encoding.committed(&told.answer.body);
-        let committed = committed.map(|revision| told.revision(revision));
-        committed.map_err(|error| Effect::Write.unreadable(error))
+        let committed = self.encoding.committed(&tagged.answer.body);
+        let committed = committed.map(|revision| tagged.revision(revision));
+        committed.map_err(|error| Effect::Write.decode_error(error))
     }
 
     async fn grant_lease(&self, ttl: Duration) -> Result<LeaseGrant, KeyValueError> {
-        let told = self.write(self.encoding.grant_lease(ttl)).await?;
-        let granted = self.encoding.granted(&told.answer.body);
+        let tagged = self.write(self.encoding.grant_lease(ttl)).await?;
+        let granted = self.encoding.granted(&tagged.answer.body);
         let granted = granted.map(|granted| LeaseGrant {
-            lease: LeaseId::of(told.era, granted.lease.number()),
+            lease: LeaseId::of(tagged.era, granted.lease.number()),
             ..granted
         });
-        granted.map_err(|error| Effect::Write.unreadable(error))
+        granted.map_err(|error| Effect::Write.decode_error(error))
     }
 
     async fn keep_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
-        if self.is_outside(lease) {
+        if self.is_from_other_era(lease) {
             return Err(KeyValueError::LeaseGone);
         }
-        let told = lease_found(self.write(self.encoding.keep_lease(lease)).await?)?;
-        match lease.is_outside(told.era) {
+        let tagged = require_lease(self.write(self.encoding.keep_lease(lease)).await?)?;
+        match lease.is_from_other_era(tagged.era) {
             // The service renewed another lease that has the same number now.
             true => Err(KeyValueError::LeaseGone),
             false => Ok(()),
@@ -297,7 +304,7 @@
     }
 
     async fn end_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
-        if self.is_outside(lease) {
+        if self.is_from_other_era(lease) {
             // The lease was lost in a restore, and another one may have its number now.
             return Ok(());
         }
@@ -307,16 +314,16 @@
     }
 }
 
-fn found(told: Told) -> Result<Told, KeyValueError> {
-    match told.answer.status {
+fn require_found(tagged: TaggedAnswer) -> Result<TaggedAnswer, KeyValueError> {
+    match tagged.answer.status {
         StatusCode::NOT_FOUND => Err(KeyValueError::Unavailable),
-        _ => Ok(told),
+        _ => Ok(tagged),
     }
 }
 
-fn lease_found(told: Told) -> Result<Told, KeyValueError> {
-    match told.answer.status {
+fn require_lease(tagged: TaggedAnswer) -> Result<TaggedAnswer, KeyValueError> {
+    match tagged.answer.status {
         StatusCode::NOT_FOUND => Err(KeyValueError::LeaseGone),
-        _ => Ok(told),
+        _ => Ok(tagged),
     }
 }
--- a/crates/store/tests/against_stand_ins.rs
+++ b/crates/store/tests/against_stand_ins.rs
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test]
-async fn a_write_is_read_watched_and_compared() {
+async fn a_written_item_can_be_read_watched_and_compared() {
     let (_fake, _server, store) = store().await;
     let key = "nutmegsail/a b&c";
     let first = store
@@ -57,7 +57,7 @@
 /// Guards against reporting a write as not executed when the store made it and only the answer
 /// was lost.
 #[tokio::test]
-async fn a_lost_answer_is_ambiguous_and_the_write_stands() {
+async fn a_write_that_lost_its_answer_is_ambiguous_and_takes_effect() {
     let (fake, _server, store) = store().await;
     fake.set_knobs(Knobs {
         lost_answer_share: 1.0,
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn an_outage_did_nothing() {
+async fn a_write_during_an_outage_is_not_executed() {
     let (fake, _server, store) = store().await;
     fake.set_knobs(Knobs {
         outage: true,
--- a/crates/store/tests/http_key_value.rs
+++ b/crates/store/tests/http_key_value.rs
@@ -17,7 +17,7 @@
 }
 
 /// A client with a short timeout, for servers that never answer.
-fn impatient_store_at(address: &str) -> HttpKeyValue {
+fn short_timeout_store_at(address: &str) -> HttpKeyValue {
     HttpKeyValue::new(PlatformSettings {
         call_timeout: Duration::from_millis(100),
         ..PlatformSettings::at(address)
@@ -50,7 +50,7 @@
 #[case::unreadable(200, "{", KeyValueError::Ambiguous)]
 #[case::unreadable_conflict(412, "{", KeyValueError::Ambiguous)]
 #[tokio::test]
-async fn a_write_is_told_what_is_known(
+async fn a_failed_write_reports_whether_it_may_have_taken_effect(
     #[case] status: u16,
     #[case] body: &str,
     #[case] expected: KeyValueError,
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn an_unreadable_read_is_malformed() {
+async fn an_undecodable_read_is_malformed() {
     let result = get(Turn::Answer(answer(200, "", "{"))).await;
     assert!(
         matches!(result, Err(KeyValueError::Malformed(_))),
@@ -101,10 +101,10 @@
 /// Guards against calls that never end: a frozen service keeps its connections open without
 /// answering.
 #[tokio::test]
-async fn a_silent_service_ends_by_the_timeout() {
+async fn calls_to_a_frozen_service_end_at_the_timeout() {
     let hang = || Turn::AnswerAndHang(Vec::new());
     let server = ScriptedServer::start([hang(), hang(), hang()]).await;
-    let store = impatient_store_at(&server.address);
+    let store = short_timeout_store_at(&server.address);
     assert_eq!(store.commit(claim()).await, Err(KeyValueError::Ambiguous));
     let ttl = Duration::from_secs(5);
     assert_eq!(store.grant_lease(ttl).await, Err(KeyValueError::Ambiguous));
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn nothing_was_written_if_no_connection_was_made() {
+async fn a_write_without_a_connection_is_unavailable() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     drop(listener);
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn a_conflict_shows_what_is_there() {
+async fn a_conflict_returns_the_current_items() {
     let body = r#"{"current":[{"key":"k","value":"v","revision":7,"lease":0}]}"#;
     let result = commit(Turn::Answer(answer(412, "", body))).await;
     let Err(KeyValueError::Conflict { current }) = result else {
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test]
-async fn calls_are_spelled_as_the_service_expects() {
+async fn requests_have_the_expected_format() {
     let item = r#"{"key":"a/b","value":"{}","revision":3,"lease":9}"#;
     let turns = [
         item.to_owned(),
@@ -202,7 +202,7 @@
 }
 
 #[tokio::test]
-async fn the_list_of_vms_is_read() {
+async fn the_vm_list_is_decoded() {
     let vm = r#"{"id":"n1","address":"10.0.0.1:7","failure_domain":"moka","duty":"entry","state":"leaving"}"#;
     let turns = [
         Turn::Answer(answer(200, "", &format!(r#"{{"vms":[{vm}]}}"#))),
--- a/crates/store/tests/store_eras.rs
+++ b/crates/store/tests/store_eras.rs
@@ -57,7 +57,7 @@
 
 // Guards against taking a revision for an older one because its number was set back by a restore.
 #[tokio::test]
-async fn revisions_of_a_later_era_come_later() {
+async fn revisions_of_a_later_era_compare_greater() {
     let (store, _server) = store([in_era(2, 200, &ITEM.replace('7', "3"))]).await;
     let item = store.get("k").await.unwrap().unwrap();
     assert_eq!(item.revision.number(), 3);
@@ -68,7 +68,7 @@
 // Guards against continuing a watch at a revision of an earlier era, which the store would take
 // for one of its current era.
 #[tokio::test]
-async fn a_watch_does_not_go_on_in_another_era() {
+async fn a_watch_fails_in_another_era() {
     let (store, server) = store([in_era(2, 200, NO_CHANGES)]).await;
     let wait = Duration::from_millis(10);
     let watched = store.watch("", revision(7), wait).await;
@@ -113,7 +113,7 @@
 #[case::condition(revision(7), LeaseId::NONE)]
 #[case::lease(Revision::NONE, lease(4))]
 #[tokio::test]
-async fn a_write_that_met_another_era_may_have_been_made(
+async fn a_write_executed_in_another_era_is_ambiguous(
     #[case] expected: Revision,
     #[case] lease: LeaseId,
 ) {
@@ -125,7 +125,7 @@
 // Guards against using an answer that was sent before the store was restored: it describes state
 // that was lost.
 #[tokio::test]
-async fn an_answer_of_an_earlier_era_tells_nothing() {
+async fn an_answer_of_an_earlier_era_is_rejected() {
     let (store, _server) = store([
         in_era(2, 200, ITEM),
         in_era(1, 200, ITEM),
@@ -140,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn a_store_that_tells_no_era_keeps_its_own_numbers() {
+async fn a_store_without_eras_uses_plain_revisions() {
     let turns = [answer(200, "", ITEM), answer(200, "", COMMITTED)].map(Turn::Answer);
     let server = ScriptedServer::start(turns).await;
     let store = HttpKeyValue::new(PlatformSettings::at(&server.address));
@@ -154,7 +154,7 @@
 /// represent exactly.
 const NUMBERS: [u64; 4] = [1 << 41, (1 << 53) + 1, (1 << 63) + 7, u64::MAX];
 
-fn told(era: Option<u64>, body: &str) -> Turn {
+fn answer_in_era(era: Option<u64>, body: &str) -> Turn {
     let header = era.map_or(String::new(), |era| format!("store-era: {era}\r\n"));
     Turn::Answer(answer(200, &header, body))
 }
@@ -162,13 +162,13 @@
 // Guards against renewing a lease under another number than the store assigned.
 #[rstest]
 #[tokio::test]
-async fn a_lease_is_called_what_the_store_calls_it(
+async fn lease_ids_are_sent_back_unchanged(
     #[values(None, Some(1), Some(5_000))] era: Option<u64>,
     #[values(0, 1, 2, 3)] number: usize,
 ) {
     let number = NUMBERS[number];
     let granted = format!(r#"{{"lease":{number},"ttl_ms":4000}}"#);
-    let turns = [&granted, "", "", COMMITTED].map(|body| told(era, body));
+    let turns = [&granted, "", "", COMMITTED].map(|body| answer_in_era(era, body));
     let server = ScriptedServer::start(turns).await;
     let store = HttpKeyValue::new(PlatformSettings::at(&server.address));
     let granted = store.grant_lease(Duration::from_secs(4)).await.unwrap();
@@ -186,13 +186,13 @@
 // Guards against watches and conditions that send another revision than the store assigned.
 #[rstest]
 #[tokio::test]
-async fn a_revision_is_called_what_the_store_calls_it(
+async fn revisions_are_sent_back_unchanged(
     #[values(None, Some(1), Some(5_000))] era: Option<u64>,
     #[values(0, 1, 2, 3)] number: usize,
 ) {
     let number = NUMBERS[number];
     let item = ITEM.replace('7', &number.to_string());
-    let turns = [&item, NO_CHANGES, COMMITTED].map(|body| told(era, body));
+    let turns = [&item, NO_CHANGES, COMMITTED].map(|body| answer_in_era(era, body));
     let server = ScriptedServer::start(turns).await;
     let store = HttpKeyValue::new(PlatformSettings::at(&server.address));
     let item = store.get("k").await.unwrap().unwrap();
