--- a/crates/store/tests/http_key_value.rs
+++ b/crates/store/tests/http_key_value.rs
@@ -1,4 +1,4 @@
-//! What each answer of the key-value service means, and what a missing one means.
+//! Maps every kind of answer of the platform's services, or a missing one, to a result.
 
 #[path = "../../http-pool/tests/scripted_server/mod.rs"]
 mod scripted_server;
@@ -16,8 +16,8 @@
     HttpKeyValue::new(PlatformSettings::at(address))
 }
 
-/// A store that gives up on an answer soon, for servers that never give one.
-fn impatient_store_at(address: &str) -> HttpKeyValue {
+/// A client with a short timeout, for servers that never answer.
+fn short_timeout_store_at(address: &str) -> HttpKeyValue {
     HttpKeyValue::new(PlatformSettings {
         call_timeout: Duration::from_millis(100),
         ..PlatformSettings::at(address)
@@ -31,7 +31,7 @@
 async fn commit(turn: Turn) -> Result<Revision, KeyValueError> {
     let server = ScriptedServer::start([turn]).await;
     let result = store_at(&server.address).commit(claim()).await;
-    assert_eq!(server.seen().len(), 1, "a write goes out once");
+    assert_eq!(server.seen().len(), 1, "a write is sent once");
     result
 }
 
@@ -50,7 +50,7 @@
 #[case::unreadable(200, "{", KeyValueError::Ambiguous)]
 #[case::unreadable_conflict(412, "{", KeyValueError::Ambiguous)]
 #[tokio::test]
-async fn a_write_is_told_what_is_known(
+async fn a_failed_write_reports_whether_it_may_have_taken_effect(
     #[case] status: u16,
     #[case] body: &str,
     #[case] expected: KeyValueError,
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn an_unreadable_read_is_malformed() {
+async fn an_undecodable_read_is_malformed() {
     let result = get(Turn::Answer(answer(200, "", "{"))).await;
     assert!(
         matches!(result, Err(KeyValueError::Malformed(_))),
@@ -83,8 +83,9 @@
     );
 }
 
-/// Two nodes claim one booking. The first claim is written, its answer is lost with the connection.
-/// Told "not available", the first node would claim again, lose to itself and refuse the guest.
+/// Guards against reporting a write as not executed when its answer was lost with the connection.
+/// Of two nodes that claim one booking, the one whose claim was written would claim again, conflict
+/// with itself and refuse the guest.
 #[rstest]
 #[case::no_answer(Vec::new())]
 #[case::half_a_head(b"HTTP/1.1 200 O".to_vec())]
@@ -97,12 +98,13 @@
     assert_eq!(read, Err(KeyValueError::Unavailable));
 }
 
-/// A frozen service keeps its connections and says nothing: each call must end by itself.
+/// Guards against calls that never end: a frozen service keeps its connections open without
+/// answering.
 #[tokio::test]
-async fn a_silent_service_ends_by_the_timeout() {
+async fn calls_to_a_frozen_service_end_at_the_timeout() {
     let hang = || Turn::AnswerAndHang(Vec::new());
     let server = ScriptedServer::start([hang(), hang(), hang()]).await;
-    let store = impatient_store_at(&server.address);
+    let store = short_timeout_store_at(&server.address);
     assert_eq!(store.commit(claim()).await, Err(KeyValueError::Ambiguous));
     let ttl = Duration::from_secs(5);
     assert_eq!(store.grant_lease(ttl).await, Err(KeyValueError::Ambiguous));
@@ -110,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn nothing_was_written_if_no_connection_was_made() {
+async fn a_write_without_a_connection_is_unavailable() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     drop(listener);
@@ -119,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn a_conflict_shows_what_is_there() {
+async fn a_conflict_returns_the_current_items() {
     let body = r#"{"current":[{"key":"k","value":"v","revision":7,"lease":0}]}"#;
     let result = commit(Turn::Answer(answer(412, "", body))).await;
     let Err(KeyValueError::Conflict { current }) = result else {
@@ -130,7 +132,7 @@
 }
 
 #[tokio::test]
-async fn calls_are_spelled_as_the_service_expects() {
+async fn requests_have_the_expected_format() {
     let item = r#"{"key":"a/b","value":"{}","revision":3,"lease":9}"#;
     let turns = [
         item.to_owned(),
@@ -200,7 +202,7 @@
 }
 
 #[tokio::test]
-async fn the_list_of_vms_is_read() {
+async fn the_vm_list_is_decoded() {
     let vm = r#"{"id":"n1","address":"10.0.0.1:7","failure_domain":"moka","duty":"entry","state":"leaving"}"#;
     let turns = [
         Turn::Answer(answer(200, "", &format!(r#"{{"vms":[{vm}]}}"#))),
--- a/crates/store/tests/store_eras.rs
+++ b/crates/store/tests/store_eras.rs
@@ -1,6 +1,6 @@
-//! What a store that comes back from an older copy makes of numbers of before.
+//! Revisions and leases of earlier eras after the store was restored from an older copy.
 
-#![allow(clippy::unwrap_used, reason = "a stand-in that fails fails its test")]
+#![allow(clippy::unwrap_used, reason = "a failing stand-in must fail the test")]
 
 #[path = "../../http-pool/tests/scripted_server/mod.rs"]
 mod scripted_server;
@@ -22,7 +22,7 @@
     Turn::Answer(answer(status, &format!("store-era: {era}\r\n"), body))
 }
 
-/// A store that answers in era 1 first.
+/// A client that has seen era 1, and the server that answers with `turns` next.
 async fn store(turns: impl IntoIterator<Item = Turn>) -> (HttpKeyValue, ScriptedServer) {
     let turns: Vec<Turn> = [in_era(1, 200, ITEM)].into_iter().chain(turns).collect();
     let server = ScriptedServer::start(turns).await;
@@ -55,9 +55,9 @@
     LeaseId::of(StoreEra(1), number)
 }
 
-// Guards against a later revision of the store that is taken for an earlier one, as its number is lower.
+// Guards against taking a revision for an older one because its number was set back by a restore.
 #[tokio::test]
-async fn revisions_of_a_later_era_come_later() {
+async fn revisions_of_a_later_era_compare_greater() {
     let (store, _server) = store([in_era(2, 200, &ITEM.replace('7', "3"))]).await;
     let item = store.get("k").await.unwrap().unwrap();
     assert_eq!(item.revision.number(), 3);
@@ -65,9 +65,10 @@
     assert_eq!(store.era(), Some(StoreEra(2)));
 }
 
-// Guards against a position that is taken for one of the store's new history.
+// Guards against continuing a watch at a revision of an earlier era, which the store would take
+// for one of its current era.
 #[tokio::test]
-async fn a_watch_does_not_go_on_in_another_era() {
+async fn a_watch_fails_in_another_era() {
     let (store, server) = store([in_era(2, 200, NO_CHANGES)]).await;
     let wait = Duration::from_millis(10);
     let watched = store.watch("", revision(7), wait).await;
@@ -77,11 +78,12 @@
     assert_eq!(
         server.seen().len(),
         2,
-        "the second is known to be over without a call"
+        "the second watch fails without a call"
     );
 }
 
-// Guards against a lease that is kept for another holder, to whom its number was given out again.
+// Guards against renewing the lease of another holder that was granted the same number after a
+// restore.
 #[tokio::test]
 async fn a_lease_ends_with_its_era() {
     let (store, server) = store([in_era(2, 200, "")]).await;
@@ -93,7 +95,8 @@
     assert_eq!(server.seen().len(), 2);
 }
 
-// Guards against a claim over a revision that was given out again to another node's claim.
+// Guards against overwriting another node's claim whose revision has the same number after a
+// restore.
 #[tokio::test]
 async fn a_condition_of_another_era_does_not_hold() {
     let (store, server) = store([in_era(2, 200, ITEM)]).await;
@@ -101,15 +104,16 @@
     let swapped = store.commit(swap(revision(7), LeaseId::NONE)).await;
     let current = Vec::new();
     assert_eq!(swapped, Err(KeyValueError::Conflict { current }));
-    assert_eq!(server.seen().len(), 2, "the store is not asked");
+    assert_eq!(server.seen().len(), 2, "no call is made");
 }
 
-// Guards against a write that counts as a success under a condition that the store took for another one.
+// Guards against reporting a write as successful when the store checked its condition or lease
+// against one of another era with the same number.
 #[rstest]
 #[case::condition(revision(7), LeaseId::NONE)]
 #[case::lease(Revision::NONE, lease(4))]
 #[tokio::test]
-async fn a_write_that_met_another_era_may_have_been_made(
+async fn a_write_executed_in_another_era_is_ambiguous(
     #[case] expected: Revision,
     #[case] lease: LeaseId,
 ) {
@@ -118,9 +122,10 @@
     assert_eq!(swapped, Err(KeyValueError::Ambiguous));
 }
 
-// Guards against an answer that was on its way while the store came back, and tells what is gone.
+// Guards against using an answer that was sent before the store was restored: it describes state
+// that was lost.
 #[tokio::test]
-async fn an_answer_of_an_earlier_era_tells_nothing() {
+async fn an_answer_of_an_earlier_era_is_rejected() {
     let (store, _server) = store([
         in_era(2, 200, ITEM),
         in_era(1, 200, ITEM),
@@ -135,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn a_store_that_tells_no_era_keeps_its_own_numbers() {
+async fn a_store_without_eras_uses_plain_revisions() {
     let turns = [answer(200, "", ITEM), answer(200, "", COMMITTED)].map(Turn::Answer);
     let server = ScriptedServer::start(turns).await;
     let store = HttpKeyValue::new(PlatformSettings::at(&server.address));
@@ -145,24 +150,25 @@
     assert_eq!(swapped, Ok(Revision::plain(9)));
 }
 
-/// Numbers that a store may give out: past what a cut to fewer bits keeps, and past what a float keeps exact.
+/// Numbers that a store may assign: too large for truncation to fewer bits, and for a float to
+/// represent exactly.
 const NUMBERS: [u64; 4] = [1 << 41, (1 << 53) + 1, (1 << 63) + 7, u64::MAX];
 
-fn told(era: Option<u64>, body: &str) -> Turn {
+fn answer_in_era(era: Option<u64>, body: &str) -> Turn {
     let header = era.map_or(String::new(), |era| format!("store-era: {era}\r\n"));
     Turn::Answer(answer(200, &header, body))
 }
 
-// Guards against a lease that is renewed under another number than the store gave it.
+// Guards against renewing a lease under another number than the store assigned.
 #[rstest]
 #[tokio::test]
-async fn a_lease_is_called_what_the_store_calls_it(
+async fn lease_ids_are_sent_back_unchanged(
     #[values(None, Some(1), Some(5_000))] era: Option<u64>,
     #[values(0, 1, 2, 3)] number: usize,
 ) {
     let number = NUMBERS[number];
     let granted = format!(r#"{{"lease":{number},"ttl_ms":4000}}"#);
-    let turns = [&granted, "", "", COMMITTED].map(|body| told(era, body));
+    let turns = [&granted, "", "", COMMITTED].map(|body| answer_in_era(era, body));
     let server = ScriptedServer::start(turns).await;
     let store = HttpKeyValue::new(PlatformSettings::at(&server.address));
     let granted = store.grant_lease(Duration::from_secs(4)).await.unwrap();
@@ -177,16 +183,16 @@
     assert!(seen[3].body.contains(&format!(r#""lease":{number}"#)));
 }
 
-// Guards against a position or condition that names another revision than the store told.
+// Guards against watches and conditions that send another revision than the store assigned.
 #[rstest]
 #[tokio::test]
-async fn a_revision_is_called_what_the_store_calls_it(
+async fn revisions_are_sent_back_unchanged(
     #[values(None, Some(1), Some(5_000))] era: Option<u64>,
     #[values(0, 1, 2, 3)] number: usize,
 ) {
     let number = NUMBERS[number];
     let item = ITEM.replace('7', &number.to_string());
-    let turns = [&item, NO_CHANGES, COMMITTED].map(|body| told(era, body));
+    let turns = [&item, NO_CHANGES, COMMITTED].map(|body| answer_in_era(era, body));
     let server = ScriptedServer::start(turns).await;
     let store = HttpKeyValue::new(PlatformSettings::at(&server.address));
     let item = store.get("k").await.unwrap().unwrap();
