--- a/crates/relay-node/src/control/owner_loads.rs
+++ b/crates/relay-node/src/control/owner_loads.rs
@@ -198,7 +198,7 @@
         let upstream = upstream.ok_or(LoadFailure::EngineGone)?;
         for step in plan.steps {
             let order = match &step {
-                LoadStep::Unload(victim) => OrderStep::Unload(victim.clone()),
+                LoadStep::Unload(model) => OrderStep::Unload(model.clone()),
                 LoadStep::Load(model, version) => OrderStep::Load(model.clone(), *version),
             };
             let answer = control.order(engine, &upstream, order, fence).await;
@@ -208,13 +208,11 @@
                     engine.record_load(model, version, kind, loads_in_progress);
                 }
                 (OrderAnswer::Done, LoadStep::Load(..)) => engine.forget_order_seq(),
-                (OrderAnswer::Done, LoadStep::Unload(victim)) => {
-                    engine.record_unload(&victim, true)
-                }
-                (OrderAnswer::Accepted, LoadStep::Unload(victim)) => {
+                (OrderAnswer::Done, LoadStep::Unload(model)) => engine.record_unload(&model, true),
+                (OrderAnswer::Accepted, LoadStep::Unload(model)) => {
                     // Another node uses the adapter, so it is unloaded later and its slot is not
                     // free yet.
-                    engine.record_unload(&victim, false);
+                    engine.record_unload(&model, false);
                     return Err(LoadFailure::Blocked);
                 }
                 (OrderAnswer::Conflict, _) => {
