--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -1,55 +1,56 @@
-//! What the router wants done.
+//! Instructions from the router to the node.
 
 use std::time::Duration;
 
 use nutmegsail_base::{AdapterRef, Class, RequestId, ResultCode, RunState, UpstreamId};
 
-/// What the router wants done. The node carries it out and answers with events.
+/// An instruction to the node, which carries it out and reports the result as a
+/// [`RoutingEvent`](crate::RoutingEvent).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoutingAction {
-    /// Send the request to the upstream, once.
+    /// Send the request to the upstream once.
     Dispatch {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The upstream to send it to.
         upstream: UpstreamId,
         /// 1 for the first attempt.
         attempt: u32,
-        /// The class to give to the upstream: the request's own, or urgent for a routine request
-        /// that takes a place kept by the routine floor.
+        /// The class to pass to the upstream: the request's own class, or urgent for a routine
+        /// request in a place reserved by the routine floor.
         class: Class,
     },
-    /// Final: the request did not run and never will.
+    /// Final: answer that the request did not run and will not be run.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// The reason.
         code: ResultCode,
-        /// When the caller should come back.
+        /// How long the caller should wait before it retries.
         retry_after: Duration,
         /// Always [`RunState::NotRun`].
         state: RunState,
     },
-    /// Ask placement to make an adapter ready.
+    /// Ask placement to load an adapter.
     WantAdapter {
-        /// Where it would serve best.
+        /// The upstream with the lowest expected cost.
         upstream: UpstreamId,
         /// The adapter.
         adapter: AdapterRef,
-        /// How urgent the most urgent waiting request is.
+        /// The class of the request that needs the adapter.
         class: Class,
     },
-    /// Cancel a routine attempt that gave no byte yet, to make a place for urgent work. The node
-    /// reports [`crate::Outcome::Cancelled`], and the request waits again.
+    /// Cancel a routine attempt that has not returned a byte yet, to free its place for an urgent
+    /// request. The node reports [`crate::Outcome::Cancelled`], and the request is queued again.
     Cancel {
         /// The request.
         request: RequestId,
     },
-    /// Final: no attempt gave an answer, and one of them may have run.
+    /// Final: answer that no attempt succeeded and that one of them may have run.
     GiveUp {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// The reason.
         code: ResultCode,
         /// Always [`RunState::MayHaveRun`].
         state: RunState,
--- a/crates/routing/src/adapter_index.rs
+++ b/crates/routing/src/adapter_index.rs
@@ -1,4 +1,4 @@
-//! Which upstreams hold which adapters.
+//! Index from each adapter to the upstreams that hold it.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -6,32 +6,33 @@
 use nutmegsail_base::AdapterRef;
 use smallvec::SmallVec;
 
-/// An adapter on an upstream.
+/// An upstream that holds an adapter or is loading it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Holder {
     pub(crate) upstream: u32,
     pub(crate) is_ready: bool,
 }
 
-/// A load that the router asked for.
+/// When the router asked placement to load an adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Want {
+pub(crate) struct LoadRequest {
     pub(crate) first: Instant,
     pub(crate) last: Instant,
 }
 
-/// What is known of one adapter.
+/// The holders of one adapter and the pending request to load it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AdapterEntry {
     pub(crate) holders: SmallVec<[Holder; 4]>,
-    pub(crate) want: Option<Want>,
+    pub(crate) load_request: Option<LoadRequest>,
 }
 
-/// Which upstreams hold which adapters. Adapters that no upstream holds take no memory.
+/// Maps adapters to the upstreams that hold them. An adapter without holders or a pending load has
+/// no entry.
 #[derive(Debug, Default)]
 pub(crate) struct AdapterIndex {
     entries: HashMap<AdapterRef, AdapterEntry>,
-    wants: usize,
+    pending_loads: usize,
 }
 
 impl AdapterIndex {
@@ -41,50 +42,54 @@
             .map_or(&[], |entry| entry.holders.as_slice())
     }
 
-    pub(crate) fn want(&self, adapter: &AdapterRef) -> Option<Want> {
-        self.entries.get(adapter)?.want
+    pub(crate) fn load_request(&self, adapter: &AdapterRef) -> Option<LoadRequest> {
+        self.entries.get(adapter)?.load_request
     }
 
-    /// Loads that were asked for and are not ready yet.
-    pub(crate) fn wants(&self) -> usize {
-        self.wants
+    /// Number of loads that were requested and have not finished.
+    pub(crate) fn pending_loads(&self) -> usize {
+        self.pending_loads
     }
 
-    pub(crate) fn set_want(&mut self, adapter: &AdapterRef, now: Instant) {
+    pub(crate) fn record_load_request(&mut self, adapter: &AdapterRef, now: Instant) {
         let entry = self.entries.entry(adapter.clone()).or_default();
-        match &mut entry.want {
-            Some(want) => want.last = now,
+        match &mut entry.load_request {
+            Some(load_request) => load_request.last = now,
             None => {
-                entry.want = Some(Want {
+                entry.load_request = Some(LoadRequest {
                     first: now,
                     last: now,
                 });
-                self.wants += 1;
+                self.pending_loads += 1;
             }
         }
     }
 
-    pub(crate) fn clear_want(&mut self, adapter: &AdapterRef) -> Option<Want> {
+    pub(crate) fn clear_load_request(&mut self, adapter: &AdapterRef) -> Option<LoadRequest> {
         let entry = self.entries.get_mut(adapter)?;
-        let want = entry.want.take();
-        self.wants -= usize::from(want.is_some());
-        self.drop_if_empty(adapter);
-        want
+        let load_request = entry.load_request.take();
+        self.pending_loads -= usize::from(load_request.is_some());
+        self.remove_if_empty(adapter);
+        load_request
     }
 
-    /// Forgets loads that nobody asked for since `before`.
-    pub(crate) fn forget_wants(&mut self, before: Instant) {
+    /// Removes load requests that were not repeated since `before`.
+    pub(crate) fn expire_load_requests(&mut self, before: Instant) {
         for entry in self.entries.values_mut() {
-            if entry.want.is_some_and(|want| want.last < before) {
-                entry.want = None;
-                self.wants -= 1;
+            if entry
+                .load_request
+                .is_some_and(|load_request| load_request.last < before)
+            {
+                entry.load_request = None;
+                self.pending_loads -= 1;
             }
         }
         self.entries
-            .retain(|_, entry| entry.want.is_some() || !entry.holders.is_empty());
+            .retain(|_, entry| entry.load_request.is_some() || !entry.holders.is_empty());
     }
 
-    /// Sets how far `adapter` is on `upstream`; `None` removes it.
+    /// Records whether `adapter` is ready (`true`) or loading (`false`) on `upstream`; `None`
+    /// removes it.
     pub(crate) fn set(&mut self, adapter: &AdapterRef, upstream: usize, is_ready: Option<bool>) {
         let upstream = upstream as u32;
         let entry = self.entries.entry(adapter.clone()).or_default();
@@ -92,7 +97,7 @@
         if let Some(is_ready) = is_ready {
             entry.holders.push(Holder { upstream, is_ready });
         }
-        self.drop_if_empty(adapter);
+        self.remove_if_empty(adapter);
     }
 
     pub(crate) fn memory_bytes(&self) -> usize {
@@ -101,8 +106,9 @@
         self.entries.capacity() * entry
     }
 
-    fn drop_if_empty(&mut self, adapter: &AdapterRef) {
-        let is_empty = |entry: &AdapterEntry| entry.holders.is_empty() && entry.want.is_none();
+    fn remove_if_empty(&mut self, adapter: &AdapterRef) {
+        let is_empty =
+            |entry: &AdapterEntry| entry.holders.is_empty() && entry.load_request.is_none();
         if self.entries.get(adapter).is_some_and(is_empty) {
             self.entries.remove(adapter);
         }
--- a/crates/routing/src/replan.rs
+++ b/crates/routing/src/apply_plan.rs
@@ -1,4 +1,4 @@
-//! A new generation of the operators' text.
+//! Switching to a new routing plan.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -11,25 +11,25 @@
 use crate::{Router, RoutingAction, RoutingPlan, ServicePlan};
 
 impl Router {
-    pub(crate) fn replan(
+    pub(crate) fn apply_plan(
         &mut self,
         plan: Arc<RoutingPlan>,
         now: Instant,
         rng: &mut dyn Rng,
         actions: &mut Vec<RoutingAction>,
     ) {
-        // Against a late message that would bring back a former text.
+        // A late message must not restore an older text.
         if plan.generation < self.plan.generation {
             return;
         }
-        self.unlist();
+        self.clear_listings();
         for service in &plan.services {
-            self.list(service, &plan);
+            self.list_service(service, &plan);
         }
         self.plan = plan;
-        self.drop_idle();
+        self.release_unlisted();
         for service in 0..self.services.len() {
-            self.count_reachable(service);
+            self.update_availability(service);
         }
         self.refuse_unlisted(rng, actions);
         for upstream in 0..self.upstreams.len() {
@@ -37,18 +37,18 @@
         }
     }
 
-    fn unlist(&mut self) {
+    fn clear_listings(&mut self) {
         for service in &mut self.services {
             service.is_listed = false;
-            service.own.clear();
-            service.foreign.clear();
+            service.own_domain.clear();
+            service.other_domains.clear();
         }
         for upstream in &mut self.upstreams {
             upstream.is_listed = false;
         }
     }
 
-    fn list(&mut self, service: &ServicePlan, plan: &RoutingPlan) {
+    fn list_service(&mut self, service: &ServicePlan, plan: &RoutingPlan) {
         let known = self.service_by_name.get(&service.name).copied();
         let index = known.unwrap_or(self.services.len());
         if known.is_none() {
@@ -65,18 +65,18 @@
             ..service.clone()
         };
         for upstream in &service.upstreams {
-            let is_own = upstream.failure_domain == plan.own_domain;
+            let is_own_domain = upstream.failure_domain == plan.own_domain;
             let member = self.list_upstream(&upstream.upstream, index);
             let target = &mut self.upstreams[member];
             target.is_listed = true;
-            target.is_own = is_own;
+            target.is_own_domain = is_own_domain;
             target.places = service.in_flight_per_upstream.max(1);
             target.headroom = service.headroom_places();
             let state = &mut self.services[index];
-            let members = if is_own {
-                &mut state.own
+            let members = if is_own_domain {
+                &mut state.own_domain
             } else {
-                &mut state.foreign
+                &mut state.other_domains
             };
             members.push(member as u32);
         }
@@ -89,9 +89,9 @@
         }
         let mut state = UpstreamState::new(id.clone(), service);
         state.is_leaving = self.leaving_unlisted.remove(id);
-        let idle = self.upstreams.iter().position(UpstreamState::is_unused);
-        let index = idle.unwrap_or(self.upstreams.len());
-        match idle {
+        let reusable = self.upstreams.iter().position(UpstreamState::is_reusable);
+        let index = reusable.unwrap_or(self.upstreams.len());
+        match reusable {
             Some(index) => self.upstreams[index] = state,
             None => self.upstreams.push(state),
         }
@@ -99,16 +99,16 @@
         index
     }
 
-    /// Frees what is known of upstreams that are not listed any more and have nothing in flight.
-    fn drop_idle(&mut self) {
+    /// Releases the entries of upstreams that are no longer listed and have nothing in flight.
+    fn release_unlisted(&mut self) {
         for index in 0..self.upstreams.len() {
             let state = &mut self.upstreams[index];
-            if state.is_listed || state.is_dropped || state.own_in_flight() > 0 {
+            if state.is_listed || state.is_released || state.own_in_flight() > 0 {
                 continue;
             }
-            state.is_dropped = true;
+            state.is_released = true;
             let id = state.id.clone();
-            if state.is_leaving && !state.is_gone {
+            if state.is_leaving && !state.is_unreachable {
                 self.leaving_unlisted.insert(id.clone());
             }
             for held in std::mem::take(&mut state.held) {
--- a/crates/routing/src/class_queue.rs
+++ b/crates/routing/src/class_queue.rs
@@ -1,35 +1,36 @@
-//! Requests of one service and class that wait.
+//! The queue of one service and class.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
 
 use nutmegsail_base::{AdapterRef, RequestId};
 
-/// A place in the order of waiting: by slack with a penalty for callers that ask for much, then by
-/// arrival.
+/// The sort key of a waiting request: its latest start plus the fairness penalty of its caller,
+/// then its order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     pub(crate) at: Instant,
     pub(crate) seq: u64,
 }
 
-/// Where a waiting request stands in its queue.
+/// The sort key and latest start of a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct QueuePlace {
+pub(crate) struct QueuePosition {
     pub(crate) rank: Rank,
-    /// The last moment at which a start still meets the deadline.
+    /// The latest start at which the request can still meet its deadline.
     pub(crate) latest_start: Instant,
 }
 
-/// Requests of one service and class, in a lane for each adapter.
+/// The waiting requests of one service and class, in one lane per adapter.
 ///
-/// Against head-of-line blocking between adapters: a request whose adapter is still loading must
-/// not keep back those behind it whose adapter is ready. An upstream that has a place looks only at
-/// the heads of the lanes whose adapters it holds.
+/// The lanes avoid head-of-line blocking between adapters: a request whose adapter is still loading
+/// must not delay later requests whose adapter is ready. An upstream with a free place takes
+/// requests only from the lanes of the adapters that it holds.
 #[derive(Debug, Default)]
 pub(crate) struct ClassQueue {
-    /// Ordered, so that the same events always lead to the same actions.
+    /// A `BTreeMap`, so that the order of iteration, and with it the actions, are deterministic.
     lanes: BTreeMap<Option<AdapterRef>, BTreeMap<Rank, RequestId>>,
+    /// All requests by their latest start.
     expiries: BTreeMap<Rank, RequestId>,
 }
 
@@ -45,27 +46,27 @@
     pub(crate) fn push(
         &mut self,
         adapter: &Option<AdapterRef>,
-        place: QueuePlace,
+        position: QueuePosition,
         request: &RequestId,
     ) {
         let lane = self.lanes.entry(adapter.clone()).or_default();
-        let replaced = lane.insert(place.rank, request.clone());
-        assert!(replaced.is_none(), "two requests have one rank");
-        self.expiries.insert(expiry(place), request.clone());
+        let replaced = lane.insert(position.rank, request.clone());
+        assert!(replaced.is_none(), "two requests have the same rank");
+        self.expiries.insert(expiry(position), request.clone());
     }
 
-    pub(crate) fn remove(&mut self, adapter: &Option<AdapterRef>, place: QueuePlace) {
-        self.expiries.remove(&expiry(place));
+    pub(crate) fn remove(&mut self, adapter: &Option<AdapterRef>, position: QueuePosition) {
+        self.expiries.remove(&expiry(position));
         let Some(lane) = self.lanes.get_mut(adapter) else {
             return;
         };
-        lane.remove(&place.rank);
+        lane.remove(&position.rank);
         if lane.is_empty() {
             self.lanes.remove(adapter);
         }
     }
 
-    /// Waiting requests of one adapter in order.
+    /// The waiting requests of one adapter, in order.
     pub(crate) fn lane(
         &self,
         adapter: &Option<AdapterRef>,
@@ -74,13 +75,13 @@
         lane.into_iter().flatten().map(|(rank, id)| (*rank, id))
     }
 
-    /// The first request that can no longer meet its deadline.
+    /// The request with the earliest latest start, if that has passed.
     pub(crate) fn expired(&self, now: Instant) -> Option<&RequestId> {
         let (rank, request) = self.expiries.first_key_value()?;
         (rank.at < now).then_some(request)
     }
 
-    /// Adapters that requests wait for.
+    /// The adapters of the waiting requests.
     pub(crate) fn adapters(&self) -> impl Iterator<Item = &AdapterRef> {
         self.lanes.keys().flatten()
     }
@@ -90,9 +91,9 @@
     }
 }
 
-fn expiry(place: QueuePlace) -> Rank {
+fn expiry(position: QueuePosition) -> Rank {
     Rank {
-        at: place.latest_start,
-        seq: place.rank.seq,
+        at: position.latest_start,
+        seq: position.rank.seq,
     }
 }
--- a/crates/routing/src/ended.rs
+++ b/crates/routing/src/ended.rs
@@ -1,4 +1,4 @@
-//! Answers begin and attempts end.
+//! Handling of first bytes and of the ends of attempts.
 
 use std::time::{Duration, Instant};
 
@@ -8,11 +8,11 @@
 use crate::request_state::{Phase, RequestState};
 use crate::{AdapterAvailability, Outcome, Router, RoutingAction};
 
-/// What follows an attempt without an answer.
-struct Unanswered {
+/// An attempt that ended without an answer.
+struct FailedAttempt {
     code: ResultCode,
-    /// Whether a further attempt is paid from the retry budget.
-    costs_retry: bool,
+    /// Whether a retry is charged to the retry budget.
+    uses_retry_budget: bool,
 }
 
 impl Router {
@@ -31,7 +31,7 @@
             *has_first_byte = true;
             let took = now.saturating_duration_since(*since);
             let service = &mut self.services[state.service];
-            service.first_byte[state.arrival.class as usize].observe(took);
+            service.first_byte_time[state.arrival.class as usize].observe(took);
             self.upstreams[*upstream]
                 .cancellable
                 .retain(|id| id != request);
@@ -56,82 +56,90 @@
             ..
         } = state.phase
         else {
-            // Only a caller can end a request that waits; anything else is a late message.
+            // Only its caller can end a waiting request; any other outcome is a late message.
             if outcome == Outcome::CallerGone {
-                self.forget(request);
+                self.remove_request(request);
             }
             return;
         };
         let class = state.arrival.class;
-        self.free_place(request, upstream, class, now);
+        self.release_place(request, upstream, class, now);
         match outcome {
             Outcome::Succeeded => {
                 let took = now.saturating_duration_since(since);
-                self.succeeded(request, upstream, took, now);
+                self.record_success(request, upstream, took, now);
             }
             Outcome::CallerGone => {
-                self.forget(request);
+                self.remove_request(request);
             }
             _ => {
-                let unanswered = self.unanswered(request, upstream, outcome, has_first_byte, now);
-                self.after_attempt(request, &unanswered, now, rng, actions);
+                let failed_attempt =
+                    self.record_failed_attempt(request, upstream, outcome, has_first_byte, now);
+                self.retry_or_finish(request, &failed_attempt, now, rng, actions);
             }
         }
         self.fill(upstream, now, actions);
-        self.note_limited(upstream, now);
+        self.record_backlogs(upstream, now);
     }
 
-    /// Notes which classes go on waiting for a place after one fell free.
-    fn note_limited(&mut self, upstream: usize, now: Instant) {
+    /// Records a backlog for each class that still waits for a place after one was released.
+    fn record_backlogs(&mut self, upstream: usize, now: Instant) {
         for class in Class::ALL {
-            if self.first_for(upstream, class, now).is_some() {
+            if self.first_runnable(upstream, class, now).is_some() {
                 let service = self.upstreams[upstream].service;
-                self.services[service].drain[class as usize].limited(now);
+                self.services[service].drain_rate[class as usize].record_backlog(now);
             }
         }
     }
 
-    fn free_place(&mut self, request: &RequestId, upstream: usize, class: Class, now: Instant) {
+    fn release_place(&mut self, request: &RequestId, upstream: usize, class: Class, now: Instant) {
         let state = &mut self.upstreams[upstream];
-        state.free_place(class, now, self.settings.report_lag);
+        state.release_place(class, now, self.settings.report_lag);
         state.cancellable.retain(|id| id != request);
     }
 
-    fn succeeded(&mut self, request: &RequestId, upstream: usize, took: Duration, now: Instant) {
+    fn record_success(
+        &mut self,
+        request: &RequestId,
+        upstream: usize,
+        took: Duration,
+        now: Instant,
+    ) {
         self.upstreams[upstream]
             .outlier
-            .succeeded(now, &self.settings);
-        if let Some(state) = self.forget(request) {
+            .record_success(now, &self.settings);
+        if let Some(state) = self.remove_request(request) {
             let service = &mut self.services[state.service];
-            service.whole[state.arrival.class as usize].observe(took);
+            service.answer_time[state.arrival.class as usize].observe(took);
         }
     }
 
-    /// Notes what the attempt says about the upstream and about whether the request ran.
-    fn unanswered(
+    /// Records what the outcome shows about the upstream and about whether the request may have
+    /// run.
+    fn record_failed_attempt(
         &mut self,
         request: &RequestId,
         upstream: usize,
         outcome: Outcome,
         has_first_byte: bool,
         now: Instant,
-    ) -> Unanswered {
+    ) -> FailedAttempt {
         let Some(state) = self.requests.get_mut(request) else {
-            unreachable!("the request was found by the caller");
+            unreachable!("`ended` has looked the request up");
         };
-        let (code, costs_retry) = match outcome {
+        let (code, uses_retry_budget) = match outcome {
             Outcome::RefusedByUpstream if !has_first_byte => {
                 self.upstreams[upstream]
                     .outlier
-                    .refused(now, &self.settings);
+                    .record_refusal(now, &self.settings);
                 state.tried.push(upstream as u32);
                 let service = state.service;
-                self.count_reachable(service);
+                self.update_availability(service);
                 (ResultCode::UpstreamRefused, true)
             }
             Outcome::AdapterAbsent if !has_first_byte => {
                 if let Some(adapter) = state.arrival.adapter.clone() {
-                    self.set_held(upstream, &adapter, AdapterAvailability::Absent, now);
+                    self.record_availability(upstream, &adapter, AdapterAvailability::Absent, now);
                 }
                 (ResultCode::AdapterNotReady, false)
             }
@@ -142,7 +150,7 @@
             _ => {
                 state.may_have_run = true;
                 state.tried.push(upstream as u32);
-                self.count_failure(upstream, now);
+                self.record_failure(upstream, now);
                 let code = if has_first_byte {
                     ResultCode::AnswerCut
                 } else {
@@ -151,46 +159,49 @@
                 (code, true)
             }
         };
-        Unanswered { code, costs_retry }
+        FailedAttempt {
+            code,
+            uses_retry_budget,
+        }
     }
 
-    /// Counts a failure and ejects the upstream if it fails too much, but never so many of a failure
-    /// domain at a time that the rest would be overrun.
-    fn count_failure(&mut self, upstream: usize, now: Instant) {
+    /// Counts a failure and ejects the upstream if it fails too often, unless too many upstreams of
+    /// its failure domain are ejected already: the remaining ones would be overloaded.
+    fn record_failure(&mut self, upstream: usize, now: Instant) {
         let state = &mut self.upstreams[upstream];
-        if !state.outlier.failed(&self.settings) {
+        if !state.outlier.record_failure(&self.settings) {
             return;
         }
         let service = &self.services[state.service];
-        let members = if state.is_own {
-            &service.own
+        let members = if state.is_own_domain {
+            &service.own_domain
         } else {
-            &service.foreign
+            &service.other_domains
         };
         let is_ejected = |u: &&u32| self.upstreams[**u as usize].outlier.is_ejected(now);
         let ejected = members.iter().filter(is_ejected).count();
         let allowed = members.len() as f64 * self.settings.ejected_share_max;
-        // One of two may go; the last one never.
+        // Of two upstreams one may be ejected; a single one never.
         let at_least = if members.len() > 1 { 1.0 } else { 0.0 };
         if (ejected as f64) + 1.0 <= allowed.max(at_least) {
             self.upstreams[upstream].outlier.eject(now, &self.settings);
-            self.count_reachable(self.upstreams[upstream].service);
+            self.update_availability(self.upstreams[upstream].service);
         }
     }
 
-    /// Sends the request elsewhere if that is safe, useful and within the budget; ends it if not.
-    fn after_attempt(
+    /// Retries the request if that is safe, useful and within the retry budget; otherwise ends it.
+    fn retry_or_finish(
         &mut self,
         request: &RequestId,
-        unanswered: &Unanswered,
+        failed_attempt: &FailedAttempt,
         now: Instant,
         rng: &mut dyn Rng,
         actions: &mut Vec<RoutingAction>,
     ) {
-        match self.further_attempt(request, unanswered, now) {
+        match self.check_retry(request, failed_attempt, now) {
             Ok(()) => {
-                self.wait_again(request);
-                self.place_waiting(request, now, rng, actions);
+                self.requeue(request);
+                self.try_dispatch(request, now, rng, actions);
             }
             Err(code) => {
                 let wait = self.settings.retry_after_min;
@@ -200,14 +211,14 @@
         }
     }
 
-    fn further_attempt(
+    fn check_retry(
         &mut self,
         request: &RequestId,
-        unanswered: &Unanswered,
+        failed_attempt: &FailedAttempt,
         now: Instant,
     ) -> Result<(), ResultCode> {
         let Some(state) = self.requests.get(request) else {
-            return Err(unanswered.code);
+            return Err(failed_attempt.code);
         };
         let has_first_byte = matches!(
             state.phase,
@@ -219,13 +230,13 @@
         let is_safe = !has_first_byte && (!state.may_have_run || state.arrival.idempotent);
         let is_useful = state.attempts < self.settings.max_attempts && self.has_untried(state);
         if !is_safe || !is_useful {
-            return Err(unanswered.code);
+            return Err(failed_attempt.code);
         }
         let service = &mut self.services[state.service];
-        if now + service.quick_whole(state.arrival.class) > state.arrival.deadline {
+        if now + service.p5_answer_time(state.arrival.class) > state.arrival.deadline {
             return Err(ResultCode::DeadlineUnreachable);
         }
-        if unanswered.costs_retry && !service.budget.take() {
+        if failed_attempt.uses_retry_budget && !service.budget.try_spend() {
             return Err(ResultCode::RetryBudgetSpent);
         }
         Ok(())
@@ -233,19 +244,19 @@
 
     fn has_untried(&self, state: &RequestState) -> bool {
         let service = &self.services[state.service];
-        let mut members = service.own.iter().chain(&service.foreign);
+        let mut members = service.own_domain.iter().chain(&service.other_domains);
         members.any(|upstream| {
             let upstream = *upstream as usize;
-            self.upstreams[upstream].is_reachable() && !state.has_tried(upstream)
+            self.upstreams[upstream].is_available() && !state.has_tried(upstream)
         })
     }
 
-    fn wait_again(&mut self, request: &RequestId) {
+    fn requeue(&mut self, request: &RequestId) {
         let Some(state) = self.requests.get_mut(request) else {
             return;
         };
-        state.phase = Phase::Waiting(state.place);
+        state.phase = Phase::Waiting(state.position);
         let queue = self.services[state.service].queue_mut(state.arrival.class);
-        queue.push(&state.arrival.adapter, state.place, request);
+        queue.push(&state.arrival.adapter, state.position, request);
     }
 }
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -1,4 +1,4 @@
-//! What the router is told.
+//! Events that the node passes to the router.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,115 +9,116 @@
 
 use crate::RoutingPlan;
 
-/// A request that wants an upstream.
+/// A request that arrived for a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
     /// The request's id, unique over the deployment.
     pub request: RequestId,
-    /// Who sent it.
+    /// The caller that sent it.
     pub caller: CallerId,
-    /// The service that shall answer.
+    /// The service that the request is for.
     pub service: ServiceName,
-    /// The adapter that shall answer; `None` for a plain service.
+    /// The adapter that the request needs; `None` for a plain service.
     pub adapter: Option<AdapterRef>,
-    /// The class after inheritance.
+    /// The class, with inheritance applied.
     pub class: Class,
-    /// When the whole answer must have been given.
+    /// When the answer must be complete.
     pub deadline: Instant,
-    /// The time to first byte that the operators aim for.
+    /// The operators' target for the time to first byte.
     pub target: Duration,
-    /// A hash of the prompt's beginning, for upstreams that cache prefixes.
+    /// Hash of the prompt's prefix, for upstreams that cache prefixes.
     pub prefix: Option<u64>,
-    /// Whether the request may be sent again after it may have run.
+    /// Whether the request may be retried after it may have run.
     pub idempotent: bool,
 }
 
 /// How an attempt at an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The whole answer was given.
+    /// The answer was completed.
     Succeeded,
-    /// The upstream did not run the request; another one may.
+    /// The upstream did not run the request; it may be sent to another one.
     RefusedByUpstream,
     /// The engine does not hold the adapter and did not run the request.
     AdapterAbsent,
     /// The attempt failed after it may have run.
     Failed,
-    /// The caller went away. This also ends a request that still waits.
+    /// The caller disconnected. This also ends a request that is still waiting.
     CallerGone,
-    /// The attempt was cancelled because of [`crate::RoutingAction::Cancel`] before its first byte.
+    /// The attempt was cancelled by [`crate::RoutingAction::Cancel`] before its first byte.
     Cancelled,
 }
 
-/// How far an adapter is on an upstream, as placement knows it.
+/// The state of an adapter on an upstream, as placement knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AdapterAvailability {
-    /// Requests for it run at once.
+    /// Loaded: requests for it can run.
     Ready,
-    /// Its weights are on their way.
+    /// Its weights are being loaded.
     Loading,
-    /// It is not there, or about to be evicted.
+    /// Not loaded, or about to be evicted.
     Absent,
 }
 
-/// What the router is told.
+/// An event that the router handles.
 #[derive(Clone, Debug)]
 pub enum RoutingEvent {
     /// A request arrived.
     Arrive(Arrival),
-    /// The first byte of an answer arrived; from now on the request is never sent elsewhere.
+    /// The first byte of an answer arrived. The request is not retried after this.
     FirstByte {
         /// The request.
         request: RequestId,
     },
-    /// An attempt ended, or the caller of a waiting request went away.
+    /// An attempt ended, or the caller of a waiting request disconnected.
     Ended {
         /// The request.
         request: RequestId,
         /// How it ended.
         outcome: Outcome,
     },
-    /// An engine's report on itself, late.
+    /// A report that an engine sent about itself some time ago.
     Report {
         /// The engine.
         upstream: UpstreamId,
-        /// What it says.
+        /// Its report.
         report: EngineReport,
     },
-    /// What a health check found.
+    /// The result of a health check.
     Health {
         /// The upstream.
         upstream: UpstreamId,
-        /// Whether it takes work.
+        /// Whether it accepts requests.
         is_ready: bool,
     },
-    /// The upstream cannot be reached any more. A health check or a report brings it back.
+    /// The upstream cannot be reached. A successful health check or a report makes it available
+    /// again.
     UpstreamGone {
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// The upstream is leaving: no new work from now on. Only [`Self::Staying`], another
-    /// incarnation, or a health check after it was gone takes that back.
+    /// The upstream is leaving and gets no new requests. Only [`Self::Staying`], a new incarnation,
+    /// or a successful health check after [`Self::UpstreamGone`] reverts this.
     Leaving {
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// The upstream is not leaving after all, as membership knows.
+    /// Membership says that the upstream is not leaving any more.
     Staying {
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// A new generation of the operators' text is in force.
+    /// A new generation of the operators' configuration text is in force.
     Plan(Arc<RoutingPlan>),
-    /// What placement knows sooner than the reports.
+    /// Placement knows the state of an adapter before the engine reports it.
     AdapterState {
         /// The engine.
         upstream: UpstreamId,
         /// The adapter.
         adapter: AdapterRef,
-        /// How far it is.
+        /// Its state on the engine.
         state: AdapterAvailability,
     },
-    /// Time has passed. Send one every 20 to 100 ms.
+    /// A timer tick, to be sent every 20 to 100 ms.
     Tick,
 }
--- a/crates/routing/src/explain.rs
+++ b/crates/routing/src/explain.rs
@@ -1,4 +1,4 @@
-//! Answers the operators' question why a request goes where it goes.
+//! Explains to operators which upstream a request would be sent to, and why.
 
 use std::time::Instant;
 
@@ -6,13 +6,14 @@
 
 use crate::{CandidateExplanation, Explanation, Router, Standing};
 
-/// How many candidates an explanation lists.
-const LISTED: usize = 12;
+/// Maximum number of candidates in an explanation.
+const MAX_CANDIDATES: usize = 12;
 
 impl Router {
-    /// Says which upstreams a new request would be weighed between now, and why. Changes nothing.
+    /// Lists the candidates for a new request, best first, with their scores and whether each could
+    /// start it now. Does not change the router.
     ///
-    /// A service that the text in force does not list has no candidates.
+    /// For a service that is not in the text in force the list is empty.
     pub fn explain(
         &self,
         service: &ServiceName,
@@ -34,7 +35,7 @@
         explanation.expected_wait_ms = state.expected_wait(class, now).as_millis() as u64;
         explanation.retries_left = state.budget.tokens();
         explanation.is_routine_owed = state.floor.is_owed();
-        explanation.upstreams = state.own.len() + state.foreign.len();
+        explanation.upstreams = state.own_domain.len() + state.other_domains.len();
         explanation.candidates = self.candidates(index, &adapter, class, now);
         explanation.why = conclusion(&explanation);
         explanation
@@ -72,16 +73,16 @@
         now: Instant,
     ) -> Vec<CandidateExplanation> {
         let state = &self.services[service];
-        let members = state.own.iter().chain(&state.foreign);
+        let members = state.own_domain.iter().chain(&state.other_domains);
         let mut candidates: Vec<_> = members
             .map(|upstream| self.candidate(*upstream as usize, adapter, class, now))
             .collect();
-        let starts = |candidate: &CandidateExplanation| candidate.standing == Standing::CanStart;
+        let can_start = |candidate: &CandidateExplanation| candidate.standing == Standing::CanStart;
         candidates.sort_by(|a, b| {
-            let by_start = starts(b).cmp(&starts(a));
+            let by_start = can_start(b).cmp(&can_start(a));
             by_start.then(a.score.total_s().total_cmp(&b.score.total_s()))
         });
-        candidates.truncate(LISTED);
+        candidates.truncate(MAX_CANDIDATES);
         candidates
     }
 
@@ -95,7 +96,7 @@
         let state = &self.upstreams[upstream];
         CandidateExplanation {
             upstream: state.id.clone(),
-            is_own_domain: state.is_own,
+            is_own_domain: state.is_own_domain,
             standing: self.standing(upstream, adapter, class, now),
             own_in_flight: state.own_in_flight(),
             load: self.load(upstream, now),
@@ -115,7 +116,7 @@
         let held = adapter.as_ref().map(|adapter| state.holds(adapter));
         if state.is_leaving {
             Standing::Leaving
-        } else if !state.is_reachable() {
+        } else if !state.is_available() {
             Standing::Unreachable
         } else if !state.is_usable(now) {
             Standing::Paused
@@ -123,7 +124,7 @@
             Standing::AdapterAbsent
         } else if held == Some(Some(false)) {
             Standing::AdapterLoading
-        } else if !state.is_own && !self.may_spill(state.service, adapter, class, now) {
+        } else if !state.is_own_domain && !self.may_spill(state.service, adapter, class, now) {
             Standing::OwnDomainServes
         } else if !self.has_place(upstream, class, false, now) {
             Standing::NoPlace
@@ -134,8 +135,8 @@
 }
 
 fn conclusion(explanation: &Explanation) -> String {
-    let starts = |c: &&CandidateExplanation| c.standing == Standing::CanStart;
-    let mut able = explanation.candidates.iter().filter(starts);
+    let can_start = |c: &&CandidateExplanation| c.standing == Standing::CanStart;
+    let mut able = explanation.candidates.iter().filter(can_start);
     match able.next() {
         Some(best) if best.is_own_domain => {
             format!("goes to the best of a few like {}", best.upstream)
--- a/crates/routing/src/explanation.rs
+++ b/crates/routing/src/explanation.rs
@@ -1,4 +1,4 @@
-//! Why a request would go where it would go.
+//! The explanation of a routing decision.
 
 use std::fmt;
 
@@ -7,56 +7,57 @@
 
 use crate::Score;
 
-/// Whether an upstream would take the request now, and why not.
+/// Whether an upstream can start the request now, or why it can't.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, derive_more::Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Standing {
-    /// It would start it at once.
+    /// It can start the request now.
     #[display("can start it now")]
     CanStart,
-    /// It has no place for this class.
+    /// It has no free place for this class.
     #[display("no place for this class")]
     NoPlace,
-    /// The adapter is being loaded.
+    /// The adapter is still loading.
     #[display("adapter loading")]
     AdapterLoading,
-    /// The adapter is not there.
+    /// It does not hold the adapter.
     #[display("adapter absent")]
     AdapterAbsent,
-    /// It is in another failure domain, and the own one can serve the request.
+    /// It is in another failure domain, and the node's own domain can serve the request.
     #[display("other failure domain, own one serves")]
     OwnDomainServes,
-    /// It is leaving.
+    /// It is leaving and gets no new requests.
     #[display("leaving")]
     Leaving,
-    /// It cannot be reached or is not ready.
+    /// It cannot be reached, or its health check failed.
     #[display("not reachable")]
     Unreachable,
-    /// It failed or refused lately and gets no work for a while.
+    /// It failed or refused requests recently and gets none for a while.
     #[display("ejected or paused after failures")]
     Paused,
 }
 
-/// One upstream that was considered.
+/// One candidate upstream.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct CandidateExplanation {
     /// The upstream.
     pub upstream: UpstreamId,
     /// Whether it is in this node's failure domain.
     pub is_own_domain: bool,
-    /// Whether it would take the request.
+    /// Whether it can start the request now.
     pub standing: Standing,
-    /// Requests that this node has in flight there.
+    /// Requests from this node in flight there.
     pub own_in_flight: u32,
-    /// Requests in flight there by this node's books and the last report.
+    /// Estimated requests in flight there: this node's own, and those of other nodes by the last
+    /// report.
     pub load: f64,
-    /// How many requests it takes at a time now.
+    /// How many requests it may have in flight now.
     pub places: u32,
-    /// The terms of its score; the lowest total wins among a few drawn at random.
+    /// Its score. Of a few candidates drawn at random, the one with the lowest total is chosen.
     pub score: Score,
 }
 
-/// Why a request would go where it would go.
+/// Explains which upstream a request would be sent to, and why.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Explanation {
     /// The service.
@@ -67,25 +68,25 @@
     pub class: Class,
     /// The generation of the operators' text.
     pub generation: u64,
-    /// The weight of load stalls.
+    /// The operators' weight for load stalls.
     pub load_stalls_weight: f64,
-    /// The weight of batch efficiency.
+    /// The operators' weight for batch efficiency.
     pub batch_efficiency_weight: f64,
-    /// Requests of this service and class that wait on this node.
+    /// Waiting requests of this service and class on this node.
     pub waiting: usize,
-    /// How many may wait.
+    /// Maximum number of waiting requests.
     pub queue_limit: u32,
-    /// How long a new request is expected to wait for a place, in milliseconds.
+    /// Expected wait of a new request for a place, in milliseconds.
     pub expected_wait_ms: u64,
-    /// Second sends that the retry budget allows now.
+    /// Retries that the retry budget allows now.
     pub retries_left: f64,
-    /// Whether the next place is owed to routine work.
+    /// Whether the next free place is reserved for routine work.
     pub is_routine_owed: bool,
-    /// How many upstreams the service has; the best of them follow.
+    /// Number of upstreams of the service.
     pub upstreams: usize,
     /// The best candidates, those that can start the request first.
     pub candidates: Vec<CandidateExplanation>,
-    /// The conclusion in a sentence.
+    /// The result in one sentence.
     pub why: String,
 }
 
--- a/crates/routing/src/fill.rs
+++ b/crates/routing/src/fill.rs
@@ -1,4 +1,4 @@
-//! Giving the free places of an upstream to waiting requests.
+//! Assignment of free places to waiting requests.
 
 use std::time::Instant;
 
@@ -8,18 +8,18 @@
 use crate::request_state::Phase;
 use crate::{Router, RoutingAction};
 
-/// How many requests of a lane are looked at for one that may go to an upstream.
+/// How many requests of a lane are examined to find one that may run on an upstream.
 const LOOK_AHEAD: usize = 8;
 
 impl Router {
-    /// Gives the free places of `upstream` to waiting requests.
+    /// Dispatches waiting requests to `upstream` until it has no free place for them.
     pub(crate) fn fill(&mut self, upstream: usize, now: Instant, actions: &mut Vec<RoutingAction>) {
-        while let Some(request) = self.next_for(upstream, now) {
+        while let Some(request) = self.next_request_for(upstream, now) {
             self.dispatch(&request, upstream, now, actions);
         }
     }
 
-    fn next_for(&self, upstream: usize, now: Instant) -> Option<RequestId> {
+    fn next_request_for(&self, upstream: usize, now: Instant) -> Option<RequestId> {
         let state = &self.upstreams[upstream];
         let service = &self.services[state.service];
         if !state.is_usable(now) || !service.has_waiting() {
@@ -27,24 +27,25 @@
         }
         if service.floor.is_owed()
             && self.has_place(upstream, Class::Routine, true, now)
-            && let Some(request) = self.first_for(upstream, Class::Routine, now)
+            && let Some(request) = self.first_runnable(upstream, Class::Routine, now)
         {
             return Some(request);
         }
-        let urgent = self.first_for(upstream, Class::Urgent, now);
+        let urgent = self.first_runnable(upstream, Class::Urgent, now);
         if urgent.is_some() {
-            // Whether it fits or not: routine work does not go before it.
+            // While an urgent request waits for this upstream, routine requests don't overtake it,
+            // even if it has no place yet.
             return urgent.filter(|_| self.has_place(upstream, Class::Urgent, false, now));
         }
         if !self.has_place(upstream, Class::Routine, false, now) {
             return None;
         }
-        self.first_for(upstream, Class::Routine, now)
+        self.first_runnable(upstream, Class::Routine, now)
     }
 
-    /// The first waiting request of `class` that may start on `upstream`, over the lanes of the
-    /// adapters that are ready there.
-    pub(crate) fn first_for(
+    /// The first waiting request of `class` that may run on `upstream`, among those without an
+    /// adapter and those whose adapter is ready there.
+    pub(crate) fn first_runnable(
         &self,
         upstream: usize,
         class: Class,
@@ -58,13 +59,13 @@
         let lanes = ready.map(|held| Some(held.adapter.clone()));
         let heads = lanes
             .chain([None])
-            .filter_map(|adapter| self.head_of(&adapter, upstream, class, now));
+            .filter_map(|adapter| self.first_runnable_in_lane(&adapter, upstream, class, now));
         heads
             .min_by_key(|(rank, _)| *rank)
             .map(|(_, request)| request)
     }
 
-    fn head_of(
+    fn first_runnable_in_lane(
         &self,
         adapter: &Option<AdapterRef>,
         upstream: usize,
@@ -82,7 +83,8 @@
         Some((rank, request.clone()))
     }
 
-    /// Cancels a routine attempt that gave no byte yet where that makes a place for `request`.
+    /// Cancels a routine attempt without a first byte on an upstream that may run `request`, to
+    /// free a place there.
     pub(crate) fn cancel_routine(
         &mut self,
         request: &RequestId,
@@ -98,17 +100,17 @@
         };
         let own = match &state.arrival.adapter {
             Some(_) => &[],
-            None => self.services[state.service].own.as_slice(),
+            None => self.services[state.service].own_domain.as_slice(),
         };
         let holders = holders.iter().map(|holder| holder.upstream);
-        let mut with_victim = holders
+        let mut with_cancellable = holders
             .chain(own.iter().copied())
             .map(|u| u as usize)
             .filter(|u| !self.upstreams[*u].cancellable.is_empty() && self.may_run(state, *u, now));
-        let Some(upstream) = with_victim.next() else {
+        let Some(upstream) = with_cancellable.next() else {
             return;
         };
-        // The last one sent has done the least work.
+        // The most recent attempt loses the least work.
         let Some(victim) = self.upstreams[upstream].cancellable.pop() else {
             return;
         };
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,16 +1,19 @@
-//! Which upstream answers a request, and when: scores, classes, queues, limits, retries.
+//! Chooses the upstream for each request: scores, classes, queues, limits and retries.
 //!
-//! [`Router`] is told arrivals, outcomes, reports and plans as [`RoutingEvent`]s and answers with
-//! [`RoutingAction`]s: send this request there, refuse that one, ask for an adapter. It reads no
-//! clock, does no I/O and draws no random number that is not passed in. It never sends a request to
-//! two upstreams at a time, never sends a call that is not idempotent again after it may have run,
-//! and never gives a leaving upstream new work.
+//! [`Router`] handles [`RoutingEvent`]s (arrivals, outcomes, reports, plans) and returns
+//! [`RoutingAction`]s: dispatch a request, refuse it, or ask for an adapter. It is a state machine
+//! without I/O: the time and the random source are passed in. It guarantees that
 //!
-//! Start at [`Router::handle`]. [`RoutingPlan`] says what it routes between, and
-//! [`Router::explain`] says why a request would go where it would go.
+//! - a request is never at two upstreams at the same time,
+//! - a request that is not idempotent is never sent again after it may have run, and
+//! - a leaving upstream gets no new requests.
+//!
+//! Start at [`Router::handle`]. [`RoutingPlan`] describes the services and upstreams, and
+//! [`Router::explain`] explains where a request would be sent, and why.
 
 mod action;
 mod adapter_index;
+mod apply_plan;
 mod arrive;
 mod candidate;
 mod class_queue;
@@ -24,7 +27,6 @@
 mod outlier;
 mod plan;
 mod prefix_table;
-mod replan;
 mod request_state;
 mod retry_budget;
 mod router;
--- a/crates/routing/src/plan.rs
+++ b/crates/routing/src/plan.rs
@@ -1,13 +1,13 @@
-//! What the operators' text in force says about routing, as plain data.
+//! The routing part of the operators' configuration text, as plain data.
 
 use nutmegsail_base::{FailureDomain, ServiceName, UpstreamId};
 
-/// What the operators weigh, each 0 to 1.
+/// The operators' weights, each from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RoutingWeights {
-    /// How much a wait for an adapter costs.
+    /// Cost of a wait for an adapter.
     pub load_stalls: f64,
-    /// How much a step that is not full costs.
+    /// Cost of an engine step whose batch is not full.
     pub batch_efficiency: f64,
 }
 
@@ -25,28 +25,28 @@
 pub struct UpstreamPlan {
     /// Its `host:port`.
     pub upstream: UpstreamId,
-    /// Where it stands.
+    /// The failure domain it runs in.
     pub failure_domain: FailureDomain,
 }
 
-/// One service with its limits.
+/// One service, its upstreams and its limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServicePlan {
     /// Its name.
     pub name: ServiceName,
     /// Its upstreams in every failure domain. An upstream belongs to one service.
     pub upstreams: Vec<UpstreamPlan>,
-    /// How many requests one upstream takes at a time.
+    /// Places of one upstream: how many requests it may have in flight.
     pub in_flight_per_upstream: u32,
-    /// How many requests an engine batches in a step; 0 for a plain service.
+    /// How many requests an engine batches in one step; 0 for a plain service.
     pub batch_slots: u32,
-    /// The share of an upstream's places that only urgent work may take, 0 to 1.
+    /// The share of an upstream's places reserved for urgent requests, 0 to 1.
     pub urgent_headroom: f64,
-    /// How many requests of one class wait on this node before more are refused.
+    /// How many requests of one class may wait on this node; further ones are refused.
     pub queue_per_class: u32,
-    /// The share of throughput that routine work keeps under urgent load, 0 to 1.
+    /// The minimum share of throughput for routine requests under urgent load, 0 to 1.
     pub routine_floor: f64,
-    /// Second sends over first sends, 0 to 1.
+    /// Retries as a share of first sends, 0 to 1.
     pub retry_budget: f64,
 }
 
@@ -66,7 +66,7 @@
 }
 
 impl ServicePlan {
-    /// A service with default limits and no upstream yet.
+    /// A service with default limits and without upstreams.
     ///
     /// ```
     /// let service = nutmegsail_routing::ServicePlan::new("spa-desk")
@@ -94,64 +94,64 @@
         self
     }
 
-    /// Sets how many requests one upstream takes at a time.
+    /// Sets how many requests one upstream may have in flight.
     pub fn with_in_flight_per_upstream(mut self, requests: u32) -> Self {
         self.in_flight_per_upstream = requests;
         self
     }
 
-    /// Sets how many requests an engine batches in a step.
+    /// Sets how many requests an engine batches in one step.
     pub fn with_batch_slots(mut self, requests: u32) -> Self {
         self.batch_slots = requests;
         self
     }
 
-    /// Sets the share of places that only urgent work may take.
+    /// Sets the share of places reserved for urgent requests.
     pub fn with_urgent_headroom(mut self, share: f64) -> Self {
         self.urgent_headroom = share;
         self
     }
 
-    /// Sets how many requests of one class wait.
+    /// Sets how many requests of one class may wait.
     pub fn with_queue_per_class(mut self, requests: u32) -> Self {
         self.queue_per_class = requests;
         self
     }
 
-    /// Sets the share of throughput that routine work keeps.
+    /// Sets the minimum share of throughput for routine requests.
     pub fn with_routine_floor(mut self, share: f64) -> Self {
         self.routine_floor = share;
         self
     }
 
-    /// Sets second sends over first sends.
+    /// Sets the share of first sends that may be retried.
     pub fn with_retry_budget(mut self, ratio: f64) -> Self {
         self.retry_budget = ratio;
         self
     }
 
-    /// Places of an upstream that routine work may never take.
+    /// The number of an upstream's places reserved for urgent requests.
     pub(crate) fn headroom_places(&self) -> u32 {
         let places = f64::from(self.in_flight_per_upstream) * self.urgent_headroom;
-        // At least one place stays for routine work, or its floor could not be kept.
+        // One place must remain for routine requests, or their minimum share could not be met.
         (places.ceil() as u32).min(self.in_flight_per_upstream.saturating_sub(1))
     }
 }
 
-/// What the operators' text in force says about routing.
+/// The routing part of the operators' configuration text.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingPlan {
-    /// The generation of the text. An older plan than the one in force is ignored.
+    /// The generation of the text. A plan older than the current one is ignored.
     pub generation: u64,
     /// The failure domain of this node.
     pub own_domain: FailureDomain,
-    /// What the operators weigh.
+    /// The operators' weights.
     pub weights: RoutingWeights,
-    /// Requests that one caller may have waiting or in flight on this node.
+    /// How many requests one caller may have waiting or in flight on this node.
     pub in_flight_per_caller: u32,
-    /// Loads a second that the weight store allows.
+    /// How many adapter loads per second the weight store allows.
     pub loads_per_s: f64,
-    /// Every service.
+    /// All services.
     pub services: Vec<ServicePlan>,
 }
 
@@ -190,19 +190,19 @@
         self
     }
 
-    /// Sets what the operators weigh.
+    /// Sets the operators' weights.
     pub fn with_weights(mut self, weights: RoutingWeights) -> Self {
         self.weights = weights;
         self
     }
 
-    /// Sets how many requests one caller may have on this node.
+    /// Sets how many requests one caller may have waiting or in flight on this node.
     pub fn with_in_flight_per_caller(mut self, requests: u32) -> Self {
         self.in_flight_per_caller = requests;
         self
     }
 
-    /// Sets the weight store's rate.
+    /// Sets how many adapter loads per second the weight store allows.
     pub fn with_loads_per_s(mut self, loads_per_s: f64) -> Self {
         self.loads_per_s = loads_per_s;
         self
--- a/crates/routing/src/prefix_table.rs
+++ b/crates/routing/src/prefix_table.rs
@@ -1,10 +1,10 @@
-//! Where prompts with the same beginning went lately.
+//! The upstreams that recently received each prompt prefix.
 
 use std::num::NonZeroUsize;
 
 use lru::LruCache;
 
-/// A table of bounded size: a prefix that was not seen for long makes room for a new one.
+/// An LRU map from the hash of a prompt prefix to the upstream that it was last sent to.
 #[derive(Debug)]
 pub(crate) struct PrefixTable {
     entries: LruCache<u64, u32>,
@@ -26,7 +26,7 @@
         self.entries.put(prefix, upstream as u32);
     }
 
-    /// An upper bound: the table allocates its capacity at once.
+    /// An upper bound: the table allocates its full capacity when it is created.
     pub(crate) fn memory_bytes(&self) -> usize {
         const BYTES_PER_ENTRY: usize = 64;
         self.entries.cap().get() * BYTES_PER_ENTRY
--- a/crates/routing/src/request_state.rs
+++ b/crates/routing/src/request_state.rs
@@ -1,18 +1,18 @@
-//! One request from its arrival to its end.
+//! The state of one request.
 
 use std::time::Instant;
 
 use smallvec::SmallVec;
 
 use crate::Arrival;
-use crate::class_queue::QueuePlace;
+use crate::class_queue::QueuePosition;
 
-/// Where a request is.
+/// Whether a request is waiting or dispatched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// In its class's queue.
-    Waiting(QueuePlace),
-    /// At one upstream.
+    /// In the queue of its class.
+    Waiting(QueuePosition),
+    /// Sent to an upstream.
     Dispatched {
         upstream: usize,
         since: Instant,
@@ -21,20 +21,20 @@
     },
 }
 
-/// One request from its arrival to its end.
+/// The state of one request from arrival to end.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestState {
     pub(crate) arrival: Arrival,
     pub(crate) service: usize,
     pub(crate) phase: Phase,
     pub(crate) attempts: u32,
-    /// Upstreams that failed or refused it; none of them gets it again.
+    /// Upstreams that failed or refused the request; it is not sent to them again.
     pub(crate) tried: SmallVec<[u32; 4]>,
     pub(crate) may_have_run: bool,
     pub(crate) was_cancelled: bool,
     pub(crate) arrived: Instant,
-    /// Its place in the queue whenever it waits.
-    pub(crate) place: QueuePlace,
+    /// Its position in the queue; a retry waits at the same position.
+    pub(crate) position: QueuePosition,
 }
 
 impl RequestState {
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,10 +1,10 @@
-//! How many second sends a service may cause.
+//! The retry budget of a service.
 
-/// A token bucket that first sends fill and second sends empty.
+/// A token bucket: each first send adds `ratio` tokens, each retry takes one.
 ///
-/// Against retry storms: when an upstream fails, everybody's retries would multiply the load of
-/// what is left, and that fails too. Second sends never exceed `ratio` of first sends plus the
-/// burst, however many requests fail.
+/// It prevents retry storms: when an upstream fails, the retries of all callers would multiply the
+/// load on the remaining upstreams until they fail too. Retries never exceed `ratio` of first sends
+/// plus `burst`, however many requests fail.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct RetryBudget {
     ratio: f64,
@@ -25,11 +25,11 @@
         self.ratio = ratio;
     }
 
-    pub(crate) fn first_send(&mut self) {
+    pub(crate) fn record_first_send(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.burst.max(self.ratio));
     }
 
-    pub(crate) fn take(&mut self) -> bool {
+    pub(crate) fn try_spend(&mut self) -> bool {
         if self.ratio <= 0.0 || self.tokens < 1.0 {
             return false;
         }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router itself.
+//! The router and its state.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -10,20 +10,20 @@
 use crate::adapter_index::AdapterIndex;
 use crate::prefix_table::PrefixTable;
 use crate::request_state::{Phase, RequestState};
-use crate::service_state::{Expected, ServiceState};
+use crate::service_state::{DurationEstimate, ServiceState};
 use crate::upstream_state::UpstreamState;
 use crate::{RouterSettings, RoutingAction, RoutingEvent, RoutingPlan};
 
-/// One caller's requests on this node.
+/// The requests of one caller on this node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallerState {
-    /// Requests that wait or are in flight.
+    /// Requests waiting or in flight.
     pub(crate) requests: u32,
-    /// By class: when the caller's next request would be due at its fair rate.
+    /// For each class, when the next request of the caller is due at its fair rate.
     pub(crate) due: [Instant; 2],
 }
 
-/// Decides which upstream answers a request, and when.
+/// Decides which upstream each request is sent to, and when.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -63,19 +63,19 @@
     pub(crate) service_by_name: HashMap<ServiceName, usize>,
     pub(crate) upstreams: Vec<UpstreamState>,
     pub(crate) upstream_by_id: HashMap<UpstreamId, usize>,
-    /// Upstreams that are leaving and that the plan does not list (yet).
+    /// Leaving upstreams that the plan doesn't list, or doesn't list yet.
     pub(crate) leaving_unlisted: HashSet<UpstreamId>,
     pub(crate) adapters: AdapterIndex,
     pub(crate) requests: HashMap<RequestId, RequestState>,
     pub(crate) prefixes: PrefixTable,
     pub(crate) callers: HashMap<CallerId, CallerState>,
-    pub(crate) load_time: Expected,
+    pub(crate) load_time: DurationEstimate,
     pub(crate) next_seq: u64,
     pub(crate) next_sweep: Option<Instant>,
 }
 
 impl Router {
-    /// A router without a plan: until one comes, every request is refused.
+    /// Creates a router without a plan. It refuses every request until it gets one.
     pub fn new(settings: RouterSettings) -> Self {
         Self {
             prefixes: PrefixTable::new(settings.prefix_entries),
@@ -89,16 +89,16 @@
             adapters: AdapterIndex::default(),
             requests: HashMap::new(),
             callers: HashMap::new(),
-            load_time: Expected::default(),
+            load_time: DurationEstimate::default(),
             next_seq: 0,
             next_sweep: None,
         }
     }
 
-    /// Takes in an event and appends what is to be done to `actions`.
+    /// Handles an event and appends the resulting actions to `actions`.
     ///
-    /// Time must not go back between calls. Events about requests or upstreams that are not known
-    /// (any more) are ignored: messages may be late or doubled.
+    /// `now` must not go back between calls. Events about unknown requests or upstreams are
+    /// ignored, since messages may be late or duplicated.
     pub fn handle(
         &mut self,
         event: RoutingEvent,
@@ -118,10 +118,10 @@
             RoutingEvent::Health { upstream, is_ready } => {
                 self.health(&upstream, is_ready, now, actions);
             }
-            RoutingEvent::UpstreamGone { upstream } => self.upstream_gone(&upstream),
+            RoutingEvent::UpstreamGone { upstream } => self.upstream_unreachable(&upstream),
             RoutingEvent::Leaving { upstream } => self.leaving(&upstream),
             RoutingEvent::Staying { upstream } => self.staying(&upstream, now, actions),
-            RoutingEvent::Plan(plan) => self.replan(plan, now, rng, actions),
+            RoutingEvent::Plan(plan) => self.apply_plan(plan, now, rng, actions),
             RoutingEvent::AdapterState {
                 upstream,
                 adapter,
@@ -131,19 +131,19 @@
         }
     }
 
-    /// Requests of `service` and `class` that wait on this node.
+    /// Number of requests of `service` and `class` that wait on this node.
     pub fn waiting(&self, service: &ServiceName, class: Class) -> usize {
         let index = self.service_by_name.get(service);
         index.map_or(0, |index| self.services[*index].queue(class).len())
     }
 
-    /// Requests that this node has in flight on `upstream`.
+    /// Number of requests that this node has in flight on `upstream`.
     pub fn in_flight(&self, upstream: &UpstreamId) -> u32 {
         let index = self.upstream_by_id.get(upstream);
         index.map_or(0, |index| self.upstreams[*index].own_in_flight())
     }
 
-    /// Memory of the state in bytes, estimated from the sizes of its tables.
+    /// Memory used by the router's state in bytes, estimated from the sizes of its tables.
     pub fn memory_bytes(&self) -> usize {
         const NAME_BYTES: usize = 64;
         let request = size_of::<RequestState>() + size_of::<RequestId>() + 4 * NAME_BYTES;
@@ -157,7 +157,8 @@
             + self.prefixes.memory_bytes()
     }
 
-    /// Ends a request for good. Every request passes here at most once, because it is removed.
+    /// Removes a request and appends its final action. A request that was removed already gets
+    /// none, so none is finished twice.
     pub(crate) fn finish(
         &mut self,
         request: &RequestId,
@@ -165,7 +166,7 @@
         retry_after: Duration,
         actions: &mut Vec<RoutingAction>,
     ) {
-        let Some(state) = self.forget(request) else {
+        let Some(state) = self.remove_request(request) else {
             return;
         };
         let request = request.clone();
@@ -185,12 +186,12 @@
         });
     }
 
-    /// Removes a request from every table.
-    pub(crate) fn forget(&mut self, request: &RequestId) -> Option<RequestState> {
+    /// Removes a request from all tables.
+    pub(crate) fn remove_request(&mut self, request: &RequestId) -> Option<RequestState> {
         let state = self.requests.remove(request)?;
-        if let Phase::Waiting(place) = state.phase {
+        if let Phase::Waiting(position) = state.phase {
             let queue = self.services[state.service].queue_mut(state.arrival.class);
-            queue.remove(&state.arrival.adapter, place);
+            queue.remove(&state.arrival.adapter, position);
         }
         if let Some(caller) = self.callers.get_mut(&state.arrival.caller) {
             caller.requests = caller.requests.saturating_sub(1);
@@ -198,24 +199,24 @@
         Some(state)
     }
 
-    /// `wait` within the settings' bounds, spread by up to a quarter.
+    /// `wait` clamped to the limits in the settings, with jitter of up to a quarter either way.
     ///
-    /// Against callers that come back all at once: they were refused together.
+    /// The jitter spreads the retries of callers that were refused at the same time.
     pub(crate) fn retry_after(&self, wait: Duration, rng: &mut dyn Rng) -> Duration {
         let spread = 0.75 + f64::from(rng.next_u32()) / f64::from(u32::MAX) / 2.0;
         let bounded = wait.clamp(self.settings.retry_after_min, self.settings.retry_after_max);
         bounded.mul_f64(spread)
     }
 
-    /// How long a load that is asked for now is expected to take.
-    pub(crate) fn expected_load(&self, wants_ahead: usize) -> Duration {
+    /// The expected duration of a load requested now, behind `loads_ahead` others.
+    pub(crate) fn expected_load_time(&self, loads_ahead: usize) -> Duration {
         let seen_s = self.load_time.mean_s();
         let load_s = if seen_s > 0.0 {
             seen_s
         } else {
             self.settings.load_time.as_secs_f64()
         };
-        let queue_s = wants_ahead as f64 / self.plan.loads_per_s.max(0.01);
+        let queue_s = loads_ahead as f64 / self.plan.loads_per_s.max(0.01);
         Duration::from_secs_f64((load_s + queue_s).min(3_600.0))
     }
 }
--- a/crates/routing/src/routine_floor.rs
+++ b/crates/routing/src/routine_floor.rs
@@ -1,20 +1,20 @@
-//! The share of throughput that routine work keeps while urgent work waits.
+//! The minimum share of throughput for routine requests.
 
-/// Counts what urgent dispatches owe to routine work.
+/// Counts the dispatches owed to routine requests.
 ///
-/// Against starvation: a steady urgent load takes every place that falls free, and routine work
-/// never runs. While routine work waits, each urgent dispatch adds `floor / (1 - floor)` to what is
-/// owed; as soon as a whole dispatch is owed, the next place that falls free is kept for routine
-/// work. Urgent requests do not queue behind routine ones: the kept place is simply not theirs.
+/// Without it, a steady urgent load would take every free place and routine requests would starve.
+/// While routine requests wait, each urgent dispatch adds `floor / (1 - floor)` to the dispatches
+/// owed. Once a whole dispatch is owed, the next free place is reserved for a routine request.
+/// Urgent requests don't queue behind routine ones; they only can't use the reserved place.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct RoutineFloor {
     owed: f64,
 }
 
 impl RoutineFloor {
-    pub(crate) fn urgent_dispatched(&mut self, floor: f64, routine_waits: bool) {
+    pub(crate) fn record_urgent_dispatch(&mut self, floor: f64, routine_waits: bool) {
         if !routine_waits {
-            // A floor is no savings account: without demand nothing is owed.
+            // Dispatches owed are not saved up while no routine request waits.
             self.owed = 0.0;
             return;
         }
@@ -22,12 +22,12 @@
         self.owed = (self.owed + floor / (1.0 - floor)).min(2.0);
     }
 
-    pub(crate) fn routine_dispatched(&mut self) {
+    pub(crate) fn record_routine_dispatch(&mut self) {
         self.owed = (self.owed - 1.0).max(0.0);
     }
 
     pub(crate) fn is_owed(&self) -> bool {
-        // Sums of tenths fall just short of a whole.
+        // Tolerates rounding: a sum of fractions may be slightly below 1.
         self.owed >= 1.0 - 1e-9
     }
 }
--- a/crates/routing/src/score.rs
+++ b/crates/routing/src/score.rs
@@ -1,19 +1,19 @@
-//! The score of a candidate, in seconds of expected wait.
+//! The score of a candidate.
 
 use serde::Serialize;
 
-/// What a dispatch to a candidate is expected to cost, in seconds; the lowest sum wins.
+/// The expected cost of a dispatch to a candidate, in seconds. The lowest total is chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Score {
-    /// The wait until the adapter is ready there.
+    /// Wait until the adapter is ready there.
     pub adapter_s: f64,
-    /// The wait because of other requests in flight there.
+    /// Wait caused by other requests in flight there.
     pub load_s: f64,
-    /// The hop to another failure domain.
+    /// Cost of the hop to another failure domain.
     pub domain_s: f64,
-    /// What a cached prefix saves, negative.
+    /// Time saved by a cached prefix, as a negative number.
     pub prefix_s: f64,
-    /// What a fuller batch saves, negative.
+    /// Time saved by a fuller batch, as a negative number.
     pub batch_s: f64,
 }
 
--- a/crates/routing/src/service_state.rs
+++ b/crates/routing/src/service_state.rs
@@ -1,4 +1,4 @@
-//! What the router knows of one service.
+//! The state of one service.
 
 use std::time::{Duration, Instant};
 
@@ -10,34 +10,34 @@
 use crate::routine_floor::RoutineFloor;
 use crate::{RouterSettings, ServicePlan};
 
-/// A duration's mean and what the quickest twentieth takes, both following what was seen lately.
+/// Moving estimates of the mean and the 5th percentile of a duration.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Expected {
+pub(crate) struct DurationEstimate {
     mean_s: f64,
-    quick_s: f64,
+    p5_s: f64,
     is_known: bool,
 }
 
-impl Expected {
+impl DurationEstimate {
     pub(crate) fn observe(&mut self, duration: Duration) {
         const MEAN_WEIGHT: f64 = 0.05;
-        const QUICK_SHARE: f64 = 0.05;
-        const QUICK_STEP: f64 = 0.2;
+        const P5_SHARE: f64 = 0.05;
+        const P5_STEP: f64 = 0.2;
         let seen_s = duration.as_secs_f64();
         if !self.is_known {
             *self = Self {
                 mean_s: seen_s,
-                quick_s: seen_s / 2.0,
+                p5_s: seen_s / 2.0,
                 is_known: true,
             };
             return;
         }
         self.mean_s += MEAN_WEIGHT * (seen_s - self.mean_s);
-        // Steps down and up balance where one in twenty is quicker.
-        if seen_s < self.quick_s {
-            self.quick_s -= QUICK_STEP * (1.0 - QUICK_SHARE) * self.quick_s;
+        // Steps down and up balance when one duration in twenty is shorter.
+        if seen_s < self.p5_s {
+            self.p5_s -= P5_STEP * (1.0 - P5_SHARE) * self.p5_s;
         } else {
-            self.quick_s += QUICK_STEP * QUICK_SHARE * self.quick_s.min(seen_s - self.quick_s);
+            self.p5_s += P5_STEP * P5_SHARE * self.p5_s.min(seen_s - self.p5_s);
         }
     }
 
@@ -45,55 +45,57 @@
         self.mean_s
     }
 
-    /// What a quick one takes. Requests are shed by this: a class holds short calls and long ones,
-    /// and a short one must not be refused because the long ones would miss its deadline.
-    pub(crate) fn quick(&self) -> Duration {
-        Duration::from_secs_f64(self.quick_s)
+    /// The 5th percentile. Load shedding uses it instead of the mean: a class mixes short and long
+    /// requests, and a short one must not be refused because a long one would miss its deadline.
+    pub(crate) fn p5(&self) -> Duration {
+        Duration::from_secs_f64(self.p5_s)
     }
 }
 
-/// What the router knows of one service.
+/// The plan, upstreams, queues and measurements of one service.
 #[derive(Debug)]
 pub(crate) struct ServiceState {
     pub(crate) plan: ServicePlan,
     pub(crate) is_listed: bool,
-    /// Upstreams in this node's failure domain, then those in others.
-    pub(crate) own: Vec<u32>,
-    pub(crate) foreign: Vec<u32>,
+    /// Upstreams in this node's failure domain.
+    pub(crate) own_domain: Vec<u32>,
+    /// Upstreams in other failure domains.
+    pub(crate) other_domains: Vec<u32>,
     pub(crate) queues: [ClassQueue; 2],
     pub(crate) budget: RetryBudget,
     pub(crate) floor: RoutineFloor,
-    pub(crate) drain: [DrainRate; 2],
-    pub(crate) first_byte: [Expected; 2],
-    pub(crate) whole: [Expected; 2],
-    pub(crate) reachable_own: u32,
-    pub(crate) reachable: u32,
-    /// Until when every reachable upstream of the own failure domain is ejected or paused.
-    pub(crate) own_paused_until: Option<Instant>,
-    /// Other nodes' requests on one upstream, on average.
-    pub(crate) usual_others: f64,
+    pub(crate) drain_rate: [DrainRate; 2],
+    pub(crate) first_byte_time: [DurationEstimate; 2],
+    /// Time from dispatch to the end of the answer.
+    pub(crate) answer_time: [DurationEstimate; 2],
+    pub(crate) available_in_own_domain: u32,
+    pub(crate) available: u32,
+    /// Until when all available upstreams in this node's failure domain are ejected or paused.
+    pub(crate) own_domain_paused_until: Option<Instant>,
+    /// Mean number of requests from other nodes on one upstream.
+    pub(crate) mean_other_nodes_load: f64,
 }
 
-/// The time to first byte that is assumed before one has been seen, in seconds.
-const FIRST_BYTE_S: f64 = 0.1;
+/// The time to first byte in seconds that is assumed until one has been measured.
+const INITIAL_FIRST_BYTE_TIME_S: f64 = 0.1;
 
 impl ServiceState {
     pub(crate) fn new(name: ServiceName, settings: &RouterSettings) -> Self {
         Self {
             plan: ServicePlan::new(name),
             is_listed: true,
-            own: Vec::new(),
-            foreign: Vec::new(),
+            own_domain: Vec::new(),
+            other_domains: Vec::new(),
             queues: [ClassQueue::default(), ClassQueue::default()],
             budget: RetryBudget::new(0.0, settings.retry_burst),
             floor: RoutineFloor::default(),
-            drain: [DrainRate::default(); 2],
-            first_byte: [Expected::default(); 2],
-            whole: [Expected::default(); 2],
-            reachable_own: 0,
-            reachable: 0,
-            own_paused_until: None,
-            usual_others: 0.0,
+            drain_rate: [DrainRate::default(); 2],
+            first_byte_time: [DurationEstimate::default(); 2],
+            answer_time: [DurationEstimate::default(); 2],
+            available_in_own_domain: 0,
+            available: 0,
+            own_domain_paused_until: None,
+            mean_other_nodes_load: 0.0,
         }
     }
 
@@ -105,54 +107,62 @@
         &mut self.queues[class as usize]
     }
 
-    /// Whether this node's failure domain has nobody to give work to.
-    pub(crate) fn is_own_out(&self, now: Instant) -> bool {
-        self.reachable_own == 0 || self.own_paused_until.is_some_and(|until| now < until)
+    /// Whether no upstream in this node's failure domain can get requests now.
+    pub(crate) fn is_own_domain_unavailable(&self, now: Instant) -> bool {
+        self.available_in_own_domain == 0
+            || self
+                .own_domain_paused_until
+                .is_some_and(|until| now < until)
     }
 
     pub(crate) fn has_waiting(&self) -> bool {
         self.queues.iter().any(|queue| !queue.is_empty())
     }
 
-    /// Counts a dispatch and says as what class it goes to the upstream.
+    /// Counts a dispatch and returns the class to pass to the upstream.
     ///
-    /// Against starvation inside the engine: urgent work would keep a request that takes a place of
-    /// the routine floor waiting there as well, so it goes as an urgent one.
-    pub(crate) fn count_dispatch(&mut self, class: Class, attempt: u32) -> Class {
+    /// A routine request in a place reserved by the routine floor is passed on as urgent: otherwise
+    /// urgent requests would starve it in the engine's own queue.
+    pub(crate) fn record_dispatch(&mut self, class: Class, attempt: u32) -> Class {
         if attempt == 1 {
-            self.budget.first_send();
+            self.budget.record_first_send();
         }
-        self.drain[class as usize].dispatched();
-        let is_kept = class == Class::Routine && self.floor.is_owed();
+        self.drain_rate[class as usize].record_dispatch();
+        let is_reserved = class == Class::Routine && self.floor.is_owed();
         let routine_waits = !self.queue(Class::Routine).is_empty();
         match class {
             Class::Urgent => {
                 let floor = self.plan.routine_floor;
-                self.floor.urgent_dispatched(floor, routine_waits);
+                self.floor.record_urgent_dispatch(floor, routine_waits);
             }
-            Class::Routine => self.floor.routine_dispatched(),
+            Class::Routine => self.floor.record_routine_dispatch(),
         }
-        if is_kept { Class::Urgent } else { class }
+        if is_reserved { Class::Urgent } else { class }
     }
 
-    /// Seconds to first byte on an upstream without load.
-    pub(crate) fn first_byte_s(&self, class: Class) -> f64 {
-        let seen_s = self.first_byte[class as usize].mean_s();
-        if seen_s > 0.0 { seen_s } else { FIRST_BYTE_S }
+    /// Mean time to first byte in seconds, taken as the time on an upstream without load.
+    pub(crate) fn first_byte_time_s(&self, class: Class) -> f64 {
+        let seen_s = self.first_byte_time[class as usize].mean_s();
+        if seen_s > 0.0 {
+            seen_s
+        } else {
+            INITIAL_FIRST_BYTE_TIME_S
+        }
     }
 
-    pub(crate) fn quick_whole(&self, class: Class) -> Duration {
-        self.whole[class as usize].quick()
+    pub(crate) fn p5_answer_time(&self, class: Class) -> Duration {
+        self.answer_time[class as usize].p5()
     }
 
-    /// Requests of `class` that this node can start in a second: as seen while requests waited for a
-    /// place, or else what the reachable upstreams finish. `None` before any has finished.
+    /// How many requests of `class` this node can start per second: the rate measured while
+    /// requests waited for a place, or else the places of the available upstreams in its failure
+    /// domain divided by the mean answer time. `None` until an answer has finished.
     pub(crate) fn rate_per_s(&self, class: Class, now: Instant) -> Option<f64> {
-        let seen_per_s = self.drain[class as usize].per_s(now);
-        seen_per_s.or_else(|| {
-            let mean_s = self.whole[class as usize].mean_s();
-            let reachable = f64::from(self.reachable_own.max(1));
-            let places = reachable * f64::from(self.plan.in_flight_per_upstream.max(1));
+        let measured_per_s = self.drain_rate[class as usize].per_s(now);
+        measured_per_s.or_else(|| {
+            let mean_s = self.answer_time[class as usize].mean_s();
+            let available = f64::from(self.available_in_own_domain.max(1));
+            let places = available * f64::from(self.plan.in_flight_per_upstream.max(1));
             (mean_s > 0.0).then(|| places / mean_s)
         })
     }
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -1,56 +1,57 @@
-//! How the router decides, beyond what the operators' text says.
+//! Settings of the router that are not in the operators' text.
 
 use std::time::Duration;
 
-/// How the router decides, beyond what the operators' text says.
+/// Settings of the router that are not in the operators' text.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterSettings {
-    /// How many candidates are drawn for a decision.
+    /// How many candidates are drawn at random for each decision.
     pub choices: usize,
-    /// How old an engine's report usually is when it arrives.
+    /// Typical age of an engine's report when it arrives.
     pub report_lag: Duration,
-    /// How much of the difference between engines' reported loads counts when they are compared.
-    pub trust_in_reports: f64,
-    /// From this age on, a report is no longer trusted to show a less than usual load.
+    /// How much a difference in reported load counts when upstreams are compared, 0 to 1.
+    pub report_weight: f64,
+    /// Age from which the load in a report is gradually replaced by the mean of the service's
+    /// upstreams.
     pub report_stale_after: Duration,
-    /// How long a load is expected to take before one has been seen.
+    /// Expected duration of an adapter load until one has been measured.
     pub load_time: Duration,
-    /// What a hop to another failure domain costs.
-    pub hop: Duration,
-    /// The share of an upstream's places in another failure domain that this node may take.
+    /// Cost of sending a request to another failure domain.
+    pub cross_domain_cost: Duration,
+    /// Share of an upstream's places that this node may use in another failure domain.
     pub spill_share: f64,
-    /// How many prefixes are remembered.
+    /// Capacity of the table of prompt prefixes.
     pub prefix_entries: usize,
-    /// What a cached prefix saves.
+    /// Time saved by a cached prefix.
     pub prefix_saving: Duration,
-    /// How often a request is sent at most.
+    /// Maximum number of attempts for a request.
     pub max_attempts: u32,
-    /// Second sends over first sends, whatever the operators' text says.
+    /// Upper limit for the retry budget in the operators' text, as a share of first sends.
     pub retry_ratio_max: f64,
-    /// Second sends that a service may save up.
+    /// Number of retries that a service can accumulate.
     pub retry_burst: f64,
-    /// How long the router waits before it asks for an adapter again.
-    pub want_interval: Duration,
-    /// Failures in a row after which an upstream is ejected.
+    /// Minimum time between two requests to load the same adapter.
+    pub load_request_interval: Duration,
+    /// Number of failures in a row after which an upstream is ejected.
     pub ejection_failures: u32,
-    /// How long the first ejection lasts; each further one lasts twice as long.
+    /// Duration of the first ejection; each further one lasts twice as long.
     pub ejection_time: Duration,
-    /// How long an ejection lasts at most.
+    /// Maximum duration of an ejection.
     pub ejection_time_max: Duration,
-    /// The share of a service's upstreams in one failure domain that may be ejected at a time; one
-    /// of two always may.
+    /// Share of a service's upstreams in one failure domain that may be ejected at the same time.
+    /// One of two upstreams may always be ejected.
     pub ejected_share_max: f64,
-    /// How long a recovered upstream takes to get its whole traffic back.
+    /// Time over which a recovered upstream gets all of its places back.
     pub slow_start: Duration,
-    /// How long an upstream that refused gets no work; doubles with each refusal in a row.
+    /// Pause of an upstream after a refusal; doubles with each refusal in a row.
     pub refusal_backoff: Duration,
-    /// How long an upstream that refused gets no work at most.
+    /// Maximum pause after a refusal.
     pub refusal_backoff_max: Duration,
-    /// The shortest time after which a caller is asked to come back.
+    /// Minimum time after which a refused caller is asked to retry, before jitter.
     pub retry_after_min: Duration,
-    /// The longest time after which a caller is asked to come back.
+    /// Maximum time after which a refused caller is asked to retry, before jitter.
     pub retry_after_max: Duration,
-    /// Whether routine attempts without a first byte are cancelled for urgent work.
+    /// Whether routine attempts without a first byte are cancelled for urgent requests.
     pub cancels_routine: bool,
 }
 
@@ -59,17 +60,17 @@
         Self {
             choices: 3,
             report_lag: Duration::from_secs(1),
-            trust_in_reports: 0.25,
+            report_weight: 0.25,
             report_stale_after: Duration::from_secs(3),
             load_time: Duration::from_secs(2),
-            hop: Duration::from_millis(2),
+            cross_domain_cost: Duration::from_millis(2),
             spill_share: 0.25,
             prefix_entries: 32_768,
             prefix_saving: Duration::from_millis(100),
             max_attempts: 3,
             retry_ratio_max: 0.2,
             retry_burst: 4.0,
-            want_interval: Duration::from_millis(500),
+            load_request_interval: Duration::from_millis(500),
             ejection_failures: 5,
             ejection_time: Duration::from_secs(5),
             ejection_time_max: Duration::from_secs(300),
--- a/crates/routing/src/tick.rs
+++ b/crates/routing/src/tick.rs
@@ -1,4 +1,4 @@
-//! Time passes.
+//! Periodic work: expired requests, load requests and table cleanup.
 
 use std::time::{Duration, Instant};
 
@@ -7,10 +7,10 @@
 
 use crate::{Router, RoutingAction};
 
-/// How often tables are swept of what nobody needs any more.
+/// Interval at which unused entries are removed from tables.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a load that nobody asks for again is expected.
-const WANT_KEPT: Duration = Duration::from_secs(30);
+/// Time after which a load request that was not repeated is dropped.
+const LOAD_REQUEST_TTL: Duration = Duration::from_secs(30);
 
 impl Router {
     pub(crate) fn tick(
@@ -23,7 +23,7 @@
             self.shed_expired(service, now, rng, actions);
             if self.services[service].has_waiting() {
                 self.fill_service(service, now, actions);
-                self.want_again(service, now, rng, actions);
+                self.repeat_load_requests(service, now, rng, actions);
             }
         }
         if self.next_sweep.is_none_or(|at| at <= now) {
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Refuses what can no longer meet its deadline, before it takes anyone's place.
+    /// Refuses requests that can no longer meet their deadline, before they take a place that
+    /// others could use.
     fn shed_expired(
         &mut self,
         service: usize,
@@ -42,7 +43,7 @@
     ) {
         for class in Class::ALL {
             while let Some(request) = self.services[service].queue(class).expired(now).cloned() {
-                let code = self.code_of_wait(&request);
+                let code = self.expiry_code(&request);
                 let wait = self.services[service].expected_wait(class, now);
                 let retry_after = self.retry_after(wait, rng);
                 self.finish(&request, code, retry_after, actions);
@@ -50,7 +51,7 @@
         }
     }
 
-    fn code_of_wait(&self, request: &RequestId) -> ResultCode {
+    fn expiry_code(&self, request: &RequestId) -> ResultCode {
         let adapter = self
             .requests
             .get(request)
@@ -67,18 +68,18 @@
     }
 
     fn fill_service(&mut self, service: usize, now: Instant, actions: &mut Vec<RoutingAction>) {
-        // The own failure domain first: what it takes need not leave it.
-        for index in 0..self.services[service].own.len() {
-            let upstream = self.services[service].own[index] as usize;
+        // This node's failure domain comes first, so that fewer requests leave it.
+        for index in 0..self.services[service].own_domain.len() {
+            let upstream = self.services[service].own_domain[index] as usize;
             self.fill(upstream, now, actions);
         }
-        for index in 0..self.services[service].foreign.len() {
-            let upstream = self.services[service].foreign[index] as usize;
+        for index in 0..self.services[service].other_domains.len() {
+            let upstream = self.services[service].other_domains[index] as usize;
             self.fill(upstream, now, actions);
         }
     }
 
-    fn want_again(
+    fn repeat_load_requests(
         &mut self,
         service: usize,
         now: Instant,
@@ -90,7 +91,7 @@
             let waited: Vec<AdapterRef> = waited.cloned().collect();
             for adapter in &waited {
                 if self.needs_load(service, adapter, class, now) {
-                    self.want(service, adapter, class, now, rng, actions);
+                    self.request_load(service, adapter, class, now, rng, actions);
                 }
             }
         }
@@ -99,20 +100,22 @@
     fn sweep(&mut self, now: Instant) {
         self.callers
             .retain(|_, caller| caller.requests > 0 || caller.due.iter().any(|due| *due > now));
-        if let Some(before) = now.checked_sub(WANT_KEPT) {
-            self.adapters.forget_wants(before);
+        if let Some(before) = now.checked_sub(LOAD_REQUEST_TTL) {
+            self.adapters.expire_load_requests(before);
         }
         for service in 0..self.services.len() {
-            self.services[service].usual_others = self.usual_others(service, now);
+            self.services[service].mean_other_nodes_load = self.mean_other_nodes_load(service, now);
         }
     }
 
-    fn usual_others(&self, service: usize, now: Instant) -> f64 {
+    fn mean_other_nodes_load(&self, service: usize, now: Instant) -> f64 {
         let state = &self.services[service];
-        let members = state.own.iter().chain(&state.foreign);
+        let members = state.own_domain.iter().chain(&state.other_domains);
         let reports = members.filter_map(|u| self.upstreams[*u as usize].last_report);
         let fresh = reports.filter(|report| now < report.at + self.settings.report_stale_after);
-        let (sum, count) = fresh.fold((0.0, 0), |(sum, n), report| (sum + report.others, n + 1));
+        let (sum, count) = fresh.fold((0.0, 0), |(sum, n), report| {
+            (sum + report.other_nodes_load, n + 1)
+        });
         if count == 0 {
             0.0
         } else {
--- a/crates/routing/src/upstream_events.rs
+++ b/crates/routing/src/upstream_events.rs
@@ -1,10 +1,10 @@
-//! What is told about upstreams.
+//! Handling of events about upstreams: reports, health checks and membership.
 
 use std::time::Instant;
 
 use nutmegsail_base::{AdapterRef, AdapterState, EngineReport, UpstreamId};
 
-use crate::upstream_state::{Held, Told};
+use crate::upstream_state::{AvailabilityUpdate, Held};
 use crate::{AdapterAvailability, Router, RoutingAction};
 
 impl Router {
@@ -18,71 +18,78 @@
         let Some(index) = self.upstream_by_id.get(upstream).copied() else {
             return;
         };
-        if !self.take_incarnation(index, report, now) {
+        if !self.accept_incarnation(index, report, now) {
             return;
         }
         let state = &mut self.upstreams[index];
         let total = report.in_flight.saturating_add(report.queued);
-        state.reported(total, now, self.settings.report_lag);
+        state.record_report(total, now, self.settings.report_lag);
         if report.is_leaving {
             state.is_leaving = true;
         }
-        self.take_held(index, report, now);
-        self.count_reachable(self.upstreams[index].service);
+        self.merge_reported_adapters(index, report, now);
+        self.update_availability(self.upstreams[index].service);
         self.fill(index, now, actions);
     }
 
-    /// Against a cold restart under a stale map: another incarnation holds nothing of what the
-    /// former one held, and what was said of the former one (gone, leaving) does not concern it.
-    /// Says whether the report is to be believed.
-    fn take_incarnation(&mut self, upstream: usize, report: &EngineReport, now: Instant) -> bool {
+    /// Resets the state when the engine has restarted: a new incarnation has none of the adapters
+    /// of the previous one and is neither unreachable nor leaving because that one was. Returns
+    /// whether the report should be used.
+    fn accept_incarnation(&mut self, upstream: usize, report: &EngineReport, now: Instant) -> bool {
         let state = &mut self.upstreams[upstream];
         let is_new = state.incarnation != Some(report.incarnation);
-        if is_new && state.former == Some(report.incarnation) {
-            // A late report of the run before the restart.
+        if is_new && state.previous_incarnation == Some(report.incarnation) {
+            // A late report from before the restart.
             return false;
         }
         if is_new {
-            state.former = state.incarnation;
+            state.previous_incarnation = state.incarnation;
             let is_restart = state.incarnation.replace(report.incarnation).is_some();
             if is_restart {
                 state.is_leaving = false;
-                state.is_gone = false;
-                state.told.clear();
+                state.is_unreachable = false;
+                state.recent_updates.clear();
                 state.last_report = None;
-                state.outlier.returned(now);
+                state.outlier.begin_slow_start(now);
             }
             return true;
         }
-        if state.is_gone {
-            // It could not be reached and answers again. If it was leaving, it still is.
-            state.is_gone = false;
-            state.outlier.returned(now);
+        if state.is_unreachable {
+            // The same incarnation can be reached again. If it was leaving, it still is.
+            state.is_unreachable = false;
+            state.outlier.begin_slow_start(now);
         }
         true
     }
 
-    /// Takes over the adapters of a report, but for those that were told of more lately than a
-    /// report is old: otherwise a late report would undo what placement knows.
-    fn take_held(&mut self, upstream: usize, report: &EngineReport, now: Instant) {
+    /// Updates the adapters from a report, except those with an update so recent that the report
+    /// may be older: a late report must not undo what placement knows.
+    fn merge_reported_adapters(&mut self, upstream: usize, report: &EngineReport, now: Instant) {
         let keep_for = self.settings.report_lag * 2;
         let state = &mut self.upstreams[upstream];
-        state.told.retain(|told| now < told.at + keep_for);
-        let told = state.told.clone();
-        let is_told = |adapter: &AdapterRef| told.iter().any(|told| told.adapter == *adapter);
-        let reported = |adapter: &AdapterRef| report.adapters.iter().any(|h| h.adapter == *adapter);
+        state
+            .recent_updates
+            .retain(|update| now < update.at + keep_for);
+        let recent_updates = state.recent_updates.clone();
+        let is_recently_updated = |adapter: &AdapterRef| {
+            recent_updates
+                .iter()
+                .any(|update| update.adapter == *adapter)
+        };
+        let is_reported =
+            |adapter: &AdapterRef| report.adapters.iter().any(|h| h.adapter == *adapter);
         let held = state.held.iter().map(|held| held.adapter.clone());
         let removed: Vec<_> = held
-            .filter(|held| !reported(held) && !is_told(held))
+            .filter(|held| !is_reported(held) && !is_recently_updated(held))
             .collect();
         for adapter in &removed {
-            self.put_held(upstream, adapter, None, now);
+            self.set_adapter_state(upstream, adapter, None, now);
         }
         for held in &report.adapters {
             let is_ready = held.state == AdapterState::Ready;
             let is_known = self.upstreams[upstream].holds(&held.adapter) == Some(is_ready);
-            if !is_known && !is_told(&held.adapter) {
-                self.put_held(upstream, &held.adapter, Some(is_ready), now);
+            if !is_known && !is_recently_updated(&held.adapter) {
+                self.set_adapter_state(upstream, &held.adapter, Some(is_ready), now);
             }
         }
     }
@@ -98,12 +105,12 @@
         let Some(index) = self.upstream_by_id.get(upstream).copied() else {
             return;
         };
-        self.set_held(index, adapter, availability, now);
+        self.record_availability(index, adapter, availability, now);
         self.fill(index, now, actions);
     }
 
-    /// Notes what is known sooner than by a report.
-    pub(crate) fn set_held(
+    /// Records an adapter state that is newer than the engine's report.
+    pub(crate) fn record_availability(
         &mut self,
         upstream: usize,
         adapter: &AdapterRef,
@@ -111,8 +118,10 @@
         now: Instant,
     ) {
         let state = &mut self.upstreams[upstream];
-        state.told.retain(|told| told.adapter != *adapter);
-        state.told.push(Told {
+        state
+            .recent_updates
+            .retain(|update| update.adapter != *adapter);
+        state.recent_updates.push(AvailabilityUpdate {
             adapter: adapter.clone(),
             at: now,
         });
@@ -121,10 +130,10 @@
             AdapterAvailability::Loading => Some(false),
             AdapterAvailability::Absent => None,
         };
-        self.put_held(upstream, adapter, is_ready, now);
+        self.set_adapter_state(upstream, adapter, is_ready, now);
     }
 
-    fn put_held(
+    fn set_adapter_state(
         &mut self,
         upstream: usize,
         adapter: &AdapterRef,
@@ -145,10 +154,10 @@
         }
         self.adapters.set(adapter, upstream, is_ready);
         if is_ready == Some(true)
-            && let Some(want) = self.adapters.clear_want(adapter)
+            && let Some(load_request) = self.adapters.clear_load_request(adapter)
         {
             self.load_time
-                .observe(now.saturating_duration_since(want.first));
+                .observe(now.saturating_duration_since(load_request.first));
         }
     }
 
@@ -163,35 +172,35 @@
             return;
         };
         let state = &mut self.upstreams[index];
-        let was_away = state.is_gone || !state.is_ready;
+        let was_unavailable = state.is_unreachable || !state.is_ready;
         state.is_ready = is_ready;
-        if is_ready && state.is_gone {
-            // It went away and came back: it left before, if it did, in a former life.
-            state.is_gone = false;
+        if is_ready && state.is_unreachable {
+            // It was unreachable and is back. If it was leaving before, that no longer applies.
+            state.is_unreachable = false;
             state.is_leaving = false;
         }
-        if is_ready && was_away {
-            state.outlier.returned(now);
+        if is_ready && was_unavailable {
+            state.outlier.begin_slow_start(now);
         }
         let service = state.service;
-        self.count_reachable(service);
+        self.update_availability(service);
         self.fill(index, now, actions);
     }
 
-    pub(crate) fn upstream_gone(&mut self, upstream: &UpstreamId) {
+    pub(crate) fn upstream_unreachable(&mut self, upstream: &UpstreamId) {
         self.leaving_unlisted.remove(upstream);
         if let Some(index) = self.upstream_by_id.get(upstream).copied() {
-            self.upstreams[index].is_gone = true;
-            self.count_reachable(self.upstreams[index].service);
+            self.upstreams[index].is_unreachable = true;
+            self.update_availability(self.upstreams[index].service);
         }
     }
 
     pub(crate) fn leaving(&mut self, upstream: &UpstreamId) {
         if let Some(index) = self.upstream_by_id.get(upstream).copied() {
             self.upstreams[index].is_leaving = true;
-            self.count_reachable(self.upstreams[index].service);
+            self.update_availability(self.upstreams[index].service);
         } else {
-            // The plan that lists it may arrive later than the news that it leaves.
+            // The plan that lists it may arrive after the event that it is leaving.
             self.leaving_unlisted.insert(upstream.clone());
         }
     }
@@ -205,28 +214,30 @@
         self.leaving_unlisted.remove(upstream);
         if let Some(index) = self.upstream_by_id.get(upstream).copied() {
             self.upstreams[index].is_leaving = false;
-            self.count_reachable(self.upstreams[index].service);
+            self.update_availability(self.upstreams[index].service);
             self.fill(index, now, actions);
         }
     }
 
-    pub(crate) fn count_reachable(&mut self, service: usize) {
+    /// Recounts the available upstreams of a service, and when those in this node's failure domain
+    /// end their pauses.
+    pub(crate) fn update_availability(&mut self, service: usize) {
         let state = &mut self.services[service];
-        let reachable = |members: &[u32]| {
+        let available = |members: &[u32]| {
             let members = members.iter().map(|upstream| *upstream as usize);
             members
-                .filter(|u| self.upstreams[*u].is_reachable())
+                .filter(|u| self.upstreams[*u].is_available())
                 .count() as u32
         };
-        state.reachable_own = reachable(&state.own);
-        state.reachable = state.reachable_own + reachable(&state.foreign);
+        state.available_in_own_domain = available(&state.own_domain);
+        state.available = state.available_in_own_domain + available(&state.other_domains);
         let own = state
-            .own
+            .own_domain
             .iter()
             .map(|upstream| &self.upstreams[*upstream as usize]);
-        let own = own.filter(|upstream| upstream.is_reachable());
-        // The earliest end of a pause; one that never paused sorts first.
+        let own = own.filter(|upstream| upstream.is_available());
+        // The earliest end of a pause. `None`, for an upstream that was never paused, sorts first.
         let paused = own.map(|upstream| upstream.outlier.paused_until()).min();
-        state.own_paused_until = paused.flatten();
+        state.own_domain_paused_until = paused.flatten();
     }
 }
--- a/crates/routing/tests/adapters.rs
+++ b/crates/routing/tests/adapters.rs
@@ -1,61 +1,64 @@
-//! Requests whose adapter is ready, loading, absent, or held by a full engine.
+//! Requests whose adapter is ready, loading or absent.
 
 mod support;
 
 use nutmegsail_base::{AdapterRef, Class, ResultCode};
 use nutmegsail_routing::{AdapterAvailability, Arrival, Outcome, RoutingAction, RoutingEvent};
-use support::{Bench, dispatched, refused, report, service};
+use support::{Harness, dispatched, refused, report, service};
 
-fn call_for(bench: &mut Bench, adapter: &AdapterRef, class: Class) -> Arrival {
+fn call_for(harness: &mut Harness, adapter: &AdapterRef, class: Class) -> Arrival {
     Arrival {
         adapter: Some(adapter.clone()),
-        ..bench.call(class)
+        ..harness.call(class)
     }
 }
 
-fn wanted(actions: &[RoutingAction]) -> Option<AdapterRef> {
+fn requested_load(actions: &[RoutingAction]) -> Option<AdapterRef> {
     actions.iter().find_map(|action| match action {
         RoutingAction::WantAdapter { adapter, .. } => Some(adapter.clone()),
         _ => None,
     })
 }
 
-/// Nobody holds the adapter. The request waits while placement loads it, and starts as soon as it
-/// is ready; the wish is made once, not by each request.
+/// No upstream holds the adapter. Requests wait while placement loads it and start as soon as it is
+/// ready. The load is requested once, not once per request.
 #[test]
-fn a_request_waits_for_its_adapter_and_starts_when_it_is_ready() {
+fn requests_wait_for_their_adapter_and_start_when_it_is_ready() {
     let adapter = AdapterRef::new("summary", 3);
-    let mut bench = Bench::new(service(3));
-    let first = call_for(&mut bench, &adapter, Class::Routine);
-    let second = call_for(&mut bench, &adapter, Class::Routine);
-    assert_eq!(wanted(&bench.arrive(&first)), Some(adapter.clone()));
-    assert_eq!(wanted(&bench.arrive(&second)), None);
+    let mut harness = Harness::new(service(3));
+    let first = call_for(&mut harness, &adapter, Class::Routine);
+    let second = call_for(&mut harness, &adapter, Class::Routine);
+    assert_eq!(
+        requested_load(&harness.arrive(&first)),
+        Some(adapter.clone())
+    );
+    assert_eq!(requested_load(&harness.arrive(&second)), None);
 
-    bench.set_adapter("u2", &adapter, AdapterAvailability::Loading);
-    let actions = bench.set_adapter("u2", &adapter, AdapterAvailability::Ready);
+    harness.set_adapter("u2", &adapter, AdapterAvailability::Loading);
+    let actions = harness.set_adapter("u2", &adapter, AdapterAvailability::Ready);
 
     assert_eq!(actions.len(), 2);
     assert_eq!(dispatched(&actions).as_deref(), Some("u2"));
 }
 
-/// An adapter that waits for the weight store stands before one that is ready. The ready one must
-/// not wait behind it.
+/// A request whose adapter is not loaded yet is first in the queue. It must not block a later one
+/// whose adapter is ready.
 #[test]
-fn a_loading_adapter_does_not_hold_up_a_ready_one() {
+fn a_request_for_a_missing_adapter_does_not_block_one_for_a_ready_adapter() {
     let (ready, absent) = (AdapterRef::new("ready", 1), AdapterRef::new("absent", 1));
     let plan = service(1)
         .with_in_flight_per_upstream(1)
         .with_urgent_headroom(0.0);
-    let mut bench = Bench::new(plan);
-    bench.set_adapter("u1", &ready, AdapterAvailability::Ready);
-    let running = call_for(&mut bench, &ready, Class::Routine);
-    bench.arrive(&running);
-    let blocked = call_for(&mut bench, &absent, Class::Routine);
-    bench.arrive(&blocked);
-    let next = call_for(&mut bench, &ready, Class::Routine);
-    bench.arrive(&next);
+    let mut harness = Harness::new(plan);
+    harness.set_adapter("u1", &ready, AdapterAvailability::Ready);
+    let running = call_for(&mut harness, &ready, Class::Routine);
+    harness.arrive(&running);
+    let blocked = call_for(&mut harness, &absent, Class::Routine);
+    harness.arrive(&blocked);
+    let next = call_for(&mut harness, &ready, Class::Routine);
+    harness.arrive(&next);
 
-    let actions = bench.end(&running, Outcome::Succeeded);
+    let actions = harness.end(&running, Outcome::Succeeded);
 
     assert!(
         matches!(&actions[..], [RoutingAction::Dispatch { request, .. }]
@@ -63,105 +66,105 @@
     );
 }
 
-/// A version is replaced: the old one must never answer for the new one.
+/// A request for a new version must not be answered with the old one that the engine still holds.
 #[test]
-fn another_version_of_the_adapter_never_answers() {
-    let mut bench = Bench::new(service(1));
-    bench.set_adapter(
+fn a_request_is_not_sent_to_an_engine_with_another_version_of_its_adapter() {
+    let mut harness = Harness::new(service(1));
+    harness.set_adapter(
         "u1",
         &AdapterRef::new("summary", 1),
         AdapterAvailability::Ready,
     );
 
-    let call = call_for(&mut bench, &AdapterRef::new("summary", 2), Class::Urgent);
+    let call = call_for(&mut harness, &AdapterRef::new("summary", 2), Class::Urgent);
 
-    assert_eq!(dispatched(&bench.arrive(&call)), None);
+    assert_eq!(dispatched(&harness.arrive(&call)), None);
 }
 
-/// Placement evicts an adapter and says so; a report from before still lists it. A request sent by
-/// that report would be refused by the engine.
+/// Placement announces that it evicts an adapter, and a report from before the eviction still lists
+/// it. The engine would refuse a request sent on the strength of that report.
 #[test]
-fn a_late_report_does_not_undo_what_placement_told() {
+fn a_late_report_does_not_undo_an_update_from_placement() {
     let adapter = AdapterRef::new("summary", 1);
-    let mut bench = Bench::new(service(1));
-    bench.report("u1", report(&[&adapter], 0));
-    bench.set_adapter("u1", &adapter, AdapterAvailability::Absent);
-    bench.report("u1", report(&[&adapter], 0));
-    let call = call_for(&mut bench, &adapter, Class::Urgent);
-    assert_eq!(dispatched(&bench.arrive(&call)), None);
+    let mut harness = Harness::new(service(1));
+    harness.report("u1", report(&[&adapter], 0));
+    harness.set_adapter("u1", &adapter, AdapterAvailability::Absent);
+    harness.report("u1", report(&[&adapter], 0));
+    let call = call_for(&mut harness, &adapter, Class::Urgent);
+    assert_eq!(dispatched(&harness.arrive(&call)), None);
 
-    bench.advance(3_000);
-    let actions = bench.report("u1", report(&[&adapter], 0));
+    harness.advance(3_000);
+    let actions = harness.report("u1", report(&[&adapter], 0));
 
     assert_eq!(
         dispatched(&actions).as_deref(),
         Some("u1"),
-        "a later report is believed again"
+        "later reports are used again"
     );
 }
 
-/// An engine says that it does not hold the adapter: the map was stale. The request did not run; it
-/// waits for the adapter and costs nothing of the retry budget.
+/// An engine refuses a request because it doesn't hold the adapter: the adapter index was stale.
+/// The request did not run, so it waits for the adapter and nothing is charged to the retry budget.
 #[test]
-fn a_stale_map_is_mended_by_the_engines_refusal() {
+fn an_engines_refusal_corrects_a_stale_adapter_index() {
     let adapter = AdapterRef::new("summary", 1);
-    let mut bench = Bench::new(service(2).with_retry_budget(0.0));
-    bench.set_adapter("u1", &adapter, AdapterAvailability::Ready);
-    let call = call_for(&mut bench, &adapter, Class::Routine);
-    bench.arrive(&call);
+    let mut harness = Harness::new(service(2).with_retry_budget(0.0));
+    harness.set_adapter("u1", &adapter, AdapterAvailability::Ready);
+    let call = call_for(&mut harness, &adapter, Class::Routine);
+    harness.arrive(&call);
 
-    let actions = bench.end(&call, Outcome::AdapterAbsent);
-    assert_eq!(wanted(&actions), Some(adapter.clone()));
+    let actions = harness.end(&call, Outcome::AdapterAbsent);
+    assert_eq!(requested_load(&actions), Some(adapter.clone()));
 
-    let actions = bench.set_adapter("u2", &adapter, AdapterAvailability::Ready);
+    let actions = harness.set_adapter("u2", &adapter, AdapterAvailability::Ready);
     assert_eq!(dispatched(&actions).as_deref(), Some("u2"));
 }
 
-/// The load would take longer than the caller waits. It is told at once; the adapter is asked for
-/// all the same, so that coming back helps.
+/// The load would take longer than the deadline allows. The request is refused at once, but the
+/// load is requested all the same, so that a later retry can succeed.
 #[test]
-fn a_request_that_cannot_wait_for_its_load_is_refused_and_the_load_asked_for() {
+fn a_request_that_cannot_wait_for_its_load_is_refused_and_the_load_requested() {
     let adapter = AdapterRef::new("summary", 1);
-    let mut bench = Bench::new(service(2));
-    let mut call = call_for(&mut bench, &adapter, Class::Urgent);
-    call.deadline = bench.now + std::time::Duration::from_millis(300);
+    let mut harness = Harness::new(service(2));
+    let mut call = call_for(&mut harness, &adapter, Class::Urgent);
+    call.deadline = harness.now + std::time::Duration::from_millis(300);
 
-    let actions = bench.arrive(&call);
+    let actions = harness.arrive(&call);
 
     assert_eq!(refused(&actions), Some(ResultCode::AdapterNotReady));
-    assert_eq!(wanted(&actions), Some(adapter));
+    assert_eq!(requested_load(&actions), Some(adapter));
 }
 
-/// The placement of an adapter fails for good. The request ends when its deadline can no longer be
-/// met, and not silently.
+/// An adapter can't be loaded. The request must be refused when its deadline can no longer be met,
+/// not be left without an answer.
 #[test]
-fn a_request_whose_adapter_never_comes_is_told_so() {
+fn a_request_whose_adapter_is_never_loaded_is_refused() {
     let adapter = AdapterRef::new("summary", 1);
-    let mut bench = Bench::new(service(2));
-    let call = call_for(&mut bench, &adapter, Class::Urgent);
-    bench.arrive(&call);
+    let mut harness = Harness::new(service(2));
+    let call = call_for(&mut harness, &adapter, Class::Urgent);
+    harness.arrive(&call);
 
-    let actions = bench.advance(10_001);
+    let actions = harness.advance(10_001);
 
     assert_eq!(refused(&actions), Some(ResultCode::AdapterNotReady));
 }
 
-/// Prompts with the same beginning follow each other. The engine that has the beginning cached
-/// answers sooner, so the second one goes there.
+/// An engine that has the prefix of a prompt cached answers sooner, so later prompts with the same
+/// prefix go there.
 #[test]
-fn a_prefix_goes_back_to_where_it_is_cached() {
-    let mut bench = Bench::new(service(8));
-    let mut first = bench.call(Class::Routine);
+fn prompts_with_the_same_prefix_go_to_the_same_engine() {
+    let mut harness = Harness::new(service(8));
+    let mut first = harness.call(Class::Routine);
     first.prefix = Some(42);
-    let cached = dispatched(&bench.arrive(&first));
-    bench.tell(RoutingEvent::FirstByte {
+    let cached = dispatched(&harness.arrive(&first));
+    harness.handle(RoutingEvent::FirstByte {
         request: first.request.clone(),
     });
 
     for _ in 0..5 {
-        let mut next = bench.call(Class::Routine);
+        let mut next = harness.call(Class::Routine);
         next.prefix = Some(42);
-        assert_eq!(dispatched(&bench.arrive(&next)), cached);
-        bench.end(&next, Outcome::Succeeded);
+        assert_eq!(dispatched(&harness.arrive(&next)), cached);
+        harness.end(&next, Outcome::Succeeded);
     }
 }
--- a/crates/routing/tests/explanations.rs
+++ b/crates/routing/tests/explanations.rs
@@ -1,28 +1,28 @@
-//! What operators read when they ask why.
+//! The explanation that operators get for a routing decision.
 
 mod support;
 
 use nutmegsail_base::{AdapterRef, Class};
 use nutmegsail_routing::{AdapterAvailability, RoutingEvent};
-use support::{Bench, service};
+use support::{Harness, service};
 
 #[test]
-fn an_explanation_names_candidates_scores_limits_and_the_reason() {
+fn an_explanation_lists_candidates_scores_limits_and_the_reason() {
     let adapter = AdapterRef::new("summary", 3);
-    let mut bench = Bench::new(service(4).with_upstream("far1", "b").with_batch_slots(16));
-    bench.set_adapter("u1", &adapter, AdapterAvailability::Ready);
-    bench.set_adapter("u2", &adapter, AdapterAvailability::Loading);
-    bench.tell(RoutingEvent::Leaving {
+    let mut harness = Harness::new(service(4).with_upstream("far1", "b").with_batch_slots(16));
+    harness.set_adapter("u1", &adapter, AdapterAvailability::Ready);
+    harness.set_adapter("u2", &adapter, AdapterAvailability::Loading);
+    harness.handle(RoutingEvent::Leaving {
         upstream: "u3".into(),
     });
-    let mut call = bench.call(Class::Routine);
+    let mut call = harness.call(Class::Routine);
     call.adapter = Some(adapter.clone());
-    bench.arrive(&call);
+    harness.arrive(&call);
 
     let explanation =
-        bench
+        harness
             .router
-            .explain(&"svc".into(), Some(&adapter), Class::Routine, bench.now);
+            .explain(&"svc".into(), Some(&adapter), Class::Routine, harness.now);
 
     insta::assert_snapshot!(explanation, @r"
     routine svc summary@3, generation 1: goes to the best of a few like u1
--- a/crates/routing/tests/memory.rs
+++ b/crates/routing/tests/memory.rs
@@ -1,31 +1,31 @@
-//! The size of the state.
+//! Memory use of the router.
 
 mod support;
 
 use nutmegsail_base::{AdapterRef, Class};
 use nutmegsail_routing::{AdapterAvailability, RouterSettings, RoutingPlan};
-use support::{Bench, service};
+use support::{Harness, service};
 
-/// Nodes are small VMs. 750 engines with 16 full slots, 11,000 adapters and 2,000 requests at a
-/// time must leave most of a node's 256 MB to others.
+/// Nodes are small VMs with 256 MB for the process. With 750 engines with 16 full slots each,
+/// 11,000 adapters and 2,000 requests at a time the router may use only a fraction of that.
 #[test]
-fn the_state_at_the_two_year_size_stays_under_64_mb() {
+fn router_state_at_the_two_year_size_stays_under_64_mb() {
     let plan = RoutingPlan::new(1, "a").with_service(service(750));
     let plan = plan.with_in_flight_per_caller(10_000);
-    let mut bench = Bench::with(RouterSettings::default(), plan);
+    let mut harness = Harness::with(RouterSettings::default(), plan);
     for slot in 0..750 * 16 {
         let adapter = AdapterRef::new(format!("treatment-summary-{:05}", slot % 11_000), 1);
         let upstream = format!("u{}", slot / 16 + 1);
-        bench.set_adapter(&upstream, &adapter, AdapterAvailability::Ready);
+        harness.set_adapter(&upstream, &adapter, AdapterAvailability::Ready);
     }
     for _ in 0..2_000 {
-        bench.send(Class::Routine);
+        harness.send(Class::Routine);
     }
 
-    let bytes = bench.router.memory_bytes();
+    let bytes = harness.router.memory_bytes();
     assert!(bytes < 64 * 1024 * 1024, "{bytes}");
     assert!(
         bytes > 4 * 1024 * 1024,
-        "{bytes}: the estimate forgets a table"
+        "{bytes}: the estimate leaves out a table"
     );
 }
--- a/crates/routing/tests/random_events.rs
+++ b/crates/routing/tests/random_events.rs
@@ -1,4 +1,4 @@
-//! Random events in random order, against a model that knows only what was promised.
+//! Property tests: random events are checked against a model of the router's guarantees.
 
 mod support;
 
@@ -13,11 +13,11 @@
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use support::{Bench, report};
+use support::{Harness, report};
 
 const UPSTREAMS: [&str; 5] = ["u1", "u2", "u3", "far1", "far2"];
 
-/// One thing that happens.
+/// One step of a random scenario.
 #[derive(Clone, Debug)]
 enum Step {
     Arrive {
@@ -29,7 +29,7 @@
     },
     FirstByte(usize),
     End(usize, Outcome),
-    GoneWhileWaiting(usize),
+    CallerGoneWhileWaiting(usize),
     Report {
         upstream: usize,
         incarnation: u64,
@@ -38,14 +38,14 @@
         is_leaving: bool,
     },
     Health(usize, bool),
-    Gone(usize),
+    Unreachable(usize),
     Leaving(usize),
     Adapter(usize, u8, AdapterAvailability),
     Plan {
         upstreams: u8,
         places: u32,
     },
-    Pass(u64),
+    AdvanceTime(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -99,42 +99,42 @@
         20 => arrive,
         5 => any::<usize>().prop_map(Step::FirstByte),
         30 => (any::<usize>(), outcome).prop_map(|(at, outcome)| Step::End(at, outcome)),
-        1 => any::<usize>().prop_map(Step::GoneWhileWaiting),
+        1 => any::<usize>().prop_map(Step::CallerGoneWhileWaiting),
         4 => report,
         8 => (upstream.clone(), prop::bool::weighted(0.9)).prop_map(|(u, r)| Step::Health(u, r)),
-        1 => upstream.clone().prop_map(Step::Gone),
+        1 => upstream.clone().prop_map(Step::Unreachable),
         1 => upstream.clone().prop_map(Step::Leaving),
         8 => (upstream, 0..4_u8, availability).prop_map(|(u, a, s)| Step::Adapter(u, a, s)),
         1 => (1..32_u8, 1..6_u32).prop_map(|(upstreams, places)| Step::Plan { upstreams, places }),
-        10 => (1..3_000_u64).prop_map(Step::Pass),
+        10 => (1..3_000_u64).prop_map(Step::AdvanceTime),
     ]
 }
 
-/// Where the model believes a request is.
+/// The state of a request in the model.
 #[derive(Clone, Debug, PartialEq)]
-enum Life {
+enum ModelPhase {
     Waiting,
     At(UpstreamId),
     Final,
 }
 
 #[derive(Clone, Debug)]
-struct Modelled {
+struct ModelRequest {
     arrival: Arrival,
-    life: Life,
+    phase: ModelPhase,
     may_have_run: bool,
     has_first_byte: bool,
     sends: Vec<UpstreamId>,
 }
 
-/// What was promised, and nothing of how the router keeps it.
+/// A model of the guarantees only, independent of the router's implementation.
 #[derive(Default)]
 struct Model {
-    requests: HashMap<RequestId, Modelled>,
+    requests: HashMap<RequestId, ModelRequest>,
     order: Vec<RequestId>,
     leaving: HashMap<UpstreamId, bool>,
     sends: usize,
-    finals: usize,
+    final_actions: usize,
 }
 
 impl Model {
@@ -143,7 +143,7 @@
             match action {
                 RoutingAction::Dispatch {
                     request, upstream, ..
-                } => self.sent(request, upstream),
+                } => self.check_dispatch(request, upstream),
                 RoutingAction::Refuse {
                     request,
                     state,
@@ -152,63 +152,78 @@
                 } => {
                     assert_eq!(*state, RunState::NotRun);
                     assert!(*retry_after > Duration::ZERO);
-                    let modelled = self.end(request);
-                    assert!(!modelled.may_have_run, "a false `not run`");
+                    let model_request = self.record_final(request);
+                    assert!(
+                        !model_request.may_have_run,
+                        "`not run` for a request that may have run"
+                    );
                 }
                 RoutingAction::GiveUp { request, .. } => {
-                    let modelled = self.end(request);
-                    assert!(modelled.may_have_run, "`may have run` without need");
+                    let model_request = self.record_final(request);
+                    assert!(
+                        model_request.may_have_run,
+                        "`may have run` for a request that did not run"
+                    );
                 }
                 RoutingAction::Cancel { request } => {
-                    assert!(matches!(self.requests[request].life, Life::At(_)));
+                    assert!(matches!(self.requests[request].phase, ModelPhase::At(_)));
                 }
                 RoutingAction::WantAdapter { .. } => {}
             }
         }
     }
 
-    /// After a tick nothing waits past its deadline.
+    /// Checks that no request waits past its deadline after a tick.
     fn check_deadlines(&self, now: Instant) {
-        let late = |m: &&Modelled| m.life == Life::Waiting && m.arrival.deadline < now;
+        let late = |m: &&ModelRequest| m.phase == ModelPhase::Waiting && m.arrival.deadline < now;
         assert_eq!(self.requests.values().filter(late).count(), 0);
     }
 
-    fn known(&mut self, request: &RequestId) -> &mut Modelled {
+    fn request_mut(&mut self, request: &RequestId) -> &mut ModelRequest {
         self.requests
             .get_mut(request)
-            .expect("the router invented a request")
+            .expect("an action names an unknown request")
     }
 
-    fn sent(&mut self, request: &RequestId, upstream: &UpstreamId) {
+    fn check_dispatch(&mut self, request: &RequestId, upstream: &UpstreamId) {
         let is_leaving = self.leaving.get(upstream).copied().unwrap_or(false);
         assert!(!is_leaving, "{upstream} was leaving");
-        let modelled = self.known(request);
-        assert_eq!(modelled.life, Life::Waiting, "two upstreams at a time");
-        assert!(!modelled.may_have_run || modelled.arrival.idempotent);
-        assert!(!modelled.has_first_byte);
-        modelled.sends.push(upstream.clone());
-        modelled.life = Life::At(upstream.clone());
-        assert!(modelled.sends.len() <= 3);
+        let model_request = self.request_mut(request);
+        assert_eq!(
+            model_request.phase,
+            ModelPhase::Waiting,
+            "at two upstreams at the same time"
+        );
+        assert!(!model_request.may_have_run || model_request.arrival.idempotent);
+        assert!(!model_request.has_first_byte);
+        model_request.sends.push(upstream.clone());
+        model_request.phase = ModelPhase::At(upstream.clone());
+        assert!(model_request.sends.len() <= 3);
         self.sends += 1;
     }
 
-    fn end(&mut self, request: &RequestId) -> Modelled {
-        self.finals += 1;
-        let modelled = self.known(request);
-        assert_ne!(modelled.life, Life::Final, "a second final action");
-        modelled.life = Life::Final;
-        modelled.clone()
+    fn record_final(&mut self, request: &RequestId) -> ModelRequest {
+        self.final_actions += 1;
+        let model_request = self.request_mut(request);
+        assert_ne!(
+            model_request.phase,
+            ModelPhase::Final,
+            "a second final action"
+        );
+        model_request.phase = ModelPhase::Final;
+        model_request.clone()
     }
 
-    /// The request at place `at` among those that are in this kind of life.
+    /// Picks the request with index `at`, modulo their number, among those waiting or those in
+    /// flight.
     fn pick(&self, at: usize, is_waiting: bool) -> Option<RequestId> {
-        let fits = |request: &&RequestId| match self.requests[*request].life {
-            Life::Waiting => is_waiting,
-            Life::At(_) => !is_waiting,
-            Life::Final => false,
+        let matches_phase = |request: &&RequestId| match self.requests[*request].phase {
+            ModelPhase::Waiting => is_waiting,
+            ModelPhase::At(_) => !is_waiting,
+            ModelPhase::Final => false,
         };
-        let fitting: Vec<_> = self.order.iter().filter(fits).collect();
-        (!fitting.is_empty()).then(|| fitting[at % fitting.len()].clone())
+        let matching: Vec<_> = self.order.iter().filter(matches_phase).collect();
+        (!matching.is_empty()).then(|| matching[at % matching.len()].clone())
     }
 }
 
@@ -231,16 +246,16 @@
     Arc::new(plan.with_in_flight_per_caller(16))
 }
 
-struct Run {
-    bench: Bench,
+struct Scenario {
+    harness: Harness,
     model: Model,
     generation: u64,
     incarnations: HashMap<usize, u64>,
     listed: u8,
-    gone: HashSet<usize>,
+    unreachable: HashSet<usize>,
 }
 
-impl Run {
+impl Scenario {
     fn new() -> Self {
         let settings = RouterSettings {
             cancels_routine: true,
@@ -248,26 +263,26 @@
         };
         let first = plan(1, 0b11111, 3);
         Self {
-            bench: Bench::with(settings, (*first).clone()),
+            harness: Harness::with(settings, (*first).clone()),
             model: Model::default(),
             generation: 1,
             incarnations: HashMap::new(),
             listed: 0b11111,
-            gone: HashSet::new(),
+            unreachable: HashSet::new(),
         }
     }
 
-    fn tell(&mut self, event: RoutingEvent) {
-        let actions = self.bench.tell(event);
+    fn handle(&mut self, event: RoutingEvent) {
+        let actions = self.harness.handle(event);
         self.model.check(&actions);
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match step {
             Step::Arrive { .. } => self.arrive(step),
             Step::FirstByte(at) => self.first_byte(*at),
             Step::End(at, outcome) => self.end(*at, *outcome),
-            Step::GoneWhileWaiting(at) => self.gone_while_waiting(*at),
+            Step::CallerGoneWhileWaiting(at) => self.caller_gone_while_waiting(*at),
             Step::Report {
                 upstream,
                 incarnation,
@@ -278,25 +293,26 @@
                 self.report(*upstream, *incarnation, *adapters, *in_flight, *is_leaving);
             }
             Step::Health(upstream, is_ready) => {
-                // A health check may bring back who went away, so the model expects nothing then.
+                // A health check may make an unreachable upstream available again, so the model no
+                // longer expects it to be leaving.
                 self.model.leaving.remove(UPSTREAMS[*upstream]);
                 self.health(*upstream, *is_ready);
             }
-            Step::Gone(upstream) => {
-                self.gone.insert(*upstream);
-                self.forget_gone();
+            Step::Unreachable(upstream) => {
+                self.unreachable.insert(*upstream);
+                self.forget_unlisted_leaving();
                 let upstream = UPSTREAMS[*upstream].into();
-                self.tell(RoutingEvent::UpstreamGone { upstream });
+                self.handle(RoutingEvent::UpstreamGone { upstream });
             }
             Step::Leaving(upstream) => {
                 let upstream = UpstreamId::from(UPSTREAMS[*upstream]);
                 self.model.leaving.insert(upstream.clone(), true);
-                self.tell(RoutingEvent::Leaving { upstream });
+                self.handle(RoutingEvent::Leaving { upstream });
             }
             Step::Adapter(upstream, index, state) => {
                 let upstream = UPSTREAMS[*upstream].into();
                 let (adapter, state) = (adapter(*index), *state);
-                self.tell(RoutingEvent::AdapterState {
+                self.handle(RoutingEvent::AdapterState {
                     upstream,
                     adapter,
                     state,
@@ -305,24 +321,25 @@
             Step::Plan { upstreams, places } => {
                 self.generation += 1;
                 self.listed = *upstreams;
-                self.forget_gone();
-                self.tell(RoutingEvent::Plan(plan(
+                self.forget_unlisted_leaving();
+                self.handle(RoutingEvent::Plan(plan(
                     self.generation,
                     *upstreams,
                     *places,
                 )));
             }
-            Step::Pass(ms) => {
-                self.bench.now += Duration::from_millis(*ms);
-                self.tell(RoutingEvent::Tick);
-                self.model.check_deadlines(self.bench.now);
+            Step::AdvanceTime(ms) => {
+                self.harness.now += Duration::from_millis(*ms);
+                self.handle(RoutingEvent::Tick);
+                self.model.check_deadlines(self.harness.now);
             }
         }
     }
 
-    /// An upstream that is gone and that no text lists may come back as another one.
-    fn forget_gone(&mut self) {
-        for upstream in &self.gone {
+    /// Drops the leaving state of unreachable upstreams that no text lists: they may come back as
+    /// other processes.
+    fn forget_unlisted_leaving(&mut self) {
+        for upstream in &self.unreachable {
             if self.listed & (1 << upstream) == 0 {
                 self.model.leaving.remove(UPSTREAMS[*upstream]);
             }
@@ -345,29 +362,29 @@
         } else {
             Class::Routine
         };
-        let mut arrival = self.bench.call(class);
+        let mut arrival = self.harness.call(class);
         arrival.adapter = index.map(adapter);
         arrival.idempotent = *idempotent;
-        arrival.deadline = self.bench.now + Duration::from_millis(*deadline_ms);
+        arrival.deadline = self.harness.now + Duration::from_millis(*deadline_ms);
         arrival.caller = format!("caller-{caller}").into();
-        let modelled = Modelled {
+        let model_request = ModelRequest {
             arrival: arrival.clone(),
-            life: Life::Waiting,
+            phase: ModelPhase::Waiting,
             may_have_run: false,
             has_first_byte: false,
             sends: Vec::new(),
         };
         self.model
             .requests
-            .insert(arrival.request.clone(), modelled);
+            .insert(arrival.request.clone(), model_request);
         self.model.order.push(arrival.request.clone());
-        self.tell(RoutingEvent::Arrive(arrival));
+        self.handle(RoutingEvent::Arrive(arrival));
     }
 
     fn first_byte(&mut self, at: usize) {
         if let Some(request) = self.model.pick(at, false) {
-            self.model.known(&request).has_first_byte = true;
-            self.tell(RoutingEvent::FirstByte { request });
+            self.model.request_mut(&request).has_first_byte = true;
+            self.handle(RoutingEvent::FirstByte { request });
         }
     }
 
@@ -375,40 +392,47 @@
         let Some(request) = self.model.pick(at, false) else {
             return;
         };
-        let modelled = self.model.known(&request);
-        modelled.life = Life::Waiting;
+        let model_request = self.model.request_mut(&request);
+        model_request.phase = ModelPhase::Waiting;
         let says_not_run = matches!(outcome, Outcome::RefusedByUpstream | Outcome::AdapterAbsent);
-        if modelled.has_first_byte || !says_not_run {
-            modelled.may_have_run = true;
+        if model_request.has_first_byte || !says_not_run {
+            model_request.may_have_run = true;
         }
         if matches!(outcome, Outcome::Succeeded | Outcome::CallerGone) {
-            modelled.life = Life::Final;
-            self.model.finals += 1;
+            model_request.phase = ModelPhase::Final;
+            self.model.final_actions += 1;
         }
-        self.tell(RoutingEvent::Ended { request, outcome });
+        self.handle(RoutingEvent::Ended { request, outcome });
     }
 
-    fn gone_while_waiting(&mut self, at: usize) {
+    fn caller_gone_while_waiting(&mut self, at: usize) {
         if let Some(request) = self.model.pick(at, true) {
-            self.model.end(&request);
+            self.model.record_final(&request);
             let outcome = Outcome::CallerGone;
-            self.tell(RoutingEvent::Ended { request, outcome });
+            self.handle(RoutingEvent::Ended { request, outcome });
         }
     }
 
-    fn report(&mut self, u: usize, incarnation: u64, adapters: u8, in_flight: u32, leaves: bool) {
+    fn report(
+        &mut self,
+        u: usize,
+        incarnation: u64,
+        adapters: u8,
+        in_flight: u32,
+        is_leaving: bool,
+    ) {
         let held: Vec<_> = (0..4)
             .filter(|at| adapters & (1 << at) != 0)
             .map(adapter)
             .collect();
         let mut report = report(&held.iter().collect::<Vec<_>>(), in_flight);
         report.incarnation = Incarnation(incarnation);
-        report.is_leaving = leaves;
-        // Another incarnation than the last one starts a new life.
+        report.is_leaving = is_leaving;
+        // With a new incarnation the upstream is no longer leaving.
         if self.incarnations.insert(u, incarnation) != Some(incarnation) {
             self.model.leaving.remove(UPSTREAMS[u]);
         }
-        self.tell(RoutingEvent::Report {
+        self.handle(RoutingEvent::Report {
             upstream: UPSTREAMS[u].into(),
             report,
         });
@@ -416,29 +440,29 @@
 
     fn health(&mut self, upstream: usize, is_ready: bool) {
         let upstream = UPSTREAMS[upstream].into();
-        self.tell(RoutingEvent::Health { upstream, is_ready });
+        self.handle(RoutingEvent::Health { upstream, is_ready });
     }
 
-    /// Lets every deadline pass and every attempt end.
+    /// Ends all attempts and lets all deadlines pass.
     fn finish(&mut self) {
         while let Some(request) = self.model.pick(0, false) {
-            let modelled = self.model.known(&request);
-            modelled.life = Life::Final;
-            self.model.finals += 1;
+            let model_request = self.model.request_mut(&request);
+            model_request.phase = ModelPhase::Final;
+            self.model.final_actions += 1;
             let outcome = Outcome::Succeeded;
-            self.tell(RoutingEvent::Ended { request, outcome });
+            self.handle(RoutingEvent::Ended { request, outcome });
         }
-        self.bench.now += Duration::from_secs(90);
-        self.tell(RoutingEvent::Tick);
+        self.harness.now += Duration::from_secs(90);
+        self.handle(RoutingEvent::Tick);
         let lost = self
             .model
             .requests
             .values()
-            .filter(|m| m.life != Life::Final);
+            .filter(|m| m.phase != ModelPhase::Final);
         assert_eq!(lost.count(), 0, "a request without a final answer");
-        assert_eq!(self.model.finals, self.model.requests.len());
+        assert_eq!(self.model.final_actions, self.model.requests.len());
         for upstream in UPSTREAMS {
-            assert_eq!(self.bench.router.in_flight(&upstream.into()), 0);
+            assert_eq!(self.harness.router.in_flight(&upstream.into()), 0);
         }
     }
 }
@@ -451,21 +475,22 @@
         ..Config::default()
     })]
 
-    /// Callers, upstreams, operators and clocks do anything in any order. Every caller gets exactly
-    /// one final answer, "not run" is never said falsely, nothing runs at two upstreams at a time.
+    /// Whatever the order of events from callers, upstreams, operators and the clock, every request
+    /// gets exactly one final answer, "not run" is only said of requests that did not run, and no
+    /// request is at two upstreams at the same time.
     #[test]
     fn every_request_ends_exactly_once(steps in prop::collection::vec(step(), 1..300)) {
-        let mut run = Run::new();
+        let mut scenario = Scenario::new();
         for step in &steps {
-            run.take(step);
+            scenario.apply(step);
         }
-        run.finish();
+        scenario.finish();
     }
 }
 
-/// The property above would hold if nothing were ever sent.
+/// The property above would also hold if no request were ever dispatched.
 #[test]
-fn random_events_do_send_requests() {
+fn random_events_lead_to_dispatches() {
     let mut runner = proptest::test_runner::TestRunner::new(Config {
         rng_seed: RngSeed::Fixed(20_261_202),
         ..Config::default()
@@ -476,13 +501,13 @@
         let tree = prop::collection::vec(step(), 300)
             .new_tree(&mut runner)
             .unwrap();
-        let mut run = Run::new();
+        let mut scenario = Scenario::new();
         for step in &proptest::strategy::ValueTree::current(&tree) {
-            run.take(step);
+            scenario.apply(step);
         }
-        run.finish();
-        arrived += run.model.requests.len();
-        sent += run.model.sends;
+        scenario.finish();
+        arrived += scenario.model.requests.len();
+        sent += scenario.model.sends;
     }
     assert!(sent * 2 > arrived, "{sent} sends for {arrived} requests");
 }
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A router with a clock that moves only when told to.
+//! A test harness: a router with a clock that the test moves.
 
-#![allow(dead_code, reason = "each test file uses a part of this")]
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,15 +15,15 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// A router, its clock, its random source and what it last wanted done.
-pub struct Bench {
+/// A router with its clock and its random source.
+pub struct Harness {
     pub router: Router,
     pub now: Instant,
     pub rng: ChaCha8Rng,
     next: u32,
 }
 
-impl Bench {
+impl Harness {
     /// A router with default settings in failure domain `a`.
     pub fn new(service: ServicePlan) -> Self {
         Self::with(
@@ -33,26 +33,27 @@
     }
 
     pub fn with(settings: RouterSettings, plan: RoutingPlan) -> Self {
-        let mut bench = Self {
+        let mut harness = Self {
             router: Router::new(settings),
             now: Instant::now(),
             rng: ChaCha8Rng::seed_from_u64(7),
             next: 0,
         };
-        bench.tell(RoutingEvent::Plan(Arc::new(plan)));
-        bench
+        harness.handle(RoutingEvent::Plan(Arc::new(plan)));
+        harness
     }
 
-    pub fn tell(&mut self, event: RoutingEvent) -> Vec<RoutingAction> {
+    pub fn handle(&mut self, event: RoutingEvent) -> Vec<RoutingAction> {
         let mut actions = Vec::new();
         self.router
             .handle(event, self.now, &mut self.rng, &mut actions);
         actions
     }
 
+    /// Moves the clock forward and handles a tick.
     pub fn advance(&mut self, ms: u64) -> Vec<RoutingAction> {
         self.now += Duration::from_millis(ms);
-        self.tell(RoutingEvent::Tick)
+        self.handle(RoutingEvent::Tick)
     }
 
     /// A call to `svc` with a deadline in 10 s.
@@ -72,10 +73,10 @@
     }
 
     pub fn arrive(&mut self, arrival: &Arrival) -> Vec<RoutingAction> {
-        self.tell(RoutingEvent::Arrive(arrival.clone()))
+        self.handle(RoutingEvent::Arrive(arrival.clone()))
     }
 
-    /// Lets a new call arrive and says where it was sent.
+    /// Lets a new call arrive and returns it with the upstream that it was dispatched to.
     pub fn send(&mut self, class: Class) -> (Arrival, Option<String>) {
         let arrival = self.call(class);
         let actions = self.arrive(&arrival);
@@ -84,7 +85,7 @@
 
     pub fn end(&mut self, arrival: &Arrival, outcome: Outcome) -> Vec<RoutingAction> {
         let request = arrival.request.clone();
-        self.tell(RoutingEvent::Ended { request, outcome })
+        self.handle(RoutingEvent::Ended { request, outcome })
     }
 
     pub fn set_adapter(
@@ -93,7 +94,7 @@
         adapter: &AdapterRef,
         state: AdapterAvailability,
     ) -> Vec<RoutingAction> {
-        self.tell(RoutingEvent::AdapterState {
+        self.handle(RoutingEvent::AdapterState {
             upstream: upstream.into(),
             adapter: adapter.clone(),
             state,
@@ -102,7 +103,7 @@
 
     pub fn report(&mut self, upstream: &str, report: EngineReport) -> Vec<RoutingAction> {
         let upstream = upstream.into();
-        self.tell(RoutingEvent::Report { upstream, report })
+        self.handle(RoutingEvent::Report { upstream, report })
     }
 }
 
@@ -113,7 +114,7 @@
     })
 }
 
-/// A report of the first incarnation, with ready adapters.
+/// A report of the first incarnation with `adapters` ready.
 pub fn report(adapters: &[&AdapterRef], in_flight: u32) -> EngineReport {
     let held = |adapter: &&AdapterRef| HeldAdapter {
         adapter: (*adapter).clone(),
@@ -133,7 +134,7 @@
     }
 }
 
-/// Where the first dispatch among `actions` goes.
+/// The upstream of the first dispatch in `actions`.
 pub fn dispatched(actions: &[RoutingAction]) -> Option<String> {
     actions.iter().find_map(|action| match action {
         RoutingAction::Dispatch { upstream, .. } => Some(upstream.to_string()),
@@ -141,7 +142,7 @@
     })
 }
 
-/// The code of the first refusal among `actions`.
+/// The code of the first refusal in `actions`.
 pub fn refused(actions: &[RoutingAction]) -> Option<ResultCode> {
     actions.iter().find_map(|action| match action {
         RoutingAction::Refuse { code, .. } => Some(*code),
@@ -149,7 +150,7 @@
     })
 }
 
-/// The code of the first answer among `actions` that says "may have run".
+/// The code of the first `GiveUp` ("may have run") in `actions`.
 pub fn given_up(actions: &[RoutingAction]) -> Option<ResultCode> {
     actions.iter().find_map(|action| match action {
         RoutingAction::GiveUp { code, .. } => Some(*code),
--- a/crates/routing/tests/upstreams.rs
+++ b/crates/routing/tests/upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams that leave, fail, restart, come back, or whose reports are late.
+//! Upstreams that leave, fail, restart, recover, or whose reports are late.
 
 mod support;
 
@@ -7,124 +7,131 @@
 use nutmegsail_base::{AdapterRef, Class, Incarnation, ResultCode};
 use nutmegsail_routing::{Outcome, RouterSettings, RoutingEvent, RoutingPlan};
 use rstest::rstest;
-use support::{Bench, dispatched, refused, report, service};
+use support::{Harness, dispatched, refused, report, service};
 
-/// An upstream says that it is leaving. Work sent to it from then on may be cut off when its VM
-/// goes, so the next call must go elsewhere, also while a late report still shows it as staying.
+/// An upstream announces that it is leaving. Requests sent to it after that could be cut off when
+/// its VM stops, so they must go elsewhere, even if a late report shows it as not leaving.
 #[test]
-fn a_leaving_upstream_gets_no_new_work_whatever_late_reports_say() {
-    let mut bench = Bench::new(service(2));
-    bench.report("u1", report(&[], 0));
-    bench.tell(RoutingEvent::Leaving {
+fn a_leaving_upstream_gets_no_requests_whatever_late_reports_say() {
+    let mut harness = Harness::new(service(2));
+    harness.report("u1", report(&[], 0));
+    harness.handle(RoutingEvent::Leaving {
         upstream: "u1".into(),
     });
-    bench.report("u1", report(&[], 0));
-    bench.tell(RoutingEvent::Health {
+    harness.report("u1", report(&[], 0));
+    harness.handle(RoutingEvent::Health {
         upstream: "u1".into(),
         is_ready: true,
     });
 
     for _ in 0..50 {
-        let (call, sent) = bench.send(Class::Urgent);
+        let (call, sent) = harness.send(Class::Urgent);
         assert_eq!(sent.as_deref(), Some("u2"));
-        bench.end(&call, Outcome::Succeeded);
+        harness.end(&call, Outcome::Succeeded);
     }
 }
 
-/// The only upstream leaves, its VM is replaced, and the new process answers at the same address.
-/// It is not the one that left: a service that stays without upstream would be an outage.
+/// The only upstream leaves, its VM is replaced, and a new process runs at the same address. The
+/// new process isn't leaving; if it got no requests, the service would be down.
 #[test]
-fn a_restarted_upstream_gets_work_again() {
-    let mut bench = Bench::new(service(1));
-    bench.report("u1", report(&[], 0));
-    bench.tell(RoutingEvent::Leaving {
+fn a_restarted_upstream_gets_requests_again() {
+    let mut harness = Harness::new(service(1));
+    harness.report("u1", report(&[], 0));
+    harness.handle(RoutingEvent::Leaving {
         upstream: "u1".into(),
     });
-    let call = bench.call(Class::Urgent);
-    assert_eq!(refused(&bench.arrive(&call)), Some(ResultCode::NoUpstream));
+    let call = harness.call(Class::Urgent);
+    assert_eq!(
+        refused(&harness.arrive(&call)),
+        Some(ResultCode::NoUpstream)
+    );
 
     let mut restarted = report(&[], 0);
     restarted.incarnation = Incarnation(2);
-    bench.report("u1", restarted);
+    harness.report("u1", restarted);
 
-    assert_eq!(bench.send(Class::Urgent).1.as_deref(), Some("u1"));
+    assert_eq!(harness.send(Class::Urgent).1.as_deref(), Some("u1"));
 }
 
-/// An engine cannot be reached for a moment: a cut, a pause. When it answers again, in the same
-/// incarnation, it must get work again, or each short cut would cost an engine for good. One that
-/// was leaving before the cut still is.
+/// An engine can't be reached for a moment and then reports again with the same incarnation. It
+/// must get requests again, or each short network failure would remove an engine for good. One that
+/// was leaving before is still leaving.
 #[rstest]
 #[case::staying(false)]
 #[case::leaving(true)]
-fn an_engine_that_answers_again_gets_work_unless_it_was_leaving(#[case] is_leaving: bool) {
-    let mut bench = Bench::new(service(1));
-    bench.report("u1", report(&[], 0));
+fn an_engine_that_is_reachable_again_gets_requests_unless_it_was_leaving(#[case] is_leaving: bool) {
+    let mut harness = Harness::new(service(1));
+    harness.report("u1", report(&[], 0));
     if is_leaving {
-        bench.tell(RoutingEvent::Leaving {
+        harness.handle(RoutingEvent::Leaving {
             upstream: "u1".into(),
         });
     }
-    bench.tell(RoutingEvent::UpstreamGone {
+    harness.handle(RoutingEvent::UpstreamGone {
         upstream: "u1".into(),
     });
-    let call = bench.call(Class::Urgent);
-    assert_eq!(refused(&bench.arrive(&call)), Some(ResultCode::NoUpstream));
+    let call = harness.call(Class::Urgent);
+    assert_eq!(
+        refused(&harness.arrive(&call)),
+        Some(ResultCode::NoUpstream)
+    );
 
-    bench.report("u1", report(&[], 0));
+    harness.report("u1", report(&[], 0));
 
-    assert_eq!(bench.send(Class::Urgent).1.is_some(), !is_leaving);
+    assert_eq!(harness.send(Class::Urgent).1.is_some(), !is_leaving);
 }
 
-/// The VM list says that an upstream is leaving, and later that it is not. Without that news its
-/// places would be lost until its process restarts.
+/// The VM list shows an upstream as leaving and later as staying. If the second event were ignored,
+/// its places would be lost until its process restarted.
 #[test]
-fn an_upstream_that_stays_after_all_gets_work_again() {
-    let mut bench = Bench::new(service(1));
-    bench.tell(RoutingEvent::Leaving {
+fn an_upstream_that_is_no_longer_leaving_gets_requests_again() {
+    let mut harness = Harness::new(service(1));
+    harness.handle(RoutingEvent::Leaving {
         upstream: "u1".into(),
     });
-    bench.tell(RoutingEvent::Health {
+    harness.handle(RoutingEvent::Health {
         upstream: "u1".into(),
         is_ready: true,
     });
-    assert_eq!(bench.send(Class::Urgent).1, None);
+    assert_eq!(harness.send(Class::Urgent).1, None);
 
-    bench.tell(RoutingEvent::Staying {
+    harness.handle(RoutingEvent::Staying {
         upstream: "u1".into(),
     });
 
-    assert_eq!(bench.send(Class::Urgent).1.as_deref(), Some("u1"));
+    assert_eq!(harness.send(Class::Urgent).1.as_deref(), Some("u1"));
 }
 
-/// An engine restarts cold. A report of its former run, still under way, arrives after the first
-/// report of the new one. Believing it would send requests for adapters that are not there.
+/// An engine restarts without adapters, and a delayed report from before the restart arrives after
+/// the first one of the new process. Using it would send requests for adapters that aren't loaded.
 #[test]
-fn a_late_report_of_a_former_incarnation_is_ignored() {
+fn a_late_report_of_the_previous_incarnation_is_ignored() {
     let adapter = AdapterRef::new("summary", 1);
-    let mut bench = Bench::new(service(1));
-    bench.report("u1", report(&[&adapter], 0));
+    let mut harness = Harness::new(service(1));
+    harness.report("u1", report(&[&adapter], 0));
     let mut restarted = report(&[], 0);
     restarted.incarnation = Incarnation(2);
-    bench.report("u1", restarted);
-    bench.report("u1", report(&[&adapter], 0));
+    harness.report("u1", restarted);
+    harness.report("u1", report(&[&adapter], 0));
 
-    let mut call = bench.call(Class::Routine);
+    let mut call = harness.call(Class::Routine);
     call.adapter = Some(adapter);
 
-    assert_eq!(dispatched(&bench.arrive(&call)), None);
+    assert_eq!(dispatched(&harness.arrive(&call)), None);
 }
 
-/// One of four upstreams fails everything at once, quickly. By its few requests in flight it looks
-/// idle, draws all the traffic and fails it. It must be taken out, and come back little by little.
+/// One of four upstreams fails every request immediately. It has few requests in flight, so it
+/// looks idle and would attract most of the traffic. It must be ejected and get traffic back
+/// gradually.
 #[test]
-fn a_failing_upstream_is_ejected_and_comes_back_slowly() {
-    let mut bench = Bench::new(service(4));
+fn a_failing_upstream_is_ejected_and_gets_traffic_back_gradually() {
+    let mut harness = Harness::new(service(4));
     let mut to_failing = 0;
     for _ in 0..400 {
-        let (call, sent) = bench.send(Class::Routine);
+        let (call, sent) = harness.send(Class::Routine);
         let fails = sent.as_deref() == Some("u1");
         to_failing += u32::from(fails);
-        bench.end(
+        harness.end(
             &call,
             if fails {
                 Outcome::Failed
@@ -135,9 +142,9 @@
     }
     assert_eq!(to_failing, 5, "the failures in a row that eject");
 
-    bench.advance(5_001);
+    harness.advance(5_001);
     let sent: Vec<_> = (0..100)
-        .filter_map(|_| bench.send(Class::Routine).1)
+        .filter_map(|_| harness.send(Class::Routine).1)
         .collect();
     let to_returned = sent.iter().filter(|upstream| *upstream == "u1").count();
     assert!(
@@ -146,54 +153,55 @@
     );
 }
 
-/// Every upstream fails because a common dependency does. Ejecting them all would turn a partial
-/// failure into a whole one.
+/// All upstreams fail because of a shared dependency. Ejecting them all would turn a partial
+/// failure into a complete one.
 #[test]
-fn at_most_a_share_of_a_services_upstreams_is_ejected() {
-    let mut bench = Bench::new(service(6).with_retry_budget(0.0));
+fn only_a_limited_share_of_a_services_upstreams_is_ejected() {
+    let mut harness = Harness::new(service(6).with_retry_budget(0.0));
     let mut reached = std::collections::HashSet::new();
     for round in 0..2_000 {
-        let (call, sent) = bench.send(Class::Routine);
+        let (call, sent) = harness.send(Class::Routine);
         if round > 1_000 {
             reached.extend(sent);
         }
-        bench.end(&call, Outcome::Failed);
+        harness.end(&call, Outcome::Failed);
     }
 
     assert_eq!(reached.len(), 4, "two of six are ejected");
 }
 
-/// A third of the whole service is a whole failure domain. Routine work may not leave it while its
-/// upstreams are there, so with all of them ejected it would wait until the ejections end.
+/// Two of six upstreams are all that one failure domain has. If both were ejected because a third
+/// of the service may be, routine requests would wait until the ejections ended. So the share
+/// applies to each failure domain.
 #[test]
-fn a_failure_domain_keeps_upstreams_however_they_fail() {
+fn not_all_upstreams_of_a_failure_domain_are_ejected() {
     let plan = service(2)
         .with_upstream("far1", "b")
         .with_upstream("far2", "b");
     let plan = plan.with_upstream("far3", "b").with_upstream("far4", "b");
-    let mut bench = Bench::new(plan.with_retry_budget(0.0));
+    let mut harness = Harness::new(plan.with_retry_budget(0.0));
     for _ in 0..100 {
-        let (call, sent) = bench.send(Class::Routine);
+        let (call, sent) = harness.send(Class::Routine);
         assert!(sent.is_some());
-        bench.end(&call, Outcome::Failed);
+        harness.end(&call, Outcome::Failed);
     }
 }
 
-/// The reports of one engine stop coming while it was nearly idle. For ever after it would look
-/// idle, and every node would send its work there.
+/// The reports of an engine stop while it is nearly idle. If the last one stayed in use, the engine
+/// would look idle for ever and every node would send its requests there.
 #[test]
-fn an_old_report_of_no_load_is_not_trusted() {
-    let mut bench = Bench::new(service(2));
-    bench.report("u1", report(&[], 0));
-    bench.report("u2", report(&[], 16));
+fn an_old_report_of_no_load_loses_weight() {
+    let mut harness = Harness::new(service(2));
+    harness.report("u1", report(&[], 0));
+    harness.report("u2", report(&[], 16));
     for _ in 0..30 {
-        bench.advance(1_000);
-        bench.report("u2", report(&[], 16));
+        harness.advance(1_000);
+        harness.report("u2", report(&[], 16));
     }
 
-    let explanation = bench
+    let explanation = harness
         .router
-        .explain(&"svc".into(), None, Class::Routine, bench.now);
+        .explain(&"svc".into(), None, Class::Routine, harness.now);
 
     let load = |upstream: &str| {
         let mut candidates = explanation.candidates.iter();
@@ -205,54 +213,54 @@
     assert!(load("u1") > 0.9 * load("u2"), "{explanation}");
 }
 
-/// Reports are a second old. The node has sent ten requests to an engine since; the report does
-/// not show them yet, and after it arrives they must not be counted twice either.
+/// Reports are a second old, so the latest one doesn't show ten requests that this node has sent
+/// since. They must count at once, and must not be counted twice when later reports include them.
 #[test]
-fn own_requests_count_at_once_and_only_once() {
-    let mut bench = Bench::new(service(1).with_in_flight_per_upstream(100));
-    bench.report("u1", report(&[], 5));
+fn a_nodes_own_requests_count_at_once_and_only_once() {
+    let mut harness = Harness::new(service(1).with_in_flight_per_upstream(100));
+    harness.report("u1", report(&[], 5));
     for _ in 0..10 {
-        bench.send(Class::Urgent);
+        harness.send(Class::Urgent);
     }
-    let load = |bench: &Bench| {
-        let explanation = bench
+    let load = |harness: &Harness| {
+        let explanation = harness
             .router
-            .explain(&"svc".into(), None, Class::Urgent, bench.now);
+            .explain(&"svc".into(), None, Class::Urgent, harness.now);
         explanation.candidates[0].load
     };
-    assert_eq!(load(&bench), 15.0);
+    assert_eq!(load(&harness), 15.0);
 
     for _ in 0..20 {
-        bench.advance(1_000);
-        bench.report("u1", report(&[], 15));
-        assert!(load(&bench) < 16.0, "{}", load(&bench));
+        harness.advance(1_000);
+        harness.report("u1", report(&[], 15));
+        assert!(load(&harness) < 16.0, "{}", load(&harness));
     }
-    assert!((load(&bench) - 15.0).abs() < 0.1, "{}", load(&bench));
+    assert!((load(&harness) - 15.0).abs() < 0.1, "{}", load(&harness));
 }
 
-/// A full upstream refuses. Asking it again at once, for each waiting request, would burn the
-/// retry budget and its processor; each refusal in a row doubles the pause.
+/// A full upstream refuses requests. Sending it each waiting request in turn would use up the retry
+/// budget and the upstream's CPU, so it is paused, and each refusal in a row doubles the pause.
 #[test]
-fn an_upstream_that_refuses_is_left_alone_for_a_while() {
+fn an_upstream_that_refuses_is_paused() {
     let settings = RouterSettings {
         max_attempts: 1,
         ..Default::default()
     };
-    let mut bench = Bench::with(settings, RoutingPlan::new(1, "a").with_service(service(1)));
+    let mut harness = Harness::with(settings, RoutingPlan::new(1, "a").with_service(service(1)));
     let mut pauses_ms = Vec::new();
     for _ in 0..4 {
-        let (call, sent) = bench.send(Class::Routine);
+        let (call, sent) = harness.send(Class::Routine);
         assert!(sent.is_some());
-        bench.end(&call, Outcome::RefusedByUpstream);
-        let (waiting, _) = bench.send(Class::Routine);
+        harness.end(&call, Outcome::RefusedByUpstream);
+        let (waiting, _) = harness.send(Class::Routine);
         let mut pause_ms = 0;
-        while dispatched(&bench.advance(10)).is_none() {
+        while dispatched(&harness.advance(10)).is_none() {
             pause_ms += 10;
         }
         pauses_ms.push(pause_ms + 10);
-        bench.now += Duration::from_millis(1);
-        bench.end(&waiting, Outcome::RefusedByUpstream);
-        bench.advance(10_000);
+        harness.now += Duration::from_millis(1);
+        harness.end(&waiting, Outcome::RefusedByUpstream);
+        harness.advance(10_000);
     }
 
     assert!(pauses_ms.is_sorted(), "{pauses_ms:?}");
