--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -33,7 +33,7 @@
     },
     /// Ask placement to load an adapter.
     WantAdapter {
-        /// The upstream with the lowest expected cost.
+        /// The upstream that should load it.
         upstream: UpstreamId,
         /// The adapter.
         adapter: AdapterRef,
--- a/crates/routing/src/explain.rs
+++ b/crates/routing/src/explain.rs
@@ -13,7 +13,7 @@
     /// Lists the candidates for a new request, best first, with their scores and whether each could
     /// start it now. Does not change the router.
     ///
-    /// For a service that is not in the text in force the list is empty.
+    /// A service that is not in the text in force has no candidates.
     pub fn explain(
         &self,
         service: &ServiceName,
--- a/crates/routing/src/routine_floor.rs
+++ b/crates/routing/src/routine_floor.rs
@@ -5,7 +5,7 @@
 /// Without it, a steady urgent load would take every free place and routine requests would starve.
 /// While routine requests wait, each urgent dispatch adds `floor / (1 - floor)` to the dispatches
 /// owed. Once a whole dispatch is owed, the next free place is reserved for a routine request.
-/// Urgent requests don't queue behind routine ones; they only can't use the reserved place.
+/// Urgent requests don't queue behind routine ones, but they can't use the reserved place.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct RoutineFloor {
     owed: f64,
--- a/crates/routing/src/upstream_state.rs
+++ b/crates/routing/src/upstream_state.rs
@@ -24,7 +24,7 @@
     pub(crate) at: Instant,
 }
 
-/// The load from an engine's last report.
+/// The load of other nodes on an engine as of its last report.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LastReport {
     pub(crate) at: Instant,
@@ -42,7 +42,9 @@
     pub(crate) is_ready: bool,
     pub(crate) is_leaving: bool,
     pub(crate) is_unreachable: bool,
+    /// How many requests it may have in flight.
     pub(crate) places: u32,
+    /// Places reserved for urgent requests.
     pub(crate) headroom: u32,
     in_flight: [u32; 2],
     /// This node's requests in flight, averaged over the lag of reports.
--- a/crates/routing/tests/memory.rs
+++ b/crates/routing/tests/memory.rs
@@ -6,8 +6,9 @@
 use nutmegsail_routing::{AdapterAvailability, RouterSettings, RoutingPlan};
 use support::{Harness, service};
 
-/// Nodes are small VMs with 256 MB for the process. With 750 engines with 16 full slots each,
-/// 11,000 adapters and 2,000 requests at a time the router may use only a fraction of that.
+/// Nodes are small VMs with 256 MB of memory. The router's state for 750 engines with 16 full slots
+/// each, 11,000 adapters and 2,000 requests at a time must leave most of that to the rest of the
+/// node.
 #[test]
 fn router_state_at_the_two_year_size_stays_under_64_mb() {
     let plan = RoutingPlan::new(1, "a").with_service(service(750));
