--- a/crates/placement/src/action.rs
+++ b/crates/placement/src/action.rs
@@ -1,4 +1,4 @@
-//! What placement asks the node to do.
+//! Actions that placement returns for the node to carry out.
 
 use std::time::{Duration, Instant};
 
@@ -8,91 +8,91 @@
 
 use crate::{PlacementMessage, PlacementNote};
 
-/// An order's number, unique in one run of a node.
+/// The number of an order, unique within one process of a node.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OrderId(pub u64);
 
-/// Whether an engine holds an adapter, as routing sees it.
+/// The state of an adapter on an engine, as routing sees it.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 #[display(rename_all = "lowercase")]
 pub enum Presence {
-    /// Requests for it run at once.
+    /// Loaded: requests can run.
     Ready,
-    /// Its weights are on their way.
+    /// Its weights are being loaded.
     Loading,
-    /// It is not there, or is about to be unloaded.
+    /// Not loaded, or about to be unloaded.
     Absent,
 }
 
-/// Something that the node does for placement.
+/// An action for the node to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlacementAction {
-    /// Ask the key-value service for the engine: CAS of its owner record with the fencing number
-    /// [`crate::next_fence`] of the higher of `seen_fence` and the record's.
+    /// Claim the engine at the key-value service: a compare-and-swap of its owner record, with
+    /// [`crate::next_fence`] of the higher of `seen_fence` and the fencing token in the record.
     Claim {
         /// The engine.
         engine: UpstreamId,
-        /// The highest fencing number seen in the engine's reports.
+        /// The highest fencing token seen in the engine's reports.
         seen_fence: u64,
-        /// Whether the claim may replace a holder whose lease has not lapsed. False for engines
-        /// that ignore fencing numbers.
+        /// Whether the claim may replace a holder whose lease has not expired. False for engines
+        /// that ignore fencing tokens.
         may_replace_live_holder: bool,
     },
-    /// Give up the engine at the key-value service.
+    /// Release the engine's owner record at the key-value service.
     Release {
         /// The engine.
         engine: UpstreamId,
     },
-    /// Give the engine an order. The order ends `valid_for` after `made_at`: its time of day is
-    /// worked out from `made_at`, not from when the node gets round to sending it.
+    /// Send an order to the engine. It expires `valid_for` after `made_at`: the node computes the
+    /// expiry time from `made_at`, not from the time of sending.
     Order {
         /// The engine.
         engine: UpstreamId,
-        /// The order's number, given back with the answer.
+        /// The order's number, repeated with the answer.
         order: OrderId,
-        /// What to do.
+        /// Load or unload.
         op: OrderOp,
-        /// Which adapter.
+        /// The adapter.
         adapter: AdapterRef,
-        /// The owner's fencing number.
+        /// The owner's fencing token.
         fence: u64,
-        /// The `order_seq` that the order rests on.
+        /// The `order_seq` that the engine must have for the order to apply.
         expected_seq: u64,
-        /// The engine's incarnation that the order is for.
+        /// The engine's incarnation that must still run for the order to apply.
         incarnation: Incarnation,
         /// When the order was made.
         made_at: Instant,
-        /// How long after `made_at` it may be carried out.
+        /// How long after `made_at` the engine may carry it out.
         valid_for: Duration,
     },
     /// Grant a pin.
     GrantPin {
-        /// The node that asked.
+        /// The node that requested the pin.
         to: NodeId,
-        /// Its ask.
+        /// The node's number for the pin request.
         ask_id: u64,
         /// The engine.
         engine: UpstreamId,
         /// The adapter.
         adapter: AdapterRef,
-        /// How long the pin holds, counted by the holder from before it asked.
+        /// How long the pin is valid. The holder counts from before it sent its request.
         lease: Duration,
     },
     /// Refuse a pin.
     RefusePin {
-        /// The node that asked.
+        /// The node that requested the pin.
         to: NodeId,
-        /// Its ask.
+        /// The node's number for the pin request.
         ask_id: u64,
         /// The engine.
         engine: UpstreamId,
         /// The adapter.
         adapter: AdapterRef,
-        /// When asking again may help.
+        /// How long the node should wait before it requests the pin again.
         retry_after: Duration,
     },
-    /// Ask a holder to stop using its pin and to give it back when its requests are over. Repeated
-    /// while it matters; ends by itself.
+    /// Ask a holder to stop using its pin and to return it when its requests have ended. Sent again
+    /// while the pin is still needed back, since a recall expires.
     RecallPin {
         /// The holder.
         to: NodeId,
@@ -101,13 +101,13 @@
         /// The adapter.
         adapter: AdapterRef,
     },
-    /// Tell routing, here and on peers, whether an engine holds an adapter.
+    /// Publish the state of an adapter on an engine to routing, on this node and on its peers.
     AdapterState {
         /// The engine.
         engine: UpstreamId,
         /// The adapter.
         adapter: AdapterRef,
-        /// Whether it is there.
+        /// Its state.
         state: Presence,
     },
     /// Send a message to another node's placement.
@@ -124,6 +124,6 @@
         /// The message.
         message: PlacementMessage,
     },
-    /// Write to the log.
+    /// Write a note to the log.
     Report(PlacementNote),
 }
--- a/crates/placement/src/claims.rs
+++ b/crates/placement/src/claims.rs
@@ -1,4 +1,4 @@
-//! Which engines this node claims and gives up.
+//! Decides which engines this node claims and releases.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -11,33 +11,33 @@
 #[derive(Debug, Default)]
 struct ClaimState {
     owner: Option<NodeId>,
-    /// The live node that was first choice before, and since when it no longer is.
+    /// The previous choice, while it is live, and the time at which it stopped being the choice.
     former: Option<(NodeId, Instant)>,
-    /// Since when this node is first choice; none while another one is.
+    /// The time at which this node became first choice; `None` while another node is.
     chosen_since: Option<Instant>,
-    /// Since when another node is first choice.
+    /// The time at which another node became first choice.
     passed_over_since: Option<Instant>,
     claimed_at: Option<Instant>,
     not_before: Option<Instant>,
 }
 
-/// What to do about an engine's ownership.
+/// What is due for an engine's ownership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClaimStep {
     Claim,
-    /// A claim got no answer for a while.
+    /// A claim was not answered within `claim_retry`.
     Overdue,
     Release,
 }
 
-/// Claims over the engines of the own failure domain.
+/// The claim state of each engine in this node's failure domain.
 #[derive(Debug, Default)]
 pub(crate) struct Claims {
     engines: BTreeMap<UpstreamId, ClaimState>,
 }
 
 impl Claims {
-    /// Chooses owners anew after the nodes or the engines changed.
+    /// Chooses the owner of each engine again after the nodes or the engines changed.
     pub fn choose<'a>(
         &mut self,
         engines: impl Iterator<Item = &'a UpstreamId>,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The node that owns the engine: the former first choice until its handover is over.
+    /// The node that owns the engine. During a handover this is still the previous first choice.
     pub fn owner_of(
         &self,
         engine: &UpstreamId,
@@ -75,14 +75,14 @@
         }
     }
 
-    /// A claim was answered, either way.
+    /// Records that a claim was answered.
     pub fn answered(&mut self, engine: &UpstreamId) {
         if let Some(state) = self.engines.get_mut(engine) {
             state.claimed_at = None;
         }
     }
 
-    /// The engine is not claimed for `wait`.
+    /// Keeps this node from claiming the engine for `wait`.
     pub fn wait(&mut self, engine: &UpstreamId, wait: Duration, now: Instant) {
         if let Some(state) = self.engines.get_mut(engine) {
             state.claimed_at = None;
@@ -90,8 +90,9 @@
         }
     }
 
-    /// What is due. Short changes of the set of live nodes move no engine: each takeover costs a
-    /// pin lease without evictions.
+    /// Returns the claims and releases that are due. Nodes that are gone or back for a short time
+    /// cause no takeover, because after each takeover the engine evicts nothing for the length of a
+    /// pin lease.
     pub fn steps(
         &mut self,
         settings: &PlacementSettings,
--- a/crates/placement/src/demand.rs
+++ b/crates/placement/src/demand.rs
@@ -1,4 +1,4 @@
-//! How much each adapter is asked for.
+//! Estimates the request rate of each adapter.
 
 use std::time::{Duration, Instant};
 use std::{fmt, num::NonZeroUsize};
@@ -6,10 +6,10 @@
 use lru::LruCache;
 use nutmegsail_base::{AdapterRef, Class};
 
-/// How much of the blended rate comes from the short half-life.
+/// The share of the short-term rate in the blended rate.
 const RISE_SHARE: f64 = 0.4;
 
-/// A rate that forgets exponentially.
+/// A sum of request weights with exponential decay.
 #[derive(Clone, Copy, Debug)]
 struct DecayedRate {
     weight: f64,
@@ -34,8 +34,8 @@
     rise: DecayedRate,
 }
 
-/// Demand by adapter, with exponential decay and in bounded memory: the adapter that was not asked
-/// for the longest is forgotten first.
+/// The request rate of each adapter, with exponential decay. Memory is bounded: beyond the
+/// capacity, the adapter whose last request is the oldest is forgotten.
 ///
 /// ```
 /// use std::time::{Duration, Instant};
@@ -65,7 +65,8 @@
 }
 
 impl DemandEstimate {
-    /// Remembers `capacity` adapters. Urgent requests count `urgent_weight` times.
+    /// Keeps the rates of up to `capacity` adapters. An urgent request counts as `urgent_weight`
+    /// routine ones.
     pub fn new(
         capacity: usize,
         half_life: Duration,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Adds `weight` requests.
+    /// Records `weight` requests for an adapter.
     pub fn add(&mut self, adapter: &AdapterRef, class: Class, weight: f64, now: Instant) {
         let weight = match class {
             Class::Urgent => weight * self.urgent_weight,
@@ -93,7 +94,8 @@
         demand.rise.add(weight, now, rise_half_life);
     }
 
-    /// Lets `heir` start with the demand of `from`, as a new version does.
+    /// Raises the demand of `new_version` to at least that of `from`, so that a new version starts
+    /// with the demand of the old one.
     pub fn inherit(&mut self, heir: &AdapterRef, from: &AdapterRef, now: Instant) {
         let Some(demand) = self.adapters.peek(from).copied() else {
             return;
@@ -108,16 +110,17 @@
         entry.rise.at = now;
     }
 
-    /// Weighted requests a second, blended from the long and the short half-life.
+    /// Weighted requests per second, blended from the long-term and the short-term rate.
     ///
-    /// The long one alone keeps adapters that were popular a minute ago over those that are now;
-    /// the short one alone takes every single request for a rise.
+    /// The long-term rate alone would keep adapters that were popular a minute ago in favour of
+    /// those that are popular now; the short-term rate alone would treat every single request as a
+    /// rise in demand.
     pub fn rate_per_s(&self, adapter: &AdapterRef, now: Instant) -> f64 {
         let rate = |demand: &AdapterDemand| self.blended_rate(demand, now);
         self.adapters.peek(adapter).map_or(0.0, rate)
     }
 
-    /// The adapters asked for most, highest rate a second first.
+    /// The `count` adapters with the highest rates per second, highest first.
     pub fn top(&self, count: usize, now: Instant) -> Vec<(AdapterRef, f64)> {
         let mut rates: Vec<(&AdapterRef, f64)> = self
             .adapters
@@ -138,12 +141,12 @@
             .collect()
     }
 
-    /// How many adapters are remembered.
+    /// The number of adapters with a recorded rate.
     pub fn len(&self) -> usize {
         self.adapters.len()
     }
 
-    /// Whether no adapter was asked for yet.
+    /// Whether no request has been recorded.
     pub fn is_empty(&self) -> bool {
         self.adapters.is_empty()
     }
@@ -169,7 +172,7 @@
     }
 }
 
-/// A steady rate r keeps a decayed count of `r * half_life / ln 2`.
+/// Factor from a decayed sum to a rate: a constant rate r keeps the sum at `r * half_life / ln 2`.
 fn per_second(half_life: Duration) -> f64 {
     std::f64::consts::LN_2 / half_life.as_secs_f64()
 }
--- a/crates/placement/src/domain_view.rs
+++ b/crates/placement/src/domain_view.rs
@@ -1,4 +1,4 @@
-//! What the engines of the own failure domain hold, by their reports.
+//! The engines of this node's failure domain and the adapters that they report.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
@@ -8,15 +8,16 @@
 use crate::owner_choice::rendezvous_score;
 use crate::{DemandEstimate, EnginePlan, PlacementPlan};
 
-/// What an engine without a report costs, against one with.
+/// Cost of an engine that has not reported.
 const COST_UNKNOWN: f64 = 2_000.0;
-/// What an engine costs on which every adapter is in use.
+/// Cost of an engine on which every adapter is in use.
 const COST_BUSY: f64 = 1_000.0;
-/// What an engine costs on which the load has just failed.
+/// Cost of the engine on which the last attempt of this load failed.
 const COST_AVOIDED: f64 = 5_000.0;
-/// How much the demand that an engine already carries counts against a victim's demand.
+/// Weight of the demand that an engine already serves per slot, relative to the demand of the
+/// adapter to be evicted.
 const BALANCE_SHARE: f64 = 0.05;
-/// What is left of an adapter's worth when it has more replicas than it needs.
+/// The factor on the value of an adapter that has more replicas than it needs.
 const SURPLUS_SHARE: f64 = 0.1;
 
 #[derive(Debug)]
@@ -38,28 +39,28 @@
     }
 }
 
-/// What an engine lost by a cold restart.
+/// What a report changed: the adapters that the engine lost by a cold restart.
 #[derive(Debug, Default)]
 pub(crate) struct ReportEffect {
     pub lost_by_restart: Vec<AdapterRef>,
 }
 
-/// How a load is to be placed.
+/// The load for which an engine is to be chosen.
 pub(crate) struct LoadPlace<'a> {
     pub adapter: &'a AdapterRef,
     pub avoid: Option<&'a UpstreamId>,
-    /// How many loads are already under way to an engine.
+    /// The number of loads in flight to an engine.
     pub in_flight_to: &'a dyn Fn(&UpstreamId) -> usize,
 }
 
-/// An engine to load on, with the demand of what would have to go.
+/// The engine chosen for a load, and the demand of the adapter that has to be evicted there.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ChosenEngine {
     pub engine: UpstreamId,
     pub displaced_rate_per_s: f64,
 }
 
-/// The engines of one failure domain with their adapters.
+/// The engines of one failure domain with their reported adapters.
 #[derive(Debug, Default)]
 pub(crate) struct DomainView {
     engines: BTreeMap<UpstreamId, EngineView>,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Takes the engines of the own failure domain.
+    /// Replaces the engines by those of the new plan and keeps the reports of the ones that remain.
     pub fn replan<'a>(&mut self, engines: impl Iterator<Item = &'a EnginePlan>) {
         let mut former = std::mem::take(&mut self.engines);
         self.engines_by_service.clear();
@@ -107,12 +108,12 @@
         self.engines.get(engine).map(|view| &view.plan)
     }
 
-    /// Adapters that some engine that stays holds.
+    /// The adapters held by at least one engine that is not leaving.
     pub fn held(&self) -> impl Iterator<Item = &AdapterRef> {
         self.replicas.keys()
     }
 
-    /// The highest fencing number that the engine reported.
+    /// The fencing token in the last report of the engine.
     pub fn seen_fence(&self, engine: &UpstreamId) -> u64 {
         let report = self
             .engines
@@ -121,13 +122,13 @@
         report.map_or(0, |report| report.fence)
     }
 
-    /// The last report and when it was asked for.
+    /// The last report and the time at which it was requested.
     pub fn last_report(&self, engine: &UpstreamId) -> Option<(&EngineReport, Instant)> {
         let view = self.engines.get(engine)?;
         Some((view.report.as_ref()?, view.taken_at?))
     }
 
-    /// Takes a report, unless it is older than the one known.
+    /// Records a report, unless a newer one is known.
     pub fn report(
         &mut self,
         engine: &UpstreamId,
@@ -173,19 +174,21 @@
             .is_some_and(EngineView::takes_loads)
     }
 
-    /// How many engines that stay hold the adapter, ready or loading.
+    /// The number of engines that hold the adapter, ready or loading, without those that are
+    /// leaving.
     pub fn replicas(&self, adapter: &AdapterRef) -> u32 {
         self.replicas.get(adapter).copied().unwrap_or(0)
     }
 
-    /// How many engines should hold an adapter of this rate.
+    /// The number of engines that should hold an adapter with this request rate.
     pub fn replicas_for(&self, service: &ServiceName, rate_per_s: f64) -> u32 {
         let engines = self.engines_by_service.get(service).copied().unwrap_or(0);
         let wanted = (rate_per_s / self.replica_rate_per_s).ceil() as u32;
         wanted.clamp(1, engines.max(1))
     }
 
-    /// What an adapter's slot is worth: the demand that would have to go elsewhere.
+    /// The value of one replica of an adapter: the request rate that other engines would have to
+    /// serve without it.
     pub fn slot_value(
         &self,
         adapter: &AdapterRef,
@@ -206,7 +209,8 @@
         }
     }
 
-    /// The engine on which a load displaces the least demand.
+    /// Chooses the engine on which the load evicts the least demand. Equal costs are decided by
+    /// rendezvous hashing on the adapter.
     pub fn choose_engine(
         &self,
         place: &LoadPlace<'_>,
@@ -272,9 +276,9 @@
     }
 }
 
-/// Counts what an engine holds. The copies of a leaving engine serve no new request: counted, they
-/// would keep an adapter from being loaded elsewhere, and its requests would wait in vain until
-/// their deadlines.
+/// Adds what an engine holds to the replica counts. A leaving engine serves no new request, so its
+/// replicas don't count: otherwise the adapter would not be loaded elsewhere, and its requests
+/// would wait until their deadlines.
 fn count_in(replicas: &mut HashMap<AdapterRef, u32>, report: &EngineReport) {
     if report.is_leaving {
         return;
--- a/crates/placement/src/engine_owner.rs
+++ b/crates/placement/src/engine_owner.rs
@@ -1,4 +1,5 @@
-//! The owner of one engine: grants pins, orders loads, and evicts only what nobody uses.
+//! The owner of one engine: grants pins, sends load orders, and evicts only adapters that are not
+//! in use.
 
 use std::time::{Duration, Instant};
 
@@ -18,10 +19,10 @@
     Presence,
 };
 
-/// How soon a refused pin is worth asking for again.
+/// How long a node should wait before it requests a refused pin again.
 const PIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// What the owner wants done, gathered over one event.
+/// What the handling of one event produced: actions, ended loads, and whether the ownership ended.
 #[derive(Debug, Default)]
 pub(crate) struct OwnerOutput {
     pub actions: Vec<PlacementAction>,
@@ -29,7 +30,7 @@
     pub disowned: Option<DisownCause>,
 }
 
-/// A load that the scheduler permitted and that is not ordered yet.
+/// A load that the scheduler permitted and that has not been ordered yet.
 #[derive(Debug)]
 struct Permit {
     adapter: AdapterRef,
@@ -43,7 +44,7 @@
     taken_at: Instant,
 }
 
-/// State of one engine that this node owns.
+/// The state of one engine that this node owns.
 #[derive(Debug)]
 pub(crate) struct EngineOwner {
     plan: EnginePlan,
@@ -51,14 +52,15 @@
     slots: SlotMap,
     pins: PinTable,
     seen: Option<SeenReport>,
-    /// The engine's `order_seq` as far as answers tell.
+    /// The engine's `order_seq` according to its answers and reports.
     known_seq: u64,
-    /// Orders wait for a report taken after this time.
+    /// No order is sent before a report that was requested after this time.
     report_needed_after: Option<Instant>,
     outstanding: Option<OutstandingOrder>,
     permits: Vec<Permit>,
     recalled_at: Option<Instant>,
-    /// What is worth least first, as the load scheduler of another node said last.
+    /// The adapters of the engine by value, lowest first, as another node's load scheduler sent
+    /// them with its last permit.
     victim_order: Vec<AdapterRef>,
 }
 
@@ -91,7 +93,8 @@
         self.plan = plan;
     }
 
-    /// Gives up: what was permitted goes elsewhere.
+    /// Ends the ownership and returns the loads that were permitted or in progress, so that they
+    /// can be retried elsewhere.
     pub fn into_unfinished(mut self) -> Vec<AdapterRef> {
         let loading = self.slots.clear();
         let loading = loading
@@ -102,7 +105,7 @@
         permitted.chain(loading).collect()
     }
 
-    /// Takes a report. One that is older than what is known is ignored.
+    /// Applies a report, unless it is older than the last one.
     pub fn report(
         &mut self,
         report: EngineReport,
@@ -143,8 +146,9 @@
             .is_some_and(|seen| seen.report.incarnation != report.incarnation)
     }
 
-    /// Guards against a map of a former run: requests would be sent to adapters that are gone,
-    /// and orders refused one by one. Pins stay: their holders may not know of the restart yet.
+    /// Clears the slots after the engine restarted with nothing loaded. Kept, they would have
+    /// requests sent to adapters that are not loaded any more, and orders refused one by one. Pins
+    /// stay, since their holders may not know of the restart yet.
     fn restarted_cold(&mut self, out: &mut OwnerOutput) {
         let lost = self.slots.clear();
         out.actions
@@ -199,8 +203,8 @@
         }
     }
 
-    /// Answers a node that wants to use an adapter. While it is drained, only pins that are held
-    /// are renewed: requests may be running under them.
+    /// Grants or refuses a pin. While an adapter is draining, only nodes that hold a pin get it
+    /// renewed, since their requests may still be running.
     pub fn pin_asked(
         &mut self,
         from: &NodeId,
@@ -236,7 +240,7 @@
         self.pins.returned(from, ask_id, adapter, now);
     }
 
-    /// Takes the scheduler's permission to load an adapter.
+    /// Adds the scheduler's permission to load an adapter.
     pub fn permitted(
         &mut self,
         adapter: AdapterRef,
@@ -255,7 +259,7 @@
         }
     }
 
-    /// Ends what has run out: pins, unanswered orders, permits that found no victim.
+    /// Expires pins, unanswered orders, and permits for which no adapter could be evicted in time.
     pub fn tick(&mut self, settings: &PlacementSettings, now: Instant, out: &mut OwnerOutput) {
         self.pins.expire(now);
         let slots = &self.slots;
@@ -276,7 +280,7 @@
         }
     }
 
-    /// Orders the next step, if there is one. `value` says what an adapter's slot is worth.
+    /// Sends the next order if one is due. `value` gives the value of an adapter's slot.
     pub fn advance(
         &mut self,
         settings: &PlacementSettings,
@@ -335,10 +339,12 @@
         }
     }
 
-    /// An adapter that the engine holds, as long as the engine has not seen this owner's fence.
+    /// An adapter that the engine holds, while the engine has not seen the fencing token of this
+    /// owner.
     ///
-    /// A load of what is held changes nothing but the fence. Without it an owner of a full engine
-    /// would wait for ever: only an order raises the fence, and before that nothing is evicted.
+    /// Ordering the load of an adapter that is already loaded changes only the fencing token. An
+    /// owner of a full engine needs this: only an order raises the number, and nothing is evicted
+    /// before it is raised.
     fn fence_raiser(&self) -> Option<AdapterRef> {
         if !self.plan.checks_fencing || self.ownership.is_confirmed() {
             return None;
--- a/crates/placement/src/engine_owner/draining.rs
+++ b/crates/placement/src/engine_owner/draining.rs
@@ -1,4 +1,4 @@
-//! Taking an adapter out of service that is in use all the time.
+//! Draining: takes an adapter that is always in use out of service, so that it can be evicted.
 
 use std::time::{Duration, Instant};
 
@@ -7,21 +7,22 @@
 use super::{EngineOwner, OwnerOutput};
 use crate::{PlacementAction, PlacementSettings, Presence};
 
-/// How often the pins of an adapter that is drained are recalled.
+/// How often the pins of a draining adapter are recalled.
 const RECALL_INTERVAL: Duration = Duration::from_millis(400);
 
 impl EngineOwner {
-    /// Stops new use of an adapter that is in use all the time, so that it can be evicted.
+    /// Stops new use of an adapter whose slot another one needs, and recalls its pins.
     ///
-    /// Guards against adapters that hold every slot for ever: each is used again before its pins
-    /// come back, and a request for another adapter waits until its deadline.
+    /// Without draining, adapters in constant use would keep every slot: each is used again before
+    /// its pins are returned, and a request for another adapter waits until its deadline.
     pub(super) fn drain(&mut self, adapter: &AdapterRef, now: Instant, out: &mut OwnerOutput) {
         self.slots.begin_drain(adapter, now);
         self.announce(adapter, Presence::Absent, out);
         self.recall(adapter, now, out);
     }
 
-    /// The load that an eviction makes room for gets the slot, also if it waited long for it.
+    /// Restarts the timeout of a permit, so that a load that waited long for an eviction still gets
+    /// the slot that the eviction frees.
     pub(super) fn extend_permit(&mut self, adapter: &AdapterRef, now: Instant) {
         for permit in self.permits.iter_mut().filter(|p| p.adapter == *adapter) {
             permit.since = now;
@@ -39,8 +40,8 @@
         }
     }
 
-    /// Recalls pins again, since a recall may be lost and ends by itself; gives up on an adapter
-    /// whose requests run too long.
+    /// Recalls pins again, since a recall may be lost and expires. Returns the adapter to service
+    /// when its requests run for too long or no permitted load needs the slot any more.
     pub(super) fn tick_drain(
         &mut self,
         settings: &PlacementSettings,
--- a/crates/placement/src/engine_owner/orders.rs
+++ b/crates/placement/src/engine_owner/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of one engine's owner: one at a time, and what their answers mean.
+//! Orders to one engine and the handling of their answers. At most one order is outstanding.
 
 use std::time::Instant;
 
@@ -11,7 +11,7 @@
     DisownCause, LoadOutcome, OrderId, PlacementAction, PlacementNote, PlacementSettings, Presence,
 };
 
-/// The one order that is under way. A second one would rest on an unknown `order_seq`.
+/// The order that is outstanding. A second one could not know which `order_seq` to expect.
 #[derive(Debug)]
 pub(super) struct OutstandingOrder {
     pub(super) id: OrderId,
@@ -19,14 +19,15 @@
     pub(super) adapter: AdapterRef,
     pub(super) made_at: Instant,
     pub(super) expected_seq: u64,
-    /// No answer came: it may be carried out until it ends.
+    /// No answer arrived: the engine may still carry it out until it expires.
     pub(super) is_unsettled: bool,
 }
 
 impl EngineOwner {
-    /// Guards against an order whose answer was lost and that is carried out late: until a report
-    /// shows that it was, or its time has passed, its slot counts as taken and nothing else is
-    /// ordered. A report that may be as old as `report_lag` must be that much younger.
+    /// Clears an unanswered order once a report shows that it was carried out or that it can't be
+    /// any more. Until then its slot counts as taken and no other order is sent, since the engine
+    /// may still carry it out. A report can be `report_lag` older than its request, so one that
+    /// shows no effect counts only if it was requested that much after the expiry.
     pub(super) fn settle(
         &mut self,
         report: &EngineReport,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Takes the engine's answer to an order.
+    /// Handles the engine's answer to the outstanding order.
     pub fn order_answered(
         &mut self,
         id: OrderId,
@@ -135,7 +136,8 @@
         }
     }
 
-    /// The load goes first among what waits: its share of the weight store's rate is spent.
+    /// Permits the load again, ahead of the other permits: its share of the weight store's rate is
+    /// already spent.
     pub(super) fn permit_again(&mut self, order: &OutstandingOrder, now: Instant) {
         self.permits.push(Permit {
             adapter: order.adapter.clone(),
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -1,4 +1,4 @@
-//! What placement is told.
+//! Events that placement handles.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -8,43 +8,44 @@
 
 use crate::{OrderId, PlacementMessage, PlacementPlan};
 
-/// Something that happened, as told to [`crate::Placement::handle`].
+/// An event for [`crate::Placement::handle`].
 #[derive(Clone, Debug)]
 pub enum PlacementEvent {
-    /// A text came into force.
+    /// A new configuration is in force.
     Plan(Arc<PlacementPlan>),
-    /// The live nodes of the own failure domain, this node among them.
+    /// The live nodes of this node's failure domain, including this node.
     LiveNodes {
         /// The nodes, in any order.
         nodes: Vec<NodeId>,
     },
-    /// The key-value service took this node's claim, or its lease was renewed (same fence).
+    /// The key-value service accepted this node's claim, or renewed its lease (with the same
+    /// fencing token).
     OwnershipGranted {
         /// The engine.
         engine: UpstreamId,
-        /// The fencing number of the claim.
+        /// The fencing token of the claim.
         fence: u64,
-        /// Until when nobody else can take the engine: the lease's time to live, counted from
-        /// before the call that granted or renewed it, less a margin.
+        /// The time until which no other node can take the engine: the lease's time to live,
+        /// counted from before the call that granted or renewed it, minus a margin.
         valid_until: Instant,
     },
-    /// The engine is another node's, or the claim was refused.
+    /// Another node owns the engine, or the claim was refused.
     OwnershipLost {
         /// The engine.
         engine: UpstreamId,
     },
-    /// The key-value service could not decide the claim: it is out or slow.
+    /// The key-value service did not decide the claim: it is unavailable or slow.
     ClaimUnanswered {
         /// The engine.
         engine: UpstreamId,
     },
-    /// An engine's report on itself, of any engine in the own failure domain.
+    /// The report of an engine in this node's failure domain, owned or not.
     Report {
         /// The engine.
         engine: UpstreamId,
         /// The report.
         report: EngineReport,
-        /// When the report was asked for, on this node's clock.
+        /// When the report was requested, on this node's clock.
         taken_at: Instant,
     },
     /// The engine left or cannot be reached.
@@ -52,49 +53,51 @@
         /// The engine.
         engine: UpstreamId,
     },
-    /// Requests for an adapter, seen on this node. Placement itself tells the load scheduler.
+    /// Requests for an adapter that this node received. Placement forwards the counts to the load
+    /// scheduler.
     Demand {
         /// The adapter.
         adapter: AdapterRef,
-        /// Their class.
+        /// The class of the requests.
         class: Class,
-        /// How many.
+        /// The number of requests.
         weight: f64,
     },
-    /// A request waits for an adapter. Repeated while it waits.
+    /// A request waits for an adapter. Sent again while it waits.
     WantAdapter {
-        /// The engine that should load it, if routing prefers one.
+        /// The engine on which to load it, if routing prefers one.
         engine: Option<UpstreamId>,
         /// The adapter.
         adapter: AdapterRef,
         /// The class of the request that waits.
         class: Class,
     },
-    /// A node, maybe this one, wants to use an adapter on an engine that this node owns.
+    /// A node, possibly this one, requests a pin for an adapter on an engine that this node owns.
     PinAsked {
-        /// The node that asks.
+        /// The node that requests the pin.
         from: NodeId,
-        /// The node's number for this ask; it rises.
+        /// The node's number for this pin request; it increases.
         ask_id: u64,
         /// The engine.
         engine: UpstreamId,
         /// The adapter.
         adapter: AdapterRef,
-        /// The class of the request behind it.
+        /// The class of the request that needs the pin.
         class: Class,
     },
-    /// A node gives a pin back: none of its requests uses the adapter on this engine.
+    /// A node returns a pin: none of its requests uses the adapter on this engine.
     PinReturned {
         /// The node.
         from: NodeId,
-        /// The last ask that was granted; a pin of a later ask stays.
+        /// The number of the last pin request that was granted; a pin granted for a later one
+        /// stays.
         ask_id: u64,
         /// The engine.
         engine: UpstreamId,
         /// The adapter.
         adapter: AdapterRef,
     },
-    /// What became of an order.
+    /// The engine answered an order, or the order failed.
     OrderAnswered {
         /// The engine.
         engine: UpstreamId,
@@ -103,22 +106,22 @@
         /// The engine's answer.
         result: Result<OrderAnswer, OrderError>,
     },
-    /// How much of the weight store another failure domain uses.
+    /// Another failure domain's use of the weight store.
     StoreUse {
         /// The failure domain.
         domain: FailureDomain,
-        /// Its loads a second of late.
+        /// Its recent loads per second.
         loads_per_s: f64,
-        /// How many of its loads wait.
+        /// The number of its loads that wait.
         backlog: u32,
     },
-    /// A message of another node's placement.
+    /// A message from another node's placement.
     Received {
         /// The node.
         from: NodeId,
         /// The message.
         message: PlacementMessage,
     },
-    /// Time passed. Given about ten times a second.
+    /// Time has passed. Sent about ten times a second.
     Tick,
 }
--- a/crates/placement/src/eviction.rs
+++ b/crates/placement/src/eviction.rs
@@ -1,4 +1,4 @@
-//! What may be evicted from an engine, and what should be.
+//! Decides which adapters of an engine may be evicted, and which of them should be.
 
 use std::time::Instant;
 
@@ -9,20 +9,20 @@
 use crate::pin_table::PinTable;
 use crate::slot_map::{Slot, SlotMap, SlotState};
 
-/// An owner's knowledge of one engine at one time.
+/// What the owner of an engine knows about it at `now`.
 pub(crate) struct Eviction<'a> {
     pub slots: &'a SlotMap,
     pub pins: &'a PinTable,
     pub ownership: &'a Ownership,
-    /// The last report and when it was asked for.
+    /// The last report and the time at which it was requested.
     pub report: Option<(&'a EngineReport, Instant)>,
     pub settings: &'a PlacementSettings,
     pub now: Instant,
 }
 
 impl Eviction<'_> {
-    /// The adapter that is worth least among those that nobody uses. Another version of the
-    /// wanted adapter comes last: it serves until the new one is ready.
+    /// The adapter to evict: the one of lowest value among those not in use. Another version of the
+    /// wanted adapter comes last, since it serves until the new version is ready.
     pub fn victim(
         &self,
         wanted: &AdapterRef,
@@ -35,8 +35,8 @@
         least(evictable.map(|slot| (slot.adapter.name == wanted.name, value(&slot.adapter), slot)))
     }
 
-    /// The adapter to stop using, if each is in use: the one that is worth least, with those that
-    /// run many requests coming later.
+    /// The adapter to drain if every one is in use: the one of lowest value times one plus its
+    /// running requests.
     pub fn victim_in_use(
         &self,
         wanted: &AdapterRef,
@@ -57,8 +57,9 @@
         }))
     }
 
-    /// Slots whose adapter has had time to serve the requests that it was loaded for. Without it
-    /// two adapters in demand would swap in one slot at each request.
+    /// The slots whose adapter has been there for the minimum residency, so that it could serve the
+    /// requests for which it was loaded. Without the minimum, two adapters in demand would replace
+    /// each other in one slot at every request.
     fn settled_slots(&self, class: Class) -> impl Iterator<Item = &Slot> {
         let residency = match class {
             Class::Urgent => self.settings.min_residency / 2,
@@ -69,12 +70,12 @@
             .filter(move |slot| self.now >= slot.since + residency)
     }
 
-    /// Whether nobody can be using the adapter.
+    /// Whether no request can be using the adapter.
     ///
-    /// Guards against evicting an adapter that serves a request, which shows as an answer cut
-    /// short. Holds since no node may send without a pin; a node whose pin lapsed may have
-    /// requests in flight, which the engine's report, asked for after the lapse, would show as
-    /// running or queued; and pins of a former owner have lapsed when the quiet time is over.
+    /// Evicting an adapter in use would cut off a caller's answer. Three rules exclude it. No node
+    /// sends a request without a pin. If a pin expired, its holder may still have requests in
+    /// flight, so the engine's report, requested after the expiry, must show none running or
+    /// queued. Pins granted by previous owners have expired before this owner evicts anything.
     fn is_evictable(&self, slot: &Slot) -> bool {
         let Some((report, taken_at)) = self.report else {
             return false;
@@ -91,7 +92,7 @@
         is_recent && !may_be_queued && self.running_on(&slot.adapter) == Some(0)
     }
 
-    /// Ends the process rather than evict an adapter that may be in use.
+    /// Panics rather than evict an adapter that may be in use.
     pub fn assert_evictable(&self, adapter: &AdapterRef) {
         assert!(
             !self.pins.is_pinned(adapter, self.now),
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,10 +1,11 @@
 //! Which adapters are loaded on which engine: owners, pins, load orders.
 //!
 //! [`Placement`] decides which engines this node owns, which adapter is loaded next and where, and
-//! what is evicted. It is told texts, live nodes, claims, engine reports, demand and pins as
-//! [`PlacementEvent`]s, and answers with [`PlacementAction`]s; it never does I/O and never reads a
-//! clock. It never evicts an adapter that a request may be using. [`PinCache`] is the other side:
-//! this node's pins on engines, wherever their owner is. Start at [`Placement::handle`].
+//! what is evicted. It takes configurations, live nodes, claims, engine reports, demand and pin
+//! requests as [`PlacementEvent`]s and returns [`PlacementAction`]s; it does no I/O and reads no
+//! clock. It never evicts an adapter that a request may be using. [`PinCache`] is the side of the
+//! pin holder: this node's pins on engines, whichever node owns them. Start reading at
+//! [`Placement::handle`].
 
 mod action;
 mod claims;
--- a/crates/placement/src/load_scheduler.rs
+++ b/crates/placement/src/load_scheduler.rs
@@ -1,4 +1,4 @@
-//! Which adapter a failure domain loads next, and on which engine.
+//! Decides which adapter a failure domain loads next, and on which engine.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,22 +11,23 @@
 use crate::want::{Want, WantOrigin};
 use crate::{DemandEstimate, LoadOutcome, PlacementPlan, PlacementSettings, StoreUse};
 
-/// How often adapters without waiting requests are considered.
+/// How often adapters for which no request waits are considered for loading.
 const PREFETCH_INTERVAL: Duration = Duration::from_secs(1);
-/// How many of the most demanded adapters are considered for prefetch.
+/// The number of adapters with the highest demand that are considered for prefetch.
 const PREFETCH_CANDIDATES: usize = 64;
-/// How long wants without waiting requests live.
+/// How long a pending load without waiting requests is kept.
 const BACKGROUND_TTL: Duration = Duration::from_secs(120);
-/// After so many failures in a row a want is dropped until it is repeated.
+/// The number of retries after which a load is dropped until it is requested again.
 const MAX_ATTEMPTS: u32 = 6;
 
-/// How long a load is taken to last before any was seen.
+/// The assumed duration of a load before one has been observed.
 const FIRST_LOAD_ESTIMATE: Duration = Duration::from_secs(1);
-/// By how much the fastest load is taken to grow with each load, so that it follows a change.
+/// The factor by which the shortest load time grows with each load, so that it adapts when loads
+/// become slower.
 const FASTEST_LOAD_DRIFT: f64 = 1.02;
-/// Every so many loads the one that was wanted longest ago goes first, so that none starves.
+/// Every so many loads the one that has waited longest goes first, so that none starves.
 const OLDEST_EVERY: u64 = 8;
-/// By how much the loads under way exceed what the rate needs on average.
+/// The factor by which the limit of loads in flight exceeds the average that the rate needs.
 const LOADS_UNDER_WAY_MARGIN: f64 = 1.25;
 
 #[derive(Debug)]
@@ -38,7 +39,7 @@
     attempts: u32,
 }
 
-/// A load to order now.
+/// A load that may be ordered now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LoadPermit {
     pub engine: UpstreamId,
@@ -46,7 +47,7 @@
     pub class: Class,
 }
 
-/// What the scheduler looks at but does not own.
+/// State that the scheduler reads but does not own.
 #[derive(Clone, Copy)]
 pub(crate) struct SchedulerInputs<'a> {
     pub settings: &'a PlacementSettings,
@@ -56,13 +57,14 @@
     pub now: Instant,
 }
 
-/// Loads that wait and loads under way of one failure domain. Losing this state costs time only.
+/// The pending loads and the loads in flight of one failure domain. If this state is lost, loads
+/// are delayed but nothing goes wrong.
 #[derive(Debug)]
 pub(crate) struct LoadScheduler {
     pub budget: StoreBudget,
     wants: HashMap<AdapterRef, Want>,
     in_flight: Vec<LoadInFlight>,
-    /// The shortest time of late until a load was seen to have ended.
+    /// The shortest recent time from a permit to the observed end of its load.
     fastest_load: Duration,
     permits: u64,
     urgent_in_a_row: u32,
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Notes that requests of `class` wait for an adapter.
+    /// Records that a request of `class` waits for an adapter.
     pub fn want(
         &mut self,
         adapter: &AdapterRef,
@@ -93,7 +95,7 @@
         self.add(adapter, WantOrigin::of(class), 1.0, engine, inputs);
     }
 
-    /// Notes that an adapter should be loaded although no request waits for it yet.
+    /// Records that an adapter should be loaded although no request waits for it yet.
     pub fn want_in_background(
         &mut self,
         adapter: &AdapterRef,
@@ -138,7 +140,8 @@
         self.wants.insert(adapter.clone(), want);
     }
 
-    /// Whether the adapter is unknown, or held and under way as often as its demand asks for.
+    /// Whether the adapter is unknown, or has as many replicas, loaded or in flight, as its demand
+    /// needs.
     fn has_enough(
         &self,
         adapter: &AdapterRef,
@@ -159,7 +162,7 @@
         inputs.view.replicas(adapter) + under_way >= inputs.view.replicas_for(service, rate)
     }
 
-    /// Drops the least urgent and most recent want for a more urgent one.
+    /// Drops the most recent pending load of the lowest priority, if that is below `priority`.
     fn make_room(&mut self, origin: WantOrigin) -> bool {
         let last = self
             .wants
@@ -170,7 +173,7 @@
         last.is_some_and(|adapter| self.wants.remove(&adapter).is_some())
     }
 
-    /// How a permitted load ended.
+    /// Records how a permitted load ended.
     pub fn ended(
         &mut self,
         engine: &UpstreamId,
@@ -200,7 +203,7 @@
         }
     }
 
-    /// The engine left: what was to be loaded there goes elsewhere.
+    /// The engine left: retries its loads elsewhere.
     pub fn engine_gone(&mut self, engine: &UpstreamId, inputs: &SchedulerInputs<'_>) {
         let is_there = |load: &mut LoadInFlight| load.engine == *engine;
         let lost: Vec<LoadInFlight> = self.in_flight.extract_if(.., is_there).collect();
@@ -238,7 +241,8 @@
         want.engine = None;
     }
 
-    /// Forgets wants that nobody repeats, and retries loads that nobody saw end.
+    /// Drops pending loads that are not requested again, and retries loads whose end was not
+    /// observed in time.
     pub fn tick(&mut self, inputs: &SchedulerInputs<'_>) {
         let (settings, now) = (inputs.settings, inputs.now);
         self.wants.retain(|_, want| {
@@ -255,7 +259,7 @@
         }
     }
 
-    /// The loads to order now, most pressing first.
+    /// The loads to order now, in order of priority.
     pub fn next_permits(&mut self, inputs: &SchedulerInputs<'_>) -> Vec<LoadPermit> {
         let mut permits = Vec::new();
         while let Some(permit) = self.next_permit(inputs) {
@@ -271,8 +275,8 @@
         let may_routine = self.may_load(Class::Routine, inputs);
         let may_urgent = self.may_load(Class::Urgent, inputs);
         let routine_turn = self.urgent_in_a_row + 1 >= inputs.settings.routine_every;
-        // On its turn a routine load may go when an urgent one may: the urgent ones take each part of
-        // the rate before a routine one could.
+        // When it is the turn of a routine load, it needs only as much budget as an urgent one:
+        // otherwise urgent loads would use up the budget before it suffices for a routine load.
         let first = if routine_turn && may_urgent {
             self.best_want(|origin| origin == WantOrigin::Routine, inputs)
         } else {
@@ -287,11 +291,11 @@
         }
     }
 
-    /// Whether rate and loads under way leave room for a load of this class. An urgent one does
-    /// not wait for a routine one to end.
+    /// Whether the store budget and the limit of loads in flight allow a load of this class. An
+    /// urgent load does not wait for a routine one to end.
     fn may_load(&mut self, class: Class, inputs: &SchedulerInputs<'_>) -> bool {
         if self.budget.is_refused() {
-            // One load finds out whether the store takes loads again, not all that wait.
+            // While the store refuses loads, a single load tests whether it accepts them again.
             return self.in_flight.is_empty() && self.budget.allows(class, inputs.now);
         }
         let limit = self.in_flight_limit(inputs);
@@ -300,9 +304,9 @@
         in_flight < limit && self.budget.allows(class, inputs.now)
     }
 
-    /// Loads under way that the rate needs: the rate times the time until a load is seen to have
-    /// ended. One at a time would leave the store idle while reports lag. The fastest load of late
-    /// counts, so that loads which slow each other down don't raise the limit.
+    /// The number of loads in flight that the rate needs: the rate times the time until the end of
+    /// a load is observed. With one at a time the store would be idle while reports lag. The
+    /// shortest recent time counts, so that loads that slow each other down don't raise the limit.
     fn in_flight_limit(&self, inputs: &SchedulerInputs<'_>) -> usize {
         let needed = self.budget.rate_per_s(inputs.now) * self.fastest_load.as_secs_f64();
         let at_full_speed = inputs.plan.loads_at_full_speed.max(1) as usize;
@@ -401,10 +405,11 @@
         }
     }
 
-    /// Loads an adapter in demand that has too few replicas, while the weight store is idle.
+    /// Permits the load of an adapter in demand that has too few replicas, while the weight store
+    /// is idle.
     ///
-    /// Guards against two adapters that swap in one slot, by asking for a clear advantage over
-    /// what would have to go.
+    /// Its demand must clearly exceed that of the adapter to be evicted; otherwise two adapters
+    /// could replace each other in one slot.
     fn prefetch(&mut self, inputs: &SchedulerInputs<'_>) -> Option<LoadPermit> {
         let (settings, now) = (inputs.settings, inputs.now);
         let is_recent = |at: Instant| now < at + PREFETCH_INTERVAL;
@@ -431,7 +436,7 @@
         None
     }
 
-    /// What the other failure domains are told.
+    /// This failure domain's use of the weight store, to be sent to the other ones.
     pub fn store_use(&self, now: Instant) -> StoreUse {
         StoreUse {
             loads_per_s: self.budget.own_use_per_s(now),
@@ -440,7 +445,7 @@
     }
 }
 
-/// A number from 0 to 1 that differs between adapters and attempts, to spread retries.
+/// A number from 0 to 1 that differs between adapters and attempts, so that retries don't coincide.
 fn spread(adapter: &AdapterRef, attempts: u32) -> f64 {
     let hash = xxh3_64(format!("{adapter}/{attempts}").as_bytes());
     (hash >> 11) as f64 / (1u64 << 53) as f64
--- a/crates/placement/src/note.rs
+++ b/crates/placement/src/note.rs
@@ -1,36 +1,37 @@
-//! What placement has to say to the operators.
+//! Notes that placement writes to the log.
 
 use nutmegsail_base::{AdapterRef, UpstreamId};
 
 use crate::LoadOutcome;
 
-/// A line for the log.
+/// A note for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlacementNote {
     /// This node now owns an engine.
     Owned {
         /// The engine.
         engine: UpstreamId,
-        /// Its fencing number.
+        /// Its fencing token.
         fence: u64,
-        /// Whether the engine itself decided, since the key-value service gave no answer.
+        /// Whether the node took the engine over by its fencing token alone, since the key-value
+        /// service did not answer.
         by_engine: bool,
     },
     /// This node no longer owns an engine.
     Disowned {
         /// The engine.
         engine: UpstreamId,
-        /// Why.
+        /// The reason.
         cause: DisownCause,
     },
-    /// An engine came back empty.
+    /// An engine restarted with no adapter loaded.
     ColdRestart {
         /// The engine.
         engine: UpstreamId,
-        /// How many adapters it held.
+        /// The number of adapters that it held before.
         adapters_lost: usize,
     },
-    /// A load did not work out and is tried again.
+    /// A load failed and will be retried.
     LoadEnded {
         /// The engine.
         engine: UpstreamId,
@@ -39,7 +40,7 @@
         /// How it ended.
         outcome: LoadOutcome,
     },
-    /// An order got no answer; the engine gets no other until a report settles it.
+    /// An order was not answered; no other order is sent until a report shows what became of it.
     OrderUnsettled {
         /// The engine.
         engine: UpstreamId,
@@ -51,9 +52,9 @@
 /// Why a node gave up an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisownCause {
-    /// The key-value service says so.
+    /// The key-value service reported another owner.
     Lost,
-    /// The engine has seen a higher fencing number.
+    /// The engine has seen a higher fencing token.
     Fenced,
     /// Another node is first choice.
     HandedOver,
--- a/crates/placement/src/owner_choice.rs
+++ b/crates/placement/src/owner_choice.rs
@@ -1,10 +1,10 @@
-//! Which node should own an engine, and with which fencing number.
+//! The choice of the node that owns an engine, and of its fencing token.
 
 use nutmegsail_base::NodeId;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// The first choice among `nodes` for the key `key`, by rendezvous hashing: when a node joins or
-/// leaves, only the keys that it wins or held move.
+/// Chooses one of `nodes` for `key` by rendezvous hashing: when a node joins or leaves, only the
+/// keys that move to or from it change nodes.
 ///
 /// ```
 /// use nutmegsail_base::NodeId;
@@ -26,11 +26,12 @@
     xxh3_64_with_seed(candidate.as_bytes(), xxh3_64(key.as_bytes()))
 }
 
-/// A fencing number above `seen` that no other node would draw after the same number.
+/// A fencing token above `seen` that differs from the one that any other node would choose after
+/// `seen`.
 ///
-/// The upper half counts takeovers, the lower half is a hash of the node. Two nodes that take an
-/// engine over at once without the key-value service would otherwise draw the same number, and
-/// the engine would obey both.
+/// The upper 32 bits count takeovers, the lower 32 bits are a hash of the node. Otherwise two nodes
+/// that take over an engine at the same time without the key-value service would choose the same
+/// number, and the engine would obey both.
 ///
 /// ```
 /// use nutmegsail_base::NodeId;
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -1,21 +1,21 @@
-//! What one claim of an engine entitles its holder to.
+//! What the ownership of an engine allows its owner to do.
 
 use std::time::Instant;
 
 use crate::PlacementSettings;
 
-/// This node's ownership of one engine, with the fencing number that it rests on.
+/// This node's ownership of one engine under one fencing token.
 #[derive(Debug)]
 pub(crate) struct Ownership {
     pub fence: u64,
     pub checks_fencing: bool,
-    /// When this node learned of its ownership.
+    /// When this node learned that it owns the engine.
     granted_at: Instant,
-    /// Until when the key-value service lets nobody else take the engine.
+    /// The time until which the key-value service lets no other node take the engine.
     valid_until: Option<Instant>,
-    /// When the engine was first known to have seen the fence.
+    /// When this node first knew that the engine has seen the fencing token.
     confirmed_at: Option<Instant>,
-    /// When the last report without a higher fence was asked for.
+    /// When the last report without a higher fencing token was requested.
     unfenced_at: Option<Instant>,
 }
 
@@ -40,7 +40,8 @@
         self.valid_until = self.valid_until.max(Some(valid_until));
     }
 
-    /// The engine answered an order of this fence, or its report names it.
+    /// Records that the engine has seen the fencing token: it accepted an order, or its report
+    /// contains the number.
     pub fn confirmed(&mut self, now: Instant) {
         self.confirmed_at.get_or_insert(now);
     }
@@ -49,9 +50,10 @@
         self.confirmed_at.is_some()
     }
 
-    /// Guards against a former owner that wakes after the engine restarted: the engine may have
-    /// forgotten the fence, and shows both owners none above their own. Each must raise it anew
-    /// before it grants or evicts, so the older one finds out.
+    /// After a restart the engine may have forgotten the fencing token, so its reports show no
+    /// higher one to either the present or a previous owner that resumes. Each owner must raise the
+    /// number again before it grants pins or evicts, so that the previous one notices that it was
+    /// replaced.
     pub fn engine_restarted(&mut self) {
         self.confirmed_at = None;
         self.unfenced_at = None;
@@ -63,9 +65,9 @@
 
     /// Whether an order made now may be sent.
     ///
-    /// Guards against a paused former owner whose order arrives after the takeover. An engine that
-    /// checks fencing numbers refuses it. For one that ignores them the order must have ended
-    /// before the key-value service lets anybody else take the engine.
+    /// An order of a previous owner that was paused may arrive after the takeover. An engine that
+    /// checks fencing tokens refuses it. For an engine that ignores them, the order must expire
+    /// before the key-value service lets another node take the engine.
     pub fn may_order(&self, settings: &PlacementSettings, now: Instant) -> bool {
         let ends = now + settings.order_valid_for;
         self.checks_fencing || self.valid_until.is_some_and(|until| ends <= until)
@@ -73,9 +75,10 @@
 
     /// Whether a pin may be granted now.
     ///
-    /// Guards against a former owner that goes on granting pins that the new owner cannot know.
-    /// Without fencing checks the lease of the claim bounds this. With them, a report that was
-    /// asked for lately and shows no higher fence does; the new owner waits that much longer.
+    /// A previous owner must not go on granting pins that the new owner does not know. For engines
+    /// without fencing checks, the lease of the claim limits this. For the others, the owner must
+    /// have seen a recently requested report without a higher fencing token; the new owner waits
+    /// for that period in addition.
     pub fn may_grant(&self, settings: &PlacementSettings, now: Instant) -> bool {
         if !self.checks_fencing {
             return self.valid_until.is_some_and(|until| now < until);
@@ -84,8 +87,8 @@
         self.is_confirmed() && self.unfenced_at.is_some_and(is_recent)
     }
 
-    /// Until when nothing is evicted, since former owners' pins may still be held. None: not
-    /// known yet, since the former owner may still be granting pins.
+    /// The time from which adapters may be evicted: before it, pins granted by previous owners may
+    /// still be valid. `None`: not known yet, since a previous owner may still be granting pins.
     pub fn quiet_until(&self, settings: &PlacementSettings) -> Option<Instant> {
         let pins_lapse = settings.pin_lease + settings.pin_margin;
         if !self.checks_fencing {
--- a/crates/placement/src/pin_cache.rs
+++ b/crates/placement/src/pin_cache.rs
@@ -1,42 +1,43 @@
-//! This node's pins on engines that other nodes, or this one, own.
+//! The pins that this node holds on engines, which may be owned by any node.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::{AdapterRef, UpstreamId};
 
-/// How long a recall holds without being repeated.
+/// How long a recall is in effect unless it is repeated.
 const RECALL_TTL: Duration = Duration::from_secs(1);
 
 /// Whether a request may be sent to an adapter on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PinUse {
-    /// Yes, if the bytes go out before `until`.
+    /// Yes, if the request is sent before `until`.
     Held {
-        /// When the pin lapses for this node.
+        /// When the pin expires for this node.
         until: Instant,
     },
-    /// Not yet: ask the engine's owner.
+    /// Not yet: request the pin from the engine's owner.
     Ask,
-    /// Not yet: an answer is due, or the owner said to come back later.
+    /// Not yet: a pin request is not answered yet, or the owner refused or recalled the pin a short
+    /// time ago.
     Wait,
 }
 
-/// What the node does for the cache.
+/// An action for the node to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PinCacheAction {
-    /// Ask the engine's owner for the pin, anew or to renew it.
+    /// Request the pin, or its renewal, from the engine's owner.
     Ask {
-        /// The number of the ask.
+        /// The number of the pin request.
         ask_id: u64,
         /// The engine.
         engine: UpstreamId,
         /// The adapter.
         adapter: AdapterRef,
     },
-    /// Give the pin back to the engine's owner.
+    /// Return the pin to the engine's owner.
     Return {
-        /// The last ask that was granted.
+        /// The number of the last pin request that was granted.
         ask_id: u64,
         /// The engine.
         engine: UpstreamId,
@@ -45,14 +46,14 @@
     },
 }
 
-/// How the cache behaves.
+/// Settings of the cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PinCacheSettings {
-    /// By how much this node's view of a lease is shorter than the owner's.
+    /// How much earlier a pin expires for this node than for the owner.
     pub margin: Duration,
     /// How long an unused pin is kept.
     pub idle_return: Duration,
-    /// After this time an ask without an answer is made again.
+    /// How long an unanswered pin request is waited for before it is repeated.
     pub ask_timeout: Duration,
 }
 
@@ -74,13 +75,13 @@
 
 #[derive(Debug)]
 struct CachedPin {
-    /// Until when requests may be sent; never later than the owner's lease less the margin.
+    /// When the pin expires for this node: never later than the owner's lease minus the margin.
     until: Option<Instant>,
     renew_at: Option<Instant>,
     granted_ask: u64,
     pending: Option<PendingAsk>,
     wait_until: Option<Instant>,
-    /// The owner wants the pin back; nothing new is sent until then.
+    /// A recall is in effect until this time: no new request is sent.
     recalled_until: Option<Instant>,
     in_use: u32,
     last_used: Instant,
@@ -109,7 +110,7 @@
     }
 }
 
-/// Pins that this node holds, with the requests that use them.
+/// The pins that this node holds, with the number of requests that use each.
 ///
 /// ```
 /// use std::time::{Duration, Instant};
@@ -135,7 +136,7 @@
 }
 
 impl PinCache {
-    /// A cache without pins.
+    /// An empty cache.
     pub fn new(settings: PinCacheSettings) -> Self {
         Self {
             settings,
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Whether a request may be sent now. [`PinCache::begin`] then counts it.
+    /// Whether a request may be sent now. [`PinCache::begin`] must be called when it is sent.
     pub fn may_send(&self, engine: &UpstreamId, adapter: &AdapterRef, now: Instant) -> PinUse {
         let Some(pin) = self.pin(engine, adapter) else {
             return PinUse::Ask;
@@ -161,10 +162,11 @@
         PinUse::Ask
     }
 
-    /// Notes that the owner is asked now; the returned number goes with the message.
+    /// Records that the pin is requested from the owner now; the returned number goes into the
+    /// message.
     ///
-    /// A lease counts from here, before the message leaves: however long the answer takes, the
-    /// pin lapses for this node before it lapses for the owner.
+    /// The lease counts from this call, before the message is sent: however long the answer takes,
+    /// the pin expires for this node before it expires for the owner.
     pub fn ask(&mut self, engine: &UpstreamId, adapter: &AdapterRef, now: Instant) -> u64 {
         self.last_ask += 1;
         let ask_id = self.last_ask;
@@ -179,7 +181,8 @@
         ask_id
     }
 
-    /// Takes a grant. One that answers an ask given up since is dropped: the owner's pin lapses.
+    /// Records a grant. A grant for a pin request that has been repeated since is ignored; the pin
+    /// then expires at the owner.
     pub fn granted(
         &mut self,
         engine: &UpstreamId,
@@ -200,7 +203,8 @@
         pin.wait_until = None;
     }
 
-    /// Takes a refusal: the adapter is not there, or is about to go.
+    /// Records a refusal: the adapter is not loaded, is about to be unloaded, or its owner may not
+    /// grant pins now.
     pub fn refused(
         &mut self,
         engine: &UpstreamId,
@@ -217,16 +221,16 @@
         }
     }
 
-    /// The owner wants the pin back: nothing new is sent under it for a while, and
-    /// [`PinCache::tick`] returns it once its requests are over.
+    /// Records a recall: no new request is sent under the pin for a while, and [`PinCache::tick`]
+    /// returns it when its requests have ended.
     pub fn recalled(&mut self, engine: &UpstreamId, adapter: &AdapterRef, now: Instant) {
         if let Some(pin) = self.pin_mut(engine, adapter) {
             pin.recalled_until = Some(now + RECALL_TTL);
         }
     }
 
-    /// Counts a request that is sent now. False: the pin has lapsed since it was checked, and
-    /// nothing may be sent.
+    /// Counts a request that is sent now. Returns false if the pin has expired or was recalled
+    /// since it was checked; the request must not be sent then.
     #[must_use]
     pub fn begin(&mut self, engine: &UpstreamId, adapter: &AdapterRef, now: Instant) -> bool {
         let Some(pin) = self.pin_mut(engine, adapter) else {
@@ -240,7 +244,7 @@
         true
     }
 
-    /// Counts a request as over, whatever became of it.
+    /// Records that a request has ended, successfully or not.
     pub fn returned(&mut self, engine: &UpstreamId, adapter: &AdapterRef, now: Instant) {
         if let Some(pin) = self.pin_mut(engine, adapter) {
             assert!(pin.in_use > 0, "a request ended that never began");
@@ -249,26 +253,27 @@
         }
     }
 
-    /// How many requests use the adapter on the engine.
+    /// The number of requests in flight to the adapter on the engine.
     pub fn in_use(&self, engine: &UpstreamId, adapter: &AdapterRef) -> u32 {
         self.pin(engine, adapter).map_or(0, |pin| pin.in_use)
     }
 
-    /// How many pins are known.
+    /// The number of pins known, held or requested.
     pub fn len(&self) -> usize {
         self.pins.values().map(HashMap::len).sum()
     }
 
-    /// Whether no pin is known.
+    /// Whether no pin is held or requested.
     pub fn is_empty(&self) -> bool {
         self.pins.is_empty()
     }
 
-    /// A pin given back on a recall is remembered as long as the recall holds: asked for again at
-    /// once, it would be granted if the ask overtook the return.
+    /// A pin that was returned after a recall stays known as long as the recall is in effect: a new
+    /// pin request could overtake the return and would be granted.
     ///
-    /// Renews pins in use, gives idle ones back and forgets lapsed ones. Call it several times a
-    /// second; asks and returns of one call to one owner go into one message.
+    /// Renews pins in use, returns idle ones and forgets expired ones. To be called several times a
+    /// second; the pin requests and returns of one call that go to one owner are sent in one
+    /// message.
     pub fn tick(&mut self, now: Instant, actions: &mut Vec<PinCacheAction>) {
         let settings = self.settings;
         let mut renew = Vec::new();
@@ -297,7 +302,7 @@
         }
     }
 
-    /// Gives back every pin that no request uses, as a node does before it leaves.
+    /// Returns every pin that no request uses, as a node does before it leaves.
     pub fn return_idle(&mut self, now: Instant, actions: &mut Vec<PinCacheAction>) {
         for (engine, pins) in &mut self.pins {
             pins.retain(|adapter, pin| {
@@ -319,8 +324,8 @@
     }
 }
 
-/// An ask that is under way keeps the pin known: its grant would otherwise arrive after the
-/// return, and the owner would hold a pin that nobody gives back.
+/// Whether the pin can be returned. A pin with an unanswered request is not: the grant would arrive
+/// after the return, and the owner would keep a pin that is never returned.
 fn is_finished(pin: &CachedPin, settings: &PinCacheSettings, now: Instant) -> bool {
     let is_asking = pin
         .pending
@@ -331,7 +336,8 @@
     pin.in_use == 0 && !is_asking && !is_waiting && (is_idle || pin.is_recalled(now))
 }
 
-/// A request in flight keeps its pin alive, also one whose pin has lapsed meanwhile.
+/// Whether the pin is due for renewal. While it has requests in flight, it is renewed even after it
+/// has expired.
 fn needs_renewal(pin: &CachedPin, settings: &PinCacheSettings, now: Instant) -> bool {
     let is_asking = pin
         .pending
--- a/crates/placement/src/pin_table.rs
+++ b/crates/placement/src/pin_table.rs
@@ -1,4 +1,4 @@
-//! The pins that an owner has granted on one engine.
+//! The pins that the owner of an engine has granted.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -9,36 +9,36 @@
 struct GrantedPin {
     node: NodeId,
     ask_id: u64,
-    /// The end of the lease and the margin.
+    /// When the lease and the margin end.
     honoured_until: Instant,
 }
 
 #[derive(Debug, Default)]
 struct AdapterPins {
     granted: Vec<GrantedPin>,
-    /// Since when nobody holds a pin, if anybody ever did.
+    /// When the last pin ended; `None` if there has been none.
     free_since: Option<Instant>,
-    /// Whether a pin lapsed rather than being given back since the adapter was last seen idle.
+    /// Whether a pin expired instead of being returned.
     has_lapsed: bool,
 }
 
-/// How an adapter became free of pins.
+/// How the last pins of an adapter ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PinHistory {
-    /// Since when nobody holds a pin; none if nobody ever did.
+    /// When the last pin ended; `None` if there has been none.
     pub free_since: Option<Instant>,
-    /// Whether a holder let its pin lapse: it may have requests that it could not tell of.
+    /// Whether a pin expired: its holder may still have requests in flight.
     pub has_lapsed: bool,
 }
 
-/// Pins granted on one engine.
+/// The pins granted on one engine.
 #[derive(Debug, Default)]
 pub(crate) struct PinTable {
     adapters: HashMap<AdapterRef, AdapterPins>,
 }
 
 impl PinTable {
-    /// Grants or renews the pin of `node`; it is honoured until `honoured_until`.
+    /// Grants or renews the pin of `node`, valid until `honoured_until`.
     pub fn grant(
         &mut self,
         node: &NodeId,
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Takes a pin back, unless the node has asked for it again since: a return that arrives late
-    /// must not end the pin that was granted after it.
+    /// Ends a pin that was returned, unless the node has requested it again since: a return that
+    /// arrives late must not end a pin granted after it.
     pub fn returned(&mut self, node: &NodeId, ask_id: u64, adapter: &AdapterRef, now: Instant) {
         let Some(pins) = self.adapters.get_mut(adapter) else {
             return;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Drops pins whose lease and margin have passed.
+    /// Ends pins whose lease and margin have passed.
     pub fn expire(&mut self, now: Instant) {
         for pins in self.adapters.values_mut() {
             let lapsed_at = pins
@@ -111,7 +111,7 @@
             .map(|pin| &pin.node)
     }
 
-    /// How the adapter became free. Call [`PinTable::expire`] first.
+    /// How the last pins of the adapter ended. Call [`PinTable::expire`] first.
     pub fn history(&self, adapter: &AdapterRef) -> PinHistory {
         self.adapters
             .get(adapter)
@@ -121,7 +121,8 @@
             })
     }
 
-    /// Forgets unpinned adapters that `is_held` does not know, so the table is bounded by slots.
+    /// Forgets adapters without pins that are not loaded, so that the number of slots bounds the
+    /// table.
     pub fn forget_absent(&mut self, is_held: impl Fn(&AdapterRef) -> bool) {
         self.adapters
             .retain(|adapter, pins| !pins.granted.is_empty() || is_held(adapter));
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -1,4 +1,4 @@
-//! The decision core: events in, actions out.
+//! Handles events and returns actions.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,11 +18,12 @@
     StoreUse, first_choice,
 };
 
-/// The key whose first choice among the live nodes schedules the failure domain's loads.
+/// The key for which [`first_choice`] among the live nodes gives the failure domain's load
+/// scheduler.
 const SCHEDULER_KEY: &str = "nutmegsail/load-scheduler";
 
-/// Placement on one node: owner of some engines, and load scheduler of its failure domain if it
-/// is first choice for that.
+/// Placement on one node: owns some engines, and schedules the loads of its failure domain if it is
+/// the node chosen for that.
 ///
 /// ```
 /// use std::time::Instant;
@@ -38,7 +39,7 @@
     settings: PlacementSettings,
     plan: Arc<PlacementPlan>,
     nodes: Vec<NodeId>,
-    /// The node that schedules the failure domain's loads; chosen once for each set of nodes.
+    /// The failure domain's load scheduler, chosen again when the live nodes change.
     scheduler_node: Option<NodeId>,
     view: DomainView,
     demand: DemandEstimate,
@@ -46,14 +47,14 @@
     scheduler: LoadScheduler,
     owned: BTreeMap<UpstreamId, EngineOwner>,
     next_order: u64,
-    /// Requests that the load scheduler has not been told of.
+    /// Requests that have not been reported to the load scheduler yet.
     untold_demand: BTreeMap<(AdapterRef, Class), f64>,
     told_demand_at: Option<Instant>,
     told_store_use_at: Option<Instant>,
 }
 
 impl Placement {
-    /// Placement that knows no text yet and owns nothing.
+    /// Creates a placement without a configuration that owns no engine.
     pub fn new(settings: PlacementSettings) -> Self {
         let demand = DemandEstimate::new(
             settings.demand_capacity,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Takes what happened at `now` and appends what is to be done to `actions`.
+    /// Handles an event that happened at `now` and appends the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         event: PlacementEvent,
@@ -153,21 +154,22 @@
         }
     }
 
-    /// The fencing numbers of the engines that this node owns.
+    /// The engines that this node owns, with their fencing tokens.
     pub fn owned_engines(&self) -> impl Iterator<Item = (&UpstreamId, u64)> {
         self.owned
             .iter()
             .map(|(engine, owner)| (engine, owner.fence()))
     }
 
-    /// The node to ask for pins on an engine of the own failure domain. While an engine is handed
-    /// over between two live nodes, this is the one that gives it up.
+    /// The node from which to request pins on an engine of this failure domain. During a handover
+    /// between two live nodes, this is the previous owner.
     pub fn owner_of(&self, engine: &UpstreamId, now: Instant) -> Option<&NodeId> {
         self.claims
             .owner_of(engine, self.settings.handover_delay, now)
     }
 
-    /// What to tell the other failure domains, on the node that schedules loads; none elsewhere.
+    /// The weight store use to report to other failure domains, on the load scheduler's node;
+    /// `None` on other nodes.
     pub fn store_use(&self, now: Instant) -> Option<StoreUse> {
         let is_scheduler = self.scheduler_node() == Some(&self.settings.node);
         is_scheduler.then(|| self.scheduler.store_use(now))
@@ -282,7 +284,8 @@
         self.schedule(now, actions);
     }
 
-    /// Runs `step` on an owned engine, then orders what follows from it.
+    /// Runs `step` on the owner of an engine, sends the order that is due after it, and handles the
+    /// outcomes.
     fn with_owner(
         &mut self,
         engine: &UpstreamId,
--- a/crates/placement/src/placement/loads.rs
+++ b/crates/placement/src/placement/loads.rs
@@ -1,4 +1,4 @@
-//! What is loaded: wants, permits and their outcomes.
+//! Demand, load requests, permits and their outcomes.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -11,11 +11,11 @@
     DemandCount, LoadOutcome, PlacementAction, PlacementMessage, PlacementNote, PlacementPlan,
 };
 
-/// How often the load scheduler is told of requests.
+/// How often requests are reported to the load scheduler.
 const DEMAND_INTERVAL: Duration = Duration::from_secs(2);
-/// How often other failure domains are told of the use of the weight store.
+/// How often weight store use is reported to other failure domains.
 const STORE_USE_INTERVAL: Duration = Duration::from_secs(1);
-/// How many adapters and classes one message names; requests for others are not told.
+/// The number of adapter and class pairs in one message; requests for others are not reported.
 const DEMAND_COUNTS: usize = 512;
 
 impl Placement {
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Tells the load scheduler what this node saw. A node of a large failure domain sees a small
-    /// part of its requests, so the message is small whatever the fleet's size.
+    /// Reports the requests that this node received to the load scheduler. In a large failure
+    /// domain each node receives a small part of the requests, so the message stays small.
     pub(super) fn tell_demand(&mut self, now: Instant, actions: &mut Vec<PlacementAction>) {
         let is_recent = |at: Instant| now < at + DEMAND_INTERVAL;
         if self.untold_demand.is_empty() || self.told_demand_at.is_some_and(is_recent) {
@@ -63,8 +63,8 @@
         });
     }
 
-    /// Tells the other failure domains how much of the weight store this one uses, so that they
-    /// may use the rest. Only the load scheduler does.
+    /// Reports to the other failure domains how much of the weight store this one uses, so that
+    /// they can use the rest. Only the load scheduler does this.
     pub(super) fn tell_store_use(&mut self, now: Instant, actions: &mut Vec<PlacementAction>) {
         let is_recent = |at: Instant| now < at + STORE_USE_INTERVAL;
         let Some(store_use) = self.store_use(now) else {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// What the engine holds, what is worth least first.
+    /// The adapters on the engine, lowest value first.
     fn victims_of(&self, engine: &UpstreamId, now: Instant) -> Vec<AdapterRef> {
         let held = self
             .view
@@ -114,8 +114,8 @@
             .collect()
     }
 
-    /// Loads the new version of an adapter in demand before the first request for it. The old one
-    /// keeps its slot while it is in demand, so callers of neither stall.
+    /// Requests the load of new versions of adapters in demand before the first request for them.
+    /// The old version keeps its slot while it is in demand, so that the callers of neither wait.
     pub(super) fn prepare_new_versions(&mut self, former: &PlacementPlan, now: Instant) {
         if former.adapters.is_empty() {
             return;
@@ -139,7 +139,8 @@
         }
     }
 
-    /// After a cold restart the engine's adapters are loaded again, those in demand first.
+    /// Requests the adapters that an engine lost by a cold restart to be loaded there again, in
+    /// order of demand.
     pub(super) fn reload(&mut self, engine: &UpstreamId, mut lost: Vec<AdapterRef>, now: Instant) {
         let rate = |adapter: &AdapterRef| self.demand.rate_per_s(adapter, now);
         lost.sort_by(|a, b| rate(b).total_cmp(&rate(a)).then_with(|| a.cmp(b)));
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Permits what the weight store's budget allows.
+    /// Sends permits for the loads that the weight store's budget allows.
     pub(super) fn schedule(&mut self, now: Instant, actions: &mut Vec<PlacementAction>) {
         let (scheduler, inputs) = self.scheduling(now);
         let permits = scheduler.next_permits(&inputs);
@@ -297,7 +298,7 @@
         });
     }
 
-    /// Tells the load scheduler, here or on another node, how a load ended.
+    /// Reports how a load ended to the load scheduler, on this node or another one.
     pub(super) fn load_ended(
         &mut self,
         engine: &UpstreamId,
--- a/crates/placement/src/placement/owning.rs
+++ b/crates/placement/src/placement/owning.rs
@@ -1,4 +1,4 @@
-//! Which engines this node owns.
+//! Claims, takes over and releases engines.
 
 use std::time::Instant;
 
@@ -39,10 +39,10 @@
         }
     }
 
-    /// The key-value service is out. An engine that checks fencing numbers decides in its place:
-    /// the first order with the higher number takes the engine over. For an engine that ignores
-    /// them nobody could refuse the former owner, so it keeps what it has until the service is
-    /// back.
+    /// The key-value service did not decide a claim. For an engine that checks fencing tokens, this
+    /// node takes over without the service: its first order with the higher number makes the engine
+    /// refuse the previous owner. An engine that ignores them could not refuse the previous owner,
+    /// which therefore keeps the engine until the service is back.
     pub(super) fn claim_unanswered(
         &mut self,
         engine: &UpstreamId,
@@ -148,9 +148,9 @@
         }
     }
 
-    /// Another node took the engine. It is not claimed back before that owner could have evicted
-    /// anything; two nodes that see each other as gone would otherwise take it in turns, and
-    /// nothing would ever be evicted.
+    /// Another node took over the engine. This node does not claim it again before the new owner
+    /// could have evicted anything; otherwise two nodes that see each other as gone would take it
+    /// over by turns, and nothing would ever be evicted.
     pub(super) fn fenced_out(
         &mut self,
         engine: &UpstreamId,
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -1,41 +1,41 @@
-//! What the operators' text says to placement.
+//! The part of the operators' configuration that placement uses.
 
 use std::collections::HashMap;
 
 use nutmegsail_base::{AdapterRef, FailureDomain, ServiceName, UpstreamId};
 use nutmegsail_config::{Deployment, Service, ServiceKind};
 
-/// One engine of the text.
+/// One engine of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EnginePlan {
     /// The engine.
     pub upstream: UpstreamId,
-    /// The service it serves; only this service's adapters are loaded here.
+    /// The service that it belongs to; it loads only this service's adapters.
     pub service: ServiceName,
-    /// Where it stands.
+    /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// How many adapters fit.
+    /// The number of adapters that it can hold.
     pub adapter_slots: u32,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether it refuses orders with an outdated fencing token.
     pub checks_fencing: bool,
 }
 
-/// What placement has to know of the text in force. A new one is given with each generation.
+/// What placement needs from the configuration in force. Each generation brings a new one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementPlan {
-    /// Every engine.
+    /// All engines.
     pub engines: Vec<EnginePlan>,
-    /// Every adapter and version that may be asked for, with the service it belongs to.
+    /// Every adapter version that may be requested, with its service.
     pub adapters: HashMap<AdapterRef, ServiceName>,
-    /// Loads a second that the weight store allows the whole deployment.
+    /// Loads per second that the weight store allows for the whole deployment.
     pub loads_per_s: f64,
-    /// Loads at a time that the weight store serves at full speed.
+    /// The number of concurrent loads that the weight store serves at full speed.
     pub loads_at_full_speed: u32,
-    /// How many failure domains share the weight store.
+    /// The number of failure domains that share the weight store.
     pub failure_domains: u32,
-    /// How much a wait for an adapter costs, 0 to 1.
+    /// The cost of a wait for an adapter, 0 to 1.
     pub load_stall_weight: f64,
-    /// How much a step that is not full costs, 0 to 1.
+    /// The cost of a batch step that is not full, 0 to 1.
     pub batch_efficiency_weight: f64,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl PlacementPlan {
-    /// Takes from a checked text what placement needs.
+    /// Extracts what placement needs from a validated deployment.
     pub fn from_deployment(deployment: &Deployment) -> Self {
         let mut plan = Self {
             loads_per_s: deployment.limits.loads_per_s,
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -1,10 +1,10 @@
-//! Times and bounds of placement.
+//! Settings of placement.
 
 use std::time::Duration;
 
 use nutmegsail_base::{FailureDomain, NodeId};
 
-/// How placement behaves on one node.
+/// The settings of placement on one node.
 ///
 /// ```
 /// use nutmegsail_placement::PlacementSettings;
@@ -15,64 +15,65 @@
 pub struct PlacementSettings {
     /// This node.
     pub node: NodeId,
-    /// This node's failure domain; it owns engines of this one only.
+    /// This node's failure domain. The node owns engines of this domain only.
     pub failure_domain: FailureDomain,
-    /// How long a pin is granted for.
+    /// The duration of a pin.
     pub pin_lease: Duration,
-    /// How much longer than the lease an owner honours a pin, for clocks that run apart.
+    /// How much longer than its duration an owner honours a pin, since clocks may differ.
     pub pin_margin: Duration,
-    /// How much older than the time it was asked for a report may be.
+    /// The longest time by which the state in a report may be older than its request.
     pub report_lag: Duration,
-    /// How long a report without a higher fence lets an owner grant pins, where the engine checks
-    /// fencing numbers.
+    /// How long after a report without a higher fencing token was requested an owner may grant
+    /// pins, on an engine that checks fencing tokens.
     pub authority_ttl: Duration,
-    /// How long an order may be carried out after it was made.
+    /// How long after it was made an order may be carried out.
     pub order_valid_for: Duration,
     /// How long a node must be first choice for an engine before it claims the engine.
     pub takeover_delay: Duration,
-    /// How long an owner that is no longer first choice keeps an engine.
+    /// How long an owner that is no longer first choice keeps an engine before it releases it.
     pub handover_delay: Duration,
-    /// When a claim without an answer is made again.
+    /// The time after which an unanswered claim is repeated.
     pub claim_retry: Duration,
-    /// How long an adapter stays after its load before it may make room, against two adapters
-    /// that swap in one slot.
+    /// The shortest time between the load of an adapter and its eviction, so that two adapters
+    /// don't replace each other in one slot at every request.
     pub min_residency: Duration,
-    /// The time in which past demand counts half.
+    /// The half-life of the long-term demand.
     pub demand_half_life: Duration,
-    /// The time in which past demand counts half when a rise is looked for.
+    /// The half-life of the short-term demand, which shows a rise early.
     pub rise_half_life: Duration,
-    /// How many adapters have their demand remembered.
+    /// The number of adapters whose demand is remembered.
     pub demand_capacity: usize,
-    /// How many adapters may wait for a load.
+    /// The largest number of pending loads.
     pub want_capacity: usize,
-    /// How long a want lives without being repeated.
+    /// How long a pending load is kept after it was last requested.
     pub want_ttl: Duration,
-    /// Requests a second that one replica of an adapter is meant for.
+    /// Requests per second that one replica of an adapter should serve.
     pub replica_rate_per_s: f64,
-    /// How much urgent demand counts against routine demand.
+    /// The weight of an urgent request, relative to a routine one.
     pub urgent_weight: f64,
-    /// How many times its victim's demand an adapter without waiting requests must have.
+    /// How many times the demand of the adapter to be evicted an adapter must have to be
+    /// prefetched.
     pub prefetch_advantage: f64,
-    /// How long an owner looks for a victim before the load goes elsewhere.
+    /// How long an owner looks for an adapter to evict before the load goes elsewhere.
     pub victim_patience: Duration,
-    /// How long a load waits for an adapter that nobody uses before one in use is drained.
+    /// How long a load waits for an adapter that is not in use before one in use is drained.
     pub drain_after: Duration,
-    /// How long an adapter is drained before it goes back into service.
+    /// How long an adapter is drained before it is returned to service.
     pub drain_patience: Duration,
-    /// After this time a load that nobody saw end counts as failed.
+    /// The time after which a load whose end was not observed counts as failed.
     pub load_timeout: Duration,
-    /// The first wait after a load failed or the weight store refused; it doubles.
+    /// The first backoff after a load failed or the weight store refused; it doubles each time.
     pub first_backoff: Duration,
-    /// The longest wait after a load failed or the weight store refused.
+    /// The longest backoff after a load failed or the weight store refused.
     pub longest_backoff: Duration,
-    /// Every so many loads one goes to routine work while urgent loads wait.
+    /// One in so many loads is a routine one while urgent loads wait.
     pub routine_every: u32,
-    /// After this time the summary of another failure domain no longer counts.
+    /// How long another failure domain's report of its weight store use counts.
     pub store_use_ttl: Duration,
 }
 
 impl PlacementSettings {
-    /// The usual settings for `node` in `failure_domain`.
+    /// The default settings for `node` in `failure_domain`.
     pub fn new(node: impl Into<NodeId>, failure_domain: impl Into<FailureDomain>) -> Self {
         Self {
             node: node.into(),
--- a/crates/placement/src/slot_map.rs
+++ b/crates/placement/src/slot_map.rs
@@ -1,37 +1,37 @@
-//! The adapter slots of one engine, as its owner sees them.
+//! The adapter slots of one engine, as known to its owner.
 
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::{AdapterRef, AdapterState, EngineReport, HeldAdapter};
 
-/// How long an adapter that could not be drained is left alone.
+/// How long an adapter whose drain failed is not drained again.
 const DRAIN_PAUSE: Duration = Duration::from_secs(10);
 
-/// How far an adapter is on its way into or out of its slot.
+/// The state of the adapter in a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SlotState {
-    /// It serves.
+    /// It serves requests.
     Ready,
-    /// A load was ordered or is under way.
+    /// Its load was ordered or is in progress.
     Loading,
-    /// It serves what runs; nobody may start to use it.
+    /// It serves the requests that use it; no new pin is granted.
     Draining,
-    /// An unload was ordered; nobody may start to use it.
+    /// Its unload was ordered; no pin is granted.
     Unloading,
 }
 
-/// One slot that is taken.
+/// A slot in use.
 #[derive(Clone, Debug)]
 pub(crate) struct Slot {
     pub adapter: AdapterRef,
     pub state: SlotState,
-    /// When it was first seen here.
+    /// When it became ready, or was first seen if it is not ready yet.
     pub since: Instant,
-    /// A report on it counts only if taken after this time.
+    /// Only a report requested after this time shows whether it is idle.
     pub idle_proof_after: Instant,
-    /// Since when it is drained.
+    /// When its drain began.
     pub draining_since: Option<Instant>,
-    /// It ran too long to be drained and is left alone until then.
+    /// Its drain failed; it is not drained again before this time.
     pub no_drain_before: Option<Instant>,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// What a report changed.
+/// The changes that a report made to the slots.
 #[derive(Debug, Default)]
 pub(crate) struct SlotChanges {
     pub became_ready: Vec<AdapterRef>,
@@ -56,7 +56,7 @@
     pub vanished: Vec<Slot>,
 }
 
-/// The slots of one engine. There are never more than the engine has.
+/// The slots in use on one engine, never more than the engine has.
 #[derive(Debug, Default)]
 pub(crate) struct SlotMap {
     slots: Vec<Slot>,
@@ -84,7 +84,7 @@
         Some(self.slots.swap_remove(at))
     }
 
-    /// Takes a slot for a load that is about to be ordered.
+    /// Reserves a slot for a load that is about to be ordered.
     pub fn begin_load(&mut self, adapter: &AdapterRef, adapter_slots: u32, now: Instant) {
         assert!(
             self.slots.len() < adapter_slots as usize,
@@ -95,7 +95,7 @@
         self.slots.push(slot);
     }
 
-    /// Stops new use of an adapter.
+    /// Marks an adapter as draining, so that no new pin is granted.
     pub fn begin_drain(&mut self, adapter: &AdapterRef, now: Instant) {
         if let Some(slot) = self.get_mut(adapter) {
             slot.state = SlotState::Draining;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Puts an adapter back into service that could not be drained.
+    /// Returns an adapter to service after its drain failed.
     pub fn end_drain(&mut self, adapter: &AdapterRef, now: Instant) {
         if let Some(slot) = self.get_mut(adapter) {
             slot.state = SlotState::Ready;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The adapter that is drained; one at a time.
+    /// The adapter that is draining; there is at most one.
     pub fn draining(&self) -> Option<&AdapterRef> {
         let draining = self.slots.iter().find(|s| s.state == SlotState::Draining)?;
         Some(&draining.adapter)
@@ -122,19 +122,19 @@
         self.draining().is_some()
     }
 
-    /// Whether the drain under way has taken longer than `patience`.
+    /// Whether the drain in progress has taken longer than `timeout`.
     pub fn drain_is_over(&self, patience: Duration, now: Instant) -> bool {
         let is_over = |since: Instant| now >= since + patience;
         let mut slots = self.slots.iter();
         slots.any(|s| s.state == SlotState::Draining && s.draining_since.is_some_and(is_over))
     }
 
-    /// Empties the map and returns what was in it, as after a cold restart.
+    /// Removes and returns all slots, as after a cold restart.
     pub fn clear(&mut self) -> Vec<Slot> {
         std::mem::take(&mut self.slots)
     }
 
-    /// Takes over states of slots that both sides know.
+    /// Marks loads as ready that the report shows as ready. Adds and removes no slot.
     pub fn update_states(&mut self, report: &EngineReport, now: Instant) -> SlotChanges {
         let mut changes = SlotChanges::default();
         for held in &report.adapters {
@@ -151,7 +151,7 @@
         changes
     }
 
-    /// Makes the map what the report says. Only for a report that knows of every order.
+    /// Replaces the slots by those of the report. Only for a report that reflects every order.
     pub fn reconcile(&mut self, report: &EngineReport, now: Instant) -> SlotChanges {
         let mut changes = self.update_states(report, now);
         let is_reported = |slot: &Slot| report.adapters.iter().any(|h| h.adapter == slot.adapter);
@@ -168,7 +168,7 @@
         changes
     }
 
-    /// An unload that did not happen: the adapter still serves.
+    /// Returns adapters to service whose unload did not take place.
     fn undo_unloads(&mut self, report: &EngineReport, now: Instant, changes: &mut SlotChanges) {
         for held in &report.adapters {
             let Some(slot) = self.get_mut(&held.adapter) else {
--- a/crates/placement/src/store_budget.rs
+++ b/crates/placement/src/store_budget.rs
@@ -1,4 +1,4 @@
-//! The share of the weight store's rate that this failure domain may use.
+//! Limits the loads of this failure domain to its share of the weight store's rate.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,14 +7,15 @@
 
 use crate::{PlacementPlan, PlacementSettings};
 
-/// How many loads may be saved up while none is wanted.
+/// The number of unused loads that accumulate.
 const BURST_LOADS: f64 = 2.0;
-/// How far an urgent load may run ahead of the rate, so that it does not wait out a routine one.
+/// The number of loads by which an urgent load may exceed the rate, so that it need not wait after
+/// a routine one.
 const URGENT_DEBT_LOADS: f64 = 1.0;
-/// The time over which the own use is told to other failure domains.
+/// The half-life of the recent loads that are reported to other failure domains.
 const USE_WINDOW: Duration = Duration::from_secs(5);
 
-/// What another failure domain said of its use.
+/// The weight store use that another failure domain reported.
 #[derive(Clone, Copy, Debug)]
 struct PeerUse {
     loads_per_s: f64,
@@ -22,16 +23,17 @@
     at: Instant,
 }
 
-/// What this failure domain tells the others about its use of the weight store.
+/// The weight store use that this failure domain reports to the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreUse {
-    /// Loads a second of late.
+    /// Recent loads per second.
     pub loads_per_s: f64,
-    /// How many loads wait.
+    /// The number of loads that wait.
     pub backlog: u32,
 }
 
-/// A token bucket over the own share, and over what connected failure domains leave unused.
+/// A token bucket filled at this failure domain's share, plus what connected failure domains leave
+/// unused.
 #[derive(Debug)]
 pub(crate) struct StoreBudget {
     loads_per_s: f64,
@@ -86,11 +88,11 @@
         self.peers.insert(domain, peer);
     }
 
-    /// Loads a second that this failure domain may make now.
+    /// Loads per second that this failure domain may make now.
     ///
-    /// The static share needs no talk, so a domain that is cut off can't overload the store. What
-    /// a connected domain leaves unused is split among those with a backlog: even if all borrow at
-    /// once, the sum stays within the rate.
+    /// The fixed share needs no communication, so a domain that is cut off can't overload the
+    /// store. What connected domains leave unused is divided among those with a backlog: even if
+    /// all of them use their part at the same time, the total stays within the rate.
     pub fn rate_per_s(&self, now: Instant) -> f64 {
         let share = self.loads_per_s / f64::from(self.failure_domains);
         let is_fresh = |peer: &&PeerUse| now < peer.at + self.peer_ttl;
@@ -114,7 +116,7 @@
         !is_closed && self.loads_per_s > 0.0 && self.tokens >= needed
     }
 
-    /// Whether nothing was loaded for a while.
+    /// Whether the bucket is full and no backoff is in effect.
     pub fn is_idle(&mut self, now: Instant) -> bool {
         self.allows(Class::Routine, now) && self.tokens >= BURST_LOADS
     }
@@ -125,8 +127,9 @@
         self.recent_at = Some(now);
     }
 
-    /// The store refused: nothing is ordered for a while, longer each time. `spread` (0 to 1)
-    /// keeps failure domains that were refused together from coming back together.
+    /// Records that the store refused a load: no load is allowed for a backoff that doubles each
+    /// time. `jitter` (0 to 1) varies the backoff, so that failure domains that were refused
+    /// together don't retry together.
     pub fn refused(&mut self, spread: f64, now: Instant) {
         if self.closed_until.is_some_and(|until| now < until) {
             return;
@@ -139,7 +142,7 @@
         self.closed_until = Some(now + wait);
     }
 
-    /// Whether the last load that ended was refused by the store.
+    /// Whether the store has refused a load since the last one that succeeded.
     pub fn is_refused(&self) -> bool {
         self.refusals > 0
     }
@@ -148,7 +151,7 @@
         self.refusals = 0;
     }
 
-    /// The own use of late, in loads a second.
+    /// The recent loads per second of this failure domain.
     pub fn own_use_per_s(&self, now: Instant) -> f64 {
         self.recent(now) * std::f64::consts::LN_2 / USE_WINDOW.as_secs_f64()
     }
--- a/crates/placement/src/want.rs
+++ b/crates/placement/src/want.rs
@@ -1,13 +1,14 @@
-//! An adapter that waits for its load.
+//! A load that waits for its permit.
 
 use std::time::Instant;
 
 use nutmegsail_base::{Class, UpstreamId};
 
-/// A want younger than this is not more pressing for being new.
+/// Added to the age of a pending load, in seconds, so that a new one does not outrank all others
+/// because its age is near zero.
 const NEW_WANT_S: f64 = 0.1;
 
-/// Why an adapter is wanted. The order is that of loading.
+/// Why an adapter is to be loaded, in the order in which loads are permitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum WantOrigin {
     /// Urgent requests wait.
@@ -47,11 +48,12 @@
 }
 
 impl Want {
-    /// How pressing a want is: requests that wait for it, and less the longer they have waited.
+    /// The rank among pending loads of the same priority: higher with more waiting requests, lower
+    /// with age.
     ///
-    /// Where more is wanted than the weight store can load, some requests give up. Loading what was
-    /// wanted longest ago first comes too late for most of them, and each new want then waits as
-    /// long as the last one.
+    /// When more loads are requested than the weight store can serve, some requests time out.
+    /// Serving the oldest load first would be too late for most of its requests, and each new load
+    /// would then wait as long as the last one.
     pub fn pressure(&self, now: Instant) -> f64 {
         let age_s = now.saturating_duration_since(self.first_at).as_secs_f64();
         self.asked.powi(2) / (NEW_WANT_S + age_s).powi(3)
