--- a/crates/placement/src/claims.rs
+++ b/crates/placement/src/claims.rs
@@ -12,11 +12,11 @@
 struct ClaimState {
     owner: Option<NodeId>,
     /// The previous choice, while it is live, and the time at which it stopped being the choice.
-    former: Option<(NodeId, Instant)>,
+    previous: Option<(NodeId, Instant)>,
     /// The time at which this node became first choice; `None` while another node is.
     chosen_since: Option<Instant>,
     /// The time at which another node became first choice.
-    passed_over_since: Option<Instant>,
+    not_chosen_since: Option<Instant>,
     claimed_at: Option<Instant>,
     not_before: Option<Instant>,
 }
@@ -26,7 +26,7 @@
 pub(crate) enum ClaimStep {
     Claim,
     /// A claim was not answered within `claim_retry`.
-    Overdue,
+    TimedOut,
     Release,
 }
 
@@ -42,18 +42,18 @@
         &mut self,
         engines: impl Iterator<Item = &'a UpstreamId>,
         nodes: &[NodeId],
-        this: &NodeId,
+        this_node: &NodeId,
         now: Instant,
     ) {
-        let mut former = std::mem::take(&mut self.engines);
+        let mut previous = std::mem::take(&mut self.engines);
         for engine in engines {
-            let mut state = former.remove(engine).unwrap_or_default();
-            state.note_choice(first_choice(engine, nodes), nodes, now);
-            if state.owner.as_ref() == Some(this) {
+            let mut state = previous.remove(engine).unwrap_or_default();
+            state.record_choice(first_choice(engine, nodes), nodes, now);
+            if state.owner.as_ref() == Some(this_node) {
                 state.chosen_since.get_or_insert(now);
-                state.passed_over_since = None;
+                state.not_chosen_since = None;
             } else {
-                state.passed_over_since.get_or_insert(now);
+                state.not_chosen_since.get_or_insert(now);
                 state.chosen_since = None;
                 state.claimed_at = None;
             }
@@ -69,21 +69,21 @@
         now: Instant,
     ) -> Option<&NodeId> {
         let state = self.engines.get(engine)?;
-        match &state.former {
-            Some((former, since)) if now < *since + handover_delay => Some(former),
+        match &state.previous {
+            Some((previous, since)) if now < *since + handover_delay => Some(previous),
             _ => state.owner.as_ref(),
         }
     }
 
     /// Records that a claim was answered.
-    pub fn answered(&mut self, engine: &UpstreamId) {
+    pub fn record_answer(&mut self, engine: &UpstreamId) {
         if let Some(state) = self.engines.get_mut(engine) {
             state.claimed_at = None;
         }
     }
 
     /// Keeps this node from claiming the engine for `wait`.
-    pub fn wait(&mut self, engine: &UpstreamId, wait: Duration, now: Instant) {
+    pub fn defer(&mut self, engine: &UpstreamId, wait: Duration, now: Instant) {
         if let Some(state) = self.engines.get_mut(engine) {
             state.claimed_at = None;
             state.not_before = Some(now + wait);
@@ -93,7 +93,7 @@
     /// Returns the claims and releases that are due. Nodes that are gone or back for a short time
     /// cause no takeover, because after each takeover the engine evicts nothing for the length of a
     /// pin lease.
-    pub fn steps(
+    pub fn due_steps(
         &mut self,
         settings: &PlacementSettings,
         is_owned: impl Fn(&UpstreamId) -> bool,
@@ -110,12 +110,13 @@
 }
 
 impl ClaimState {
-    fn note_choice(&mut self, choice: Option<&NodeId>, nodes: &[NodeId], now: Instant) {
+    fn record_choice(&mut self, choice: Option<&NodeId>, nodes: &[NodeId], now: Instant) {
         if self.owner.as_ref() != choice {
-            let former = std::mem::replace(&mut self.owner, choice.cloned());
-            self.former = former.map(|former| (former, now));
+            let previous = std::mem::replace(&mut self.owner, choice.cloned());
+            self.previous = previous.map(|previous| (previous, now));
         }
-        self.former.take_if(|(former, _)| !nodes.contains(former));
+        self.previous
+            .take_if(|(previous, _)| !nodes.contains(previous));
     }
 
     fn step(
@@ -126,7 +127,7 @@
     ) -> Option<ClaimStep> {
         let is_over = |since: Option<Instant>, wait| since.is_some_and(|at| now >= at + wait);
         if is_owned {
-            let hand_over = is_over(self.passed_over_since, settings.handover_delay);
+            let hand_over = is_over(self.not_chosen_since, settings.handover_delay);
             return hand_over.then_some(ClaimStep::Release);
         }
         let is_waiting = self.not_before.is_some_and(|at| now < at);
@@ -140,7 +141,7 @@
             }
             Some(at) if now >= at + settings.claim_retry => {
                 self.claimed_at = None;
-                Some(ClaimStep::Overdue)
+                Some(ClaimStep::TimedOut)
             }
             Some(_) => None,
         }
--- a/crates/placement/src/demand.rs
+++ b/crates/placement/src/demand.rs
@@ -7,7 +7,7 @@
 use nutmegsail_base::{AdapterRef, Class};
 
 /// The share of the short-term rate in the blended rate.
-const RISE_SHARE: f64 = 0.4;
+const SHORT_TERM_SHARE: f64 = 0.4;
 
 /// A sum of request weights with exponential decay.
 #[derive(Clone, Copy, Debug)]
@@ -29,9 +29,9 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct AdapterDemand {
-    steady: DecayedRate,
-    rise: DecayedRate,
+struct AdapterRates {
+    long_term: DecayedRate,
+    short_term: DecayedRate,
 }
 
 /// The request rate of each adapter, with exponential decay. Memory is bounded: beyond the
@@ -50,9 +50,9 @@
 /// assert!(demand.rate_per_s(&adapter, now + half_life) < fresh / 2.0);
 /// ```
 pub struct DemandEstimate {
-    adapters: LruCache<AdapterRef, AdapterDemand>,
+    adapters: LruCache<AdapterRef, AdapterRates>,
     half_life: Duration,
-    rise_half_life: Duration,
+    short_half_life: Duration,
     urgent_weight: f64,
 }
 
@@ -70,14 +70,14 @@
     pub fn new(
         capacity: usize,
         half_life: Duration,
-        rise_half_life: Duration,
+        short_half_life: Duration,
         urgent_weight: f64,
     ) -> Self {
         let capacity = NonZeroUsize::new(capacity).unwrap_or(NonZeroUsize::MIN);
         Self {
             adapters: LruCache::new(capacity),
             half_life,
-            rise_half_life,
+            short_half_life,
             urgent_weight,
         }
     }
@@ -88,26 +88,29 @@
             Class::Urgent => weight * self.urgent_weight,
             Class::Routine => weight,
         };
-        let (half_life, rise_half_life) = (self.half_life, self.rise_half_life);
+        let (half_life, short_half_life) = (self.half_life, self.short_half_life);
         let demand = self.entry(adapter, now);
-        demand.steady.add(weight, now, half_life);
-        demand.rise.add(weight, now, rise_half_life);
+        demand.long_term.add(weight, now, half_life);
+        demand.short_term.add(weight, now, short_half_life);
     }
 
     /// Raises the demand of `new_version` to at least that of `from`, so that a new version starts
     /// with the demand of the old one.
-    pub fn inherit(&mut self, heir: &AdapterRef, from: &AdapterRef, now: Instant) {
+    pub fn inherit(&mut self, new_version: &AdapterRef, from: &AdapterRef, now: Instant) {
         let Some(demand) = self.adapters.peek(from).copied() else {
             return;
         };
-        let (half_life, rise_half_life) = (self.half_life, self.rise_half_life);
-        let steady = demand.steady.weight_at(now, half_life);
-        let rise = demand.rise.weight_at(now, rise_half_life);
-        let entry = self.entry(heir, now);
-        entry.steady.weight = entry.steady.weight_at(now, half_life).max(steady);
-        entry.steady.at = now;
-        entry.rise.weight = entry.rise.weight_at(now, rise_half_life).max(rise);
-        entry.rise.at = now;
+        let (half_life, short_half_life) = (self.half_life, self.short_half_life);
+        let long_term = demand.long_term.weight_at(now, half_life);
+        let short_term = demand.short_term.weight_at(now, short_half_life);
+        let entry = self.entry(new_version, now);
+        entry.long_term.weight = entry.long_term.weight_at(now, half_life).max(long_term);
+        entry.long_term.at = now;
+        entry.short_term.weight = entry
+            .short_term
+            .weight_at(now, short_half_life)
+            .max(short_term);
+        entry.short_term.at = now;
     }
 
     /// Weighted requests per second, blended from the long-term and the short-term rate.
@@ -116,7 +119,7 @@
     /// those that are popular now; the short-term rate alone would treat every single request as a
     /// rise in demand.
     pub fn rate_per_s(&self, adapter: &AdapterRef, now: Instant) -> f64 {
-        let rate = |demand: &AdapterDemand| self.blended_rate(demand, now);
+        let rate = |demand: &AdapterRates| self.blended_rate(demand, now);
         self.adapters.peek(adapter).map_or(0.0, rate)
     }
 
@@ -151,22 +154,23 @@
         self.adapters.is_empty()
     }
 
-    fn blended_rate(&self, demand: &AdapterDemand, now: Instant) -> f64 {
-        let steady = demand.steady.weight_at(now, self.half_life) * per_second(self.half_life);
-        let rise =
-            demand.rise.weight_at(now, self.rise_half_life) * per_second(self.rise_half_life);
-        RISE_SHARE * rise + (1.0 - RISE_SHARE) * steady
+    fn blended_rate(&self, demand: &AdapterRates, now: Instant) -> f64 {
+        let long_term =
+            demand.long_term.weight_at(now, self.half_life) * per_second(self.half_life);
+        let short_term = demand.short_term.weight_at(now, self.short_half_life)
+            * per_second(self.short_half_life);
+        SHORT_TERM_SHARE * short_term + (1.0 - SHORT_TERM_SHARE) * long_term
     }
 
-    fn entry(&mut self, adapter: &AdapterRef, now: Instant) -> &mut AdapterDemand {
+    fn entry(&mut self, adapter: &AdapterRef, now: Instant) -> &mut AdapterRates {
         self.adapters.get_or_insert_mut_ref(adapter, || {
             let none = DecayedRate {
                 weight: 0.0,
                 at: now,
             };
-            AdapterDemand {
-                steady: none,
-                rise: none,
+            AdapterRates {
+                long_term: none,
+                short_term: none,
             }
         })
     }
--- a/crates/placement/src/domain_view.rs
+++ b/crates/placement/src/domain_view.rs
@@ -16,9 +16,9 @@
 const COST_AVOIDED: f64 = 5_000.0;
 /// Weight of the demand that an engine already serves per slot, relative to the demand of the
 /// adapter to be evicted.
-const BALANCE_SHARE: f64 = 0.05;
+const BALANCE_WEIGHT: f64 = 0.05;
 /// The factor on the value of an adapter that has more replicas than it needs.
-const SURPLUS_SHARE: f64 = 0.1;
+const SURPLUS_VALUE_SHARE: f64 = 0.1;
 
 #[derive(Debug)]
 pub(crate) struct EngineView {
@@ -29,7 +29,7 @@
 }
 
 impl EngineView {
-    fn takes_loads(&self) -> bool {
+    fn accepts_loads(&self) -> bool {
         !self.is_gone && !self.report.as_ref().is_some_and(|report| report.is_leaving)
     }
 
@@ -46,7 +46,7 @@
 }
 
 /// The load for which an engine is to be chosen.
-pub(crate) struct LoadPlace<'a> {
+pub(crate) struct PlacementQuery<'a> {
     pub adapter: &'a AdapterRef,
     pub avoid: Option<&'a UpstreamId>,
     /// The number of loads in flight to an engine.
@@ -78,25 +78,27 @@
     }
 
     /// Replaces the engines by those of the new plan and keeps the reports of the ones that remain.
-    pub fn replan<'a>(&mut self, engines: impl Iterator<Item = &'a EnginePlan>) {
-        let mut former = std::mem::take(&mut self.engines);
+    pub fn apply_plan<'a>(&mut self, engines: impl Iterator<Item = &'a EnginePlan>) {
+        let mut previous = std::mem::take(&mut self.engines);
         self.engines_by_service.clear();
         for plan in engines {
             *self
                 .engines_by_service
                 .entry(plan.service.clone())
                 .or_default() += 1;
-            let mut view = former.remove(&plan.upstream).unwrap_or_else(|| EngineView {
-                plan: plan.clone(),
-                report: None,
-                taken_at: None,
-                is_gone: false,
-            });
+            let mut view = previous
+                .remove(&plan.upstream)
+                .unwrap_or_else(|| EngineView {
+                    plan: plan.clone(),
+                    report: None,
+                    taken_at: None,
+                    is_gone: false,
+                });
             view.plan = plan.clone();
             self.engines.insert(plan.upstream.clone(), view);
         }
-        for view in former.into_values() {
-            count_out(&mut self.replicas, view.report.as_ref());
+        for view in previous.into_values() {
+            remove_replicas(&mut self.replicas, view.report.as_ref());
         }
     }
 
@@ -109,7 +111,7 @@
     }
 
     /// The adapters held by at least one engine that is not leaving.
-    pub fn held(&self) -> impl Iterator<Item = &AdapterRef> {
+    pub fn held_adapters(&self) -> impl Iterator<Item = &AdapterRef> {
         self.replicas.keys()
     }
 
@@ -129,7 +131,7 @@
     }
 
     /// Records a report, unless a newer one is known.
-    pub fn report(
+    pub fn record_report(
         &mut self,
         engine: &UpstreamId,
         report: &EngineReport,
@@ -146,17 +148,17 @@
         if let Some(known) = view.report.as_ref().filter(|known| is_restarted(known)) {
             effect.lost_by_restart = known.adapters.iter().map(|h| h.adapter.clone()).collect();
         }
-        count_out(&mut self.replicas, view.report.as_ref());
-        count_in(&mut self.replicas, report);
+        remove_replicas(&mut self.replicas, view.report.as_ref());
+        add_replicas(&mut self.replicas, report);
         view.report = Some(report.clone());
         view.taken_at = Some(taken_at);
         view.is_gone = false;
         effect
     }
 
-    pub fn gone(&mut self, engine: &UpstreamId) {
+    pub fn record_gone(&mut self, engine: &UpstreamId) {
         if let Some(view) = self.engines.get_mut(engine) {
-            count_out(&mut self.replicas, view.report.as_ref());
+            remove_replicas(&mut self.replicas, view.report.as_ref());
             view.report = None;
             view.is_gone = true;
         }
@@ -168,10 +170,10 @@
             .is_some_and(|view| view.holds(adapter))
     }
 
-    pub fn takes_loads(&self, engine: &UpstreamId) -> bool {
+    pub fn accepts_loads(&self, engine: &UpstreamId) -> bool {
         self.engines
             .get(engine)
-            .is_some_and(EngineView::takes_loads)
+            .is_some_and(EngineView::accepts_loads)
     }
 
     /// The number of engines that hold the adapter, ready or loading, without those that are
@@ -203,7 +205,7 @@
         let replicas = self.replicas(adapter).max(1);
         let share = rate / f64::from(replicas);
         if replicas > self.replicas_for(service, rate) {
-            share * SURPLUS_SHARE
+            share * SURPLUS_VALUE_SHARE
         } else {
             share
         }
@@ -213,21 +215,21 @@
     /// rendezvous hashing on the adapter.
     pub fn choose_engine(
         &self,
-        place: &LoadPlace<'_>,
+        query: &PlacementQuery<'_>,
         plan: &PlacementPlan,
         demand: &DemandEstimate,
         now: Instant,
     ) -> Option<ChosenEngine> {
-        let service = plan.adapters.get(place.adapter)?;
+        let service = plan.adapters.get(query.adapter)?;
         let is_candidate = |view: &&EngineView| {
-            view.plan.service == *service && view.takes_loads() && !view.holds(place.adapter)
+            view.plan.service == *service && view.accepts_loads() && !view.holds(query.adapter)
         };
-        let key = place.adapter.name.as_str();
+        let key = query.adapter.name.as_str();
         self.engines
             .values()
             .filter(is_candidate)
             .map(|view| {
-                let (cost, displaced) = self.cost(view, place, plan, demand, now);
+                let (cost, displaced) = self.cost(view, query, plan, demand, now);
                 let rank = rendezvous_score(key, &view.plan.upstream);
                 (cost, rank, displaced, &view.plan.upstream)
             })
@@ -241,13 +243,13 @@
     fn cost(
         &self,
         view: &EngineView,
-        place: &LoadPlace<'_>,
+        query: &PlacementQuery<'_>,
         plan: &PlacementPlan,
         demand: &DemandEstimate,
         now: Instant,
     ) -> (f64, f64) {
-        let in_flight = (place.in_flight_to)(&view.plan.upstream);
-        let is_avoided = place.avoid == Some(&view.plan.upstream);
+        let in_flight = (query.in_flight_to)(&view.plan.upstream);
+        let is_avoided = query.avoid == Some(&view.plan.upstream);
         let avoided = if is_avoided { COST_AVOIDED } else { 0.0 };
         let Some(report) = &view.report else {
             return (COST_UNKNOWN + avoided + in_flight as f64, 0.0);
@@ -255,7 +257,7 @@
         let value = |adapter: &AdapterRef| self.slot_value(adapter, plan, demand, now);
         let slots = report.adapter_slots.min(view.plan.adapter_slots) as usize;
         let carried: f64 = report.adapters.iter().map(|h| value(&h.adapter)).sum();
-        let balance = BALANCE_SHARE * carried / slots.max(1) as f64;
+        let balance = BALANCE_WEIGHT * carried / slots.max(1) as f64;
         let free = slots.saturating_sub(report.adapters.len());
         if in_flight < free {
             return (avoided + balance, 0.0);
@@ -279,7 +281,7 @@
 /// Adds what an engine holds to the replica counts. A leaving engine serves no new request, so its
 /// replicas don't count: otherwise the adapter would not be loaded elsewhere, and its requests
 /// would wait until their deadlines.
-fn count_in(replicas: &mut HashMap<AdapterRef, u32>, report: &EngineReport) {
+fn add_replicas(replicas: &mut HashMap<AdapterRef, u32>, report: &EngineReport) {
     if report.is_leaving {
         return;
     }
@@ -288,7 +290,7 @@
     }
 }
 
-fn count_out(replicas: &mut HashMap<AdapterRef, u32>, report: Option<&EngineReport>) {
+fn remove_replicas(replicas: &mut HashMap<AdapterRef, u32>, report: Option<&EngineReport>) {
     let counted = report.filter(|report| !report.is_leaving);
     for held in counted.into_iter().flat_map(|report| &report.adapters) {
         let Some(count) = replicas.get_mut(&held.adapter) else {
--- a/crates/placement/src/engine_owner.rs
+++ b/crates/placement/src/engine_owner.rs
@@ -39,7 +39,7 @@
 }
 
 #[derive(Debug)]
-struct SeenReport {
+struct LastReport {
     report: EngineReport,
     taken_at: Instant,
 }
@@ -51,7 +51,7 @@
     ownership: Ownership,
     slots: SlotMap,
     pins: PinTable,
-    seen: Option<SeenReport>,
+    last_report: Option<LastReport>,
     /// The engine's `order_seq` according to its answers and reports.
     known_seq: u64,
     /// No order is sent before a report that was requested after this time.
@@ -71,7 +71,7 @@
             ownership,
             slots: SlotMap::default(),
             pins: PinTable::default(),
-            seen: None,
+            last_report: None,
             known_seq: 0,
             report_needed_after: None,
             outstanding: None,
@@ -85,17 +85,17 @@
         self.ownership.fence
     }
 
-    pub fn renewed(&mut self, valid_until: Instant) {
-        self.ownership.renewed(valid_until);
+    pub fn renew(&mut self, valid_until: Instant) {
+        self.ownership.renew(valid_until);
     }
 
-    pub fn replan(&mut self, plan: EnginePlan) {
+    pub fn apply_plan(&mut self, plan: EnginePlan) {
         self.plan = plan;
     }
 
     /// Ends the ownership and returns the loads that were permitted or in progress, so that they
     /// can be retried elsewhere.
-    pub fn into_unfinished(mut self) -> Vec<AdapterRef> {
+    pub fn into_unfinished_loads(mut self) -> Vec<AdapterRef> {
         let loading = self.slots.clear();
         let loading = loading
             .into_iter()
@@ -106,7 +106,7 @@
     }
 
     /// Applies a report, unless it is older than the last one.
-    pub fn report(
+    pub fn apply_report(
         &mut self,
         report: EngineReport,
         taken_at: Instant,
@@ -122,34 +122,35 @@
             return;
         }
         if self.is_other_incarnation(&report) {
-            self.restarted_cold(out);
+            self.handle_cold_restart(out);
         }
-        self.ownership.saw_no_higher_fence(taken_at);
+        self.ownership.record_no_higher_fence(taken_at);
         if report.fence == self.ownership.fence {
-            self.ownership.confirmed(now);
+            self.ownership.confirm(now);
         }
-        self.settle(&report, taken_at, settings);
-        self.take_over_slots(&report, taken_at, now, out);
-        self.seen = Some(SeenReport { report, taken_at });
+        self.settle_order(&report, taken_at, settings);
+        self.update_slots(&report, taken_at, now, out);
+        self.last_report = Some(LastReport { report, taken_at });
     }
 
     fn is_stale(&self, report: &EngineReport, taken_at: Instant) -> bool {
-        self.seen.as_ref().is_some_and(|seen| {
-            let is_same_run = seen.report.incarnation == report.incarnation;
-            taken_at < seen.taken_at || (is_same_run && report.order_seq < seen.report.order_seq)
+        self.last_report.as_ref().is_some_and(|last_report| {
+            let is_same_run = last_report.report.incarnation == report.incarnation;
+            taken_at < last_report.taken_at
+                || (is_same_run && report.order_seq < last_report.report.order_seq)
         })
     }
 
     fn is_other_incarnation(&self, report: &EngineReport) -> bool {
-        self.seen
+        self.last_report
             .as_ref()
-            .is_some_and(|seen| seen.report.incarnation != report.incarnation)
+            .is_some_and(|last_report| last_report.report.incarnation != report.incarnation)
     }
 
     /// Clears the slots after the engine restarted with nothing loaded. Kept, they would have
     /// requests sent to adapters that are not loaded any more, and orders refused one by one. Pins
     /// stay, since their holders may not know of the restart yet.
-    fn restarted_cold(&mut self, out: &mut OwnerOutput) {
+    fn handle_cold_restart(&mut self, out: &mut OwnerOutput) {
         let lost = self.slots.clear();
         out.actions
             .push(PlacementAction::Report(PlacementNote::ColdRestart {
@@ -160,15 +161,15 @@
             if slot.state == SlotState::Loading {
                 self.load_ended(&slot.adapter, LoadOutcome::Failed, out);
             }
-            self.announce(&slot.adapter, Presence::Absent, out);
+            self.publish_state(&slot.adapter, Presence::Absent, out);
         }
-        self.ownership.engine_restarted();
+        self.ownership.reset_after_restart();
         self.outstanding = None;
         self.report_needed_after = None;
         self.known_seq = 0;
     }
 
-    fn take_over_slots(
+    fn update_slots(
         &mut self,
         report: &EngineReport,
         taken_at: Instant,
@@ -176,36 +177,36 @@
         out: &mut OwnerOutput,
     ) {
         let knows_every_order = self.outstanding.is_none() && report.order_seq >= self.known_seq;
-        let answers_need = self.report_needed_after.is_none_or(|need| taken_at >= need);
-        let changes = if knows_every_order && answers_need {
+        let is_recent_enough = self.report_needed_after.is_none_or(|need| taken_at >= need);
+        let changes = if knows_every_order && is_recent_enough {
             self.known_seq = report.order_seq;
             self.report_needed_after = None;
             self.slots.reconcile(report, now)
         } else {
             self.slots.update_states(report, now)
         };
-        self.tell_changes(changes, out);
+        self.publish_changes(changes, out);
     }
 
-    fn tell_changes(&mut self, changes: SlotChanges, out: &mut OwnerOutput) {
+    fn publish_changes(&mut self, changes: SlotChanges, out: &mut OwnerOutput) {
         for adapter in changes.became_ready {
-            self.announce(&adapter, Presence::Ready, out);
+            self.publish_state(&adapter, Presence::Ready, out);
             self.load_ended(&adapter, LoadOutcome::Ready, out);
         }
         for adapter in changes.became_loading {
-            self.announce(&adapter, Presence::Loading, out);
+            self.publish_state(&adapter, Presence::Loading, out);
         }
         for slot in changes.vanished {
             if slot.state == SlotState::Loading {
                 self.load_ended(&slot.adapter, LoadOutcome::Failed, out);
             }
-            self.announce(&slot.adapter, Presence::Absent, out);
+            self.publish_state(&slot.adapter, Presence::Absent, out);
         }
     }
 
     /// Grants or refuses a pin. While an adapter is draining, only nodes that hold a pin get it
     /// renewed, since their requests may still be running.
-    pub fn pin_asked(
+    pub fn answer_pin_request(
         &mut self,
         from: &NodeId,
         ask_id: u64,
@@ -236,12 +237,12 @@
         });
     }
 
-    pub fn pin_returned(&mut self, from: &NodeId, ask_id: u64, adapter: &AdapterRef, now: Instant) {
-        self.pins.returned(from, ask_id, adapter, now);
+    pub fn release_pin(&mut self, from: &NodeId, ask_id: u64, adapter: &AdapterRef, now: Instant) {
+        self.pins.release(from, ask_id, adapter, now);
     }
 
     /// Adds the scheduler's permission to load an adapter.
-    pub fn permitted(
+    pub fn add_permit(
         &mut self,
         adapter: AdapterRef,
         class: Class,
@@ -265,17 +266,17 @@
         let slots = &self.slots;
         self.pins
             .forget_absent(|adapter| slots.get(adapter).is_some());
-        let patience = settings.order_valid_for + settings.pin_margin;
+        let timeout = settings.order_valid_for + settings.pin_margin;
         let is_overdue =
-            |order: &mut OutstandingOrder| !order.is_unsettled && now > order.made_at + patience;
+            |order: &mut OutstandingOrder| !order.is_unsettled && now > order.made_at + timeout;
         if let Some(order) = self.outstanding.take_if(is_overdue) {
-            self.order_unsettled(order, out);
+            self.mark_order_unsettled(order, out);
         }
         self.tick_drain(settings, now, out);
         let drain = self.slots.is_draining();
-        let is_spent =
-            |permit: &mut Permit| !drain && now > permit.since + settings.victim_patience;
-        for permit in self.permits.extract_if(.., is_spent) {
+        let has_timed_out =
+            |permit: &mut Permit| !drain && now > permit.since + settings.victim_search_timeout;
+        for permit in self.permits.extract_if(.., has_timed_out) {
             out.outcomes.push((permit.adapter, LoadOutcome::NoVictim));
         }
     }
@@ -290,11 +291,11 @@
         out: &mut OwnerOutput,
     ) {
         self.drop_settled_permits(out);
-        let is_informed = self.seen.is_some() && self.report_needed_after.is_none();
+        let is_informed = self.last_report.is_some() && self.report_needed_after.is_none();
         if self.outstanding.is_some() || !is_informed || !self.ownership.may_order(settings, now) {
             return;
         }
-        if let Some(adapter) = self.fence_raiser() {
+        if let Some(adapter) = self.adapter_for_fence_order() {
             self.order(OrderOp::Load, &adapter, settings, next_order, now, out);
             return;
         }
@@ -320,7 +321,7 @@
         } else if now >= since + settings.drain_after && !self.slots.is_draining() {
             let in_use = eviction.victim_in_use(&adapter, class, &ranked);
             if let Some(victim) = in_use {
-                self.drain(&victim, now, out);
+                self.start_drain(&victim, now, out);
             }
         }
     }
@@ -342,10 +343,10 @@
     /// An adapter that the engine holds, while the engine has not seen the fencing token of this
     /// owner.
     ///
-    /// Ordering the load of an adapter that is already loaded changes only the fencing token. An
-    /// owner of a full engine needs this: only an order raises the number, and nothing is evicted
+    /// Ordering the load of an adapter that is already loaded only raises the fencing token. An
+    /// owner of a full engine needs this: only an order raises the token, and nothing is evicted
     /// before it is raised.
-    fn fence_raiser(&self) -> Option<AdapterRef> {
+    fn adapter_for_fence_order(&self) -> Option<AdapterRef> {
         if !self.plan.checks_fencing || self.ownership.is_confirmed() {
             return None;
         }
@@ -353,23 +354,26 @@
     }
 
     fn adapter_slots(&self) -> u32 {
-        let reported = self.seen.as_ref().map_or(0, |s| s.report.adapter_slots);
+        let reported = self
+            .last_report
+            .as_ref()
+            .map_or(0, |s| s.report.adapter_slots);
         reported.min(self.plan.adapter_slots)
     }
 
     fn eviction<'a>(&'a self, settings: &'a PlacementSettings, now: Instant) -> Eviction<'a> {
-        let seen = self.seen.as_ref();
+        let last_report = self.last_report.as_ref();
         Eviction {
             slots: &self.slots,
             pins: &self.pins,
             ownership: &self.ownership,
-            report: seen.map(|seen| (&seen.report, seen.taken_at)),
+            report: last_report.map(|last_report| (&last_report.report, last_report.taken_at)),
             settings,
             now,
         }
     }
 
-    fn announce(&self, adapter: &AdapterRef, state: Presence, out: &mut OwnerOutput) {
+    fn publish_state(&self, adapter: &AdapterRef, state: Presence, out: &mut OwnerOutput) {
         out.actions.push(PlacementAction::AdapterState {
             engine: self.plan.upstream.clone(),
             adapter: adapter.clone(),
--- a/crates/placement/src/engine_owner/draining.rs
+++ b/crates/placement/src/engine_owner/draining.rs
@@ -15,9 +15,14 @@
     ///
     /// Without draining, adapters in constant use would keep every slot: each is used again before
     /// its pins are returned, and a request for another adapter waits until its deadline.
-    pub(super) fn drain(&mut self, adapter: &AdapterRef, now: Instant, out: &mut OwnerOutput) {
+    pub(super) fn start_drain(
+        &mut self,
+        adapter: &AdapterRef,
+        now: Instant,
+        out: &mut OwnerOutput,
+    ) {
         self.slots.begin_drain(adapter, now);
-        self.announce(adapter, Presence::Absent, out);
+        self.publish_state(adapter, Presence::Absent, out);
         self.recall(adapter, now, out);
     }
 
@@ -51,10 +56,10 @@
         let Some(adapter) = self.slots.draining().cloned() else {
             return;
         };
-        let is_over = self.slots.drain_is_over(settings.drain_patience, now);
+        let is_over = self.slots.has_drain_timed_out(settings.drain_timeout, now);
         if is_over || self.permits.is_empty() {
             self.slots.end_drain(&adapter, now);
-            self.announce(&adapter, Presence::Ready, out);
+            self.publish_state(&adapter, Presence::Ready, out);
         } else if self
             .recalled_at
             .is_none_or(|at| now >= at + RECALL_INTERVAL)
--- a/crates/placement/src/engine_owner/orders.rs
+++ b/crates/placement/src/engine_owner/orders.rs
@@ -28,7 +28,7 @@
     /// any more. Until then its slot counts as taken and no other order is sent, since the engine
     /// may still carry it out. A report can be `report_lag` older than its request, so one that
     /// shows no effect counts only if it was requested that much after the expiry.
-    pub(super) fn settle(
+    pub(super) fn settle_order(
         &mut self,
         report: &EngineReport,
         taken_at: Instant,
@@ -56,32 +56,36 @@
             return;
         };
         match result {
-            Ok(answer) => self.order_taken(&order, answer, now, out),
-            Err(OrderError::Ambiguous) => self.order_unsettled(order, out),
+            Ok(answer) => self.handle_order_accepted(&order, answer, now, out),
+            Err(OrderError::Ambiguous) => self.mark_order_unsettled(order, out),
             Err(OrderError::Fenced) => out.disowned = Some(DisownCause::Fenced),
-            Err(refusal) => self.order_refused(&order, &refusal, now, out),
+            Err(refusal) => self.handle_order_refused(&order, &refusal, now, out),
         }
     }
 
-    pub(super) fn order_taken(
+    pub(super) fn handle_order_accepted(
         &mut self,
         order: &OutstandingOrder,
         answer: OrderAnswer,
         now: Instant,
         out: &mut OwnerOutput,
     ) {
-        self.ownership.confirmed(now);
+        self.ownership.confirm(now);
         match answer {
             OrderAnswer::Accepted => self.known_seq = self.known_seq.max(order.expected_seq + 1),
             OrderAnswer::AlreadyDone => self.report_needed_after = Some(now),
         }
         if order.op == OrderOp::Unload {
             self.slots.remove(&order.adapter);
-            self.announce(&order.adapter, Presence::Absent, out);
+            self.publish_state(&order.adapter, Presence::Absent, out);
         }
     }
 
-    pub(super) fn order_unsettled(&mut self, mut order: OutstandingOrder, out: &mut OwnerOutput) {
+    pub(super) fn mark_order_unsettled(
+        &mut self,
+        mut order: OutstandingOrder,
+        out: &mut OwnerOutput,
+    ) {
         out.actions
             .push(PlacementAction::Report(PlacementNote::OrderUnsettled {
                 engine: self.plan.upstream.clone(),
@@ -91,7 +95,7 @@
         self.outstanding = Some(order);
     }
 
-    pub(super) fn order_refused(
+    pub(super) fn handle_order_refused(
         &mut self,
         order: &OutstandingOrder,
         refusal: &OrderError,
@@ -100,21 +104,26 @@
     ) {
         self.report_needed_after = Some(now);
         match order.op {
-            OrderOp::Unload => self.keep_slot(&order.adapter, now, out),
-            OrderOp::Load => self.drop_load(order, refusal, now, out),
+            OrderOp::Unload => self.return_to_service(&order.adapter, now, out),
+            OrderOp::Load => self.abandon_load(order, refusal, now, out),
         }
     }
 
-    pub(super) fn keep_slot(&mut self, adapter: &AdapterRef, now: Instant, out: &mut OwnerOutput) {
+    pub(super) fn return_to_service(
+        &mut self,
+        adapter: &AdapterRef,
+        now: Instant,
+        out: &mut OwnerOutput,
+    ) {
         let Some(slot) = self.slots.get_mut(adapter) else {
             return;
         };
         slot.state = SlotState::Ready;
-        slot.idle_proof_after = now;
-        self.announce(adapter, Presence::Ready, out);
+        slot.idle_report_after = now;
+        self.publish_state(adapter, Presence::Ready, out);
     }
 
-    pub(super) fn drop_load(
+    pub(super) fn abandon_load(
         &mut self,
         order: &OutstandingOrder,
         refusal: &OrderError,
@@ -126,19 +135,19 @@
             return;
         }
         self.slots.remove(&order.adapter);
-        self.announce(&order.adapter, Presence::Absent, out);
+        self.publish_state(&order.adapter, Presence::Absent, out);
         match refusal {
             OrderError::StoreRefused => {
                 self.load_ended(&order.adapter, LoadOutcome::StoreRefused, out);
             }
             OrderError::Unreachable => self.load_ended(&order.adapter, LoadOutcome::Failed, out),
-            _ => self.permit_again(order, now),
+            _ => self.requeue_permit(order, now),
         }
     }
 
     /// Permits the load again, ahead of the other permits: its share of the weight store's rate is
     /// already spent.
-    pub(super) fn permit_again(&mut self, order: &OutstandingOrder, now: Instant) {
+    pub(super) fn requeue_permit(&mut self, order: &OutstandingOrder, now: Instant) {
         self.permits.push(Permit {
             adapter: order.adapter.clone(),
             class: Class::Urgent,
@@ -155,7 +164,7 @@
         out: &mut OwnerOutput,
     ) {
         self.slots.begin_load(adapter, self.adapter_slots(), now);
-        self.announce(adapter, Presence::Loading, out);
+        self.publish_state(adapter, Presence::Loading, out);
         self.order(OrderOp::Load, adapter, settings, next_order, now, out);
     }
 
@@ -171,7 +180,7 @@
         if let Some(slot) = self.slots.get_mut(adapter) {
             slot.state = SlotState::Unloading;
         }
-        self.announce(adapter, Presence::Absent, out);
+        self.publish_state(adapter, Presence::Absent, out);
         self.order(OrderOp::Unload, adapter, settings, next_order, now, out);
     }
 
@@ -184,7 +193,9 @@
         now: Instant,
         out: &mut OwnerOutput,
     ) {
-        let Some(seen) = &self.seen else { return };
+        let Some(last_report) = &self.last_report else {
+            return;
+        };
         assert!(self.outstanding.is_none(), "one order at a time");
         *next_order += 1;
         let id = OrderId(*next_order);
@@ -196,7 +207,7 @@
             adapter: adapter.clone(),
             fence: self.ownership.fence,
             expected_seq,
-            incarnation: seen.report.incarnation,
+            incarnation: last_report.report.incarnation,
             made_at: now,
             valid_for: settings.order_valid_for,
         });
--- a/crates/placement/src/eviction.rs
+++ b/crates/placement/src/eviction.rs
@@ -30,9 +30,11 @@
         value: &dyn Fn(&AdapterRef) -> f64,
     ) -> Option<AdapterRef> {
         let evictable = self
-            .settled_slots(class)
+            .slots_past_residency(class)
             .filter(|slot| self.is_evictable(slot));
-        least(evictable.map(|slot| (slot.adapter.name == wanted.name, value(&slot.adapter), slot)))
+        lowest_value(
+            evictable.map(|slot| (slot.adapter.name == wanted.name, value(&slot.adapter), slot)),
+        )
     }
 
     /// The adapter to drain if every one is in use: the one of lowest value times one plus its
@@ -43,14 +45,14 @@
         class: Class,
         value: &dyn Fn(&AdapterRef) -> f64,
     ) -> Option<AdapterRef> {
-        if !self.is_quiet_over() {
+        if !self.previous_pins_have_expired() {
             return None;
         }
         let ready = self
-            .settled_slots(class)
+            .slots_past_residency(class)
             .filter(|slot| slot.state == SlotState::Ready)
             .filter(|slot| slot.no_drain_before.is_none_or(|at| self.now >= at));
-        least(ready.map(|slot| {
+        lowest_value(ready.map(|slot| {
             let running = self.running_on(&slot.adapter).unwrap_or(0);
             let cost = value(&slot.adapter) * f64::from(1 + running);
             (slot.adapter.name == wanted.name, cost, slot)
@@ -60,7 +62,7 @@
     /// The slots whose adapter has been there for the minimum residency, so that it could serve the
     /// requests for which it was loaded. Without the minimum, two adapters in demand would replace
     /// each other in one slot at every request.
-    fn settled_slots(&self, class: Class) -> impl Iterator<Item = &Slot> {
+    fn slots_past_residency(&self, class: Class) -> impl Iterator<Item = &Slot> {
         let residency = match class {
             Class::Urgent => self.settings.min_residency / 2,
             Class::Routine => self.settings.min_residency,
@@ -82,13 +84,14 @@
         };
         let is_in_service = matches!(slot.state, SlotState::Ready | SlotState::Draining);
         let is_pinned = self.pins.is_pinned(&slot.adapter, self.now);
-        if !is_in_service || is_pinned || !self.is_quiet_over() {
+        if !is_in_service || is_pinned || !self.previous_pins_have_expired() {
             return false;
         }
         let history = self.pins.history(&slot.adapter);
-        let proof_after = history.free_since.max(Some(slot.idle_proof_after));
-        let is_recent = proof_after.is_none_or(|at| taken_at >= at + self.settings.report_lag);
-        let may_be_queued = history.has_lapsed && report.queued > 0;
+        let report_needed_from = history.free_since.max(Some(slot.idle_report_after));
+        let is_recent =
+            report_needed_from.is_none_or(|at| taken_at >= at + self.settings.report_lag);
+        let may_be_queued = history.has_expired && report.queued > 0;
         is_recent && !may_be_queued && self.running_on(&slot.adapter) == Some(0)
     }
 
@@ -99,8 +102,8 @@
             "{adapter} is pinned and must not be evicted"
         );
         assert!(
-            self.is_quiet_over(),
-            "{adapter} must not be evicted before a former owner's pins have lapsed"
+            self.previous_pins_have_expired(),
+            "{adapter} must not be evicted before a previous owner's pins have expired"
         );
         assert_eq!(
             self.running_on(adapter),
@@ -109,9 +112,9 @@
         );
     }
 
-    fn is_quiet_over(&self) -> bool {
-        let quiet_until = self.ownership.quiet_until(self.settings);
-        quiet_until.is_some_and(|until| self.now >= until)
+    fn previous_pins_have_expired(&self) -> bool {
+        let evictions_allowed_from = self.ownership.evictions_allowed_from(self.settings);
+        evictions_allowed_from.is_some_and(|until| self.now >= until)
     }
 
     fn running_on(&self, adapter: &AdapterRef) -> Option<u32> {
@@ -124,7 +127,7 @@
     }
 }
 
-fn least<'a>(ranked: impl Iterator<Item = (bool, f64, &'a Slot)>) -> Option<AdapterRef> {
+fn lowest_value<'a>(ranked: impl Iterator<Item = (bool, f64, &'a Slot)>) -> Option<AdapterRef> {
     ranked
         .min_by(|a, b| {
             let by_value = a.0.cmp(&b.0).then(a.1.total_cmp(&b.1));
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -19,6 +19,7 @@
 mod note;
 mod owner_choice;
 mod ownership;
+mod pending_load;
 mod pin_cache;
 mod pin_table;
 mod placement;
@@ -26,7 +27,6 @@
 mod settings;
 mod slot_map;
 mod store_budget;
-mod want;
 
 pub use action::{OrderId, PlacementAction, Presence};
 pub use demand::DemandEstimate;
--- a/crates/placement/src/load_scheduler.rs
+++ b/crates/placement/src/load_scheduler.rs
@@ -6,9 +6,9 @@
 use nutmegsail_base::{AdapterRef, Class, UpstreamId};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::domain_view::{ChosenEngine, DomainView, LoadPlace};
+use crate::domain_view::{ChosenEngine, DomainView, PlacementQuery};
+use crate::pending_load::{LoadPriority, PendingLoad};
 use crate::store_budget::StoreBudget;
-use crate::want::{Want, WantOrigin};
 use crate::{DemandEstimate, LoadOutcome, PlacementPlan, PlacementSettings, StoreUse};
 
 /// How often adapters for which no request waits are considered for loading.
@@ -21,20 +21,20 @@
 const MAX_ATTEMPTS: u32 = 6;
 
 /// The assumed duration of a load before one has been observed.
-const FIRST_LOAD_ESTIMATE: Duration = Duration::from_secs(1);
+const INITIAL_LOAD_ESTIMATE: Duration = Duration::from_secs(1);
 /// The factor by which the shortest load time grows with each load, so that it adapts when loads
 /// become slower.
-const FASTEST_LOAD_DRIFT: f64 = 1.02;
+const FASTEST_LOAD_GROWTH: f64 = 1.02;
 /// Every so many loads the one that has waited longest goes first, so that none starves.
-const OLDEST_EVERY: u64 = 8;
+const OLDEST_FIRST_EVERY: u64 = 8;
 /// The factor by which the limit of loads in flight exceeds the average that the rate needs.
-const LOADS_UNDER_WAY_MARGIN: f64 = 1.25;
+const IN_FLIGHT_MARGIN: f64 = 1.25;
 
 #[derive(Debug)]
 struct LoadInFlight {
     adapter: AdapterRef,
     engine: UpstreamId,
-    origin: WantOrigin,
+    priority: LoadPriority,
     since: Instant,
     attempts: u32,
 }
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub(crate) struct LoadScheduler {
     pub budget: StoreBudget,
-    wants: HashMap<AdapterRef, Want>,
+    pending_loads: HashMap<AdapterRef, PendingLoad>,
     in_flight: Vec<LoadInFlight>,
     /// The shortest recent time from a permit to the observed end of its load.
     fastest_load: Duration,
@@ -75,9 +75,9 @@
     pub fn new(settings: &PlacementSettings) -> Self {
         Self {
             budget: StoreBudget::new(settings),
-            wants: HashMap::new(),
+            pending_loads: HashMap::new(),
             in_flight: Vec::new(),
-            fastest_load: FIRST_LOAD_ESTIMATE,
+            fastest_load: INITIAL_LOAD_ESTIMATE,
             permits: 0,
             urgent_in_a_row: 0,
             prefetched_at: None,
@@ -85,64 +85,72 @@
     }
 
     /// Records that a request of `class` waits for an adapter.
-    pub fn want(
+    pub fn request_load(
         &mut self,
         adapter: &AdapterRef,
         class: Class,
         engine: Option<UpstreamId>,
         inputs: &SchedulerInputs<'_>,
     ) {
-        self.add(adapter, WantOrigin::of(class), 1.0, engine, inputs);
+        self.add(adapter, LoadPriority::of(class), 1.0, engine, inputs);
     }
 
     /// Records that an adapter should be loaded although no request waits for it yet.
-    pub fn want_in_background(
+    pub fn request_background_load(
         &mut self,
         adapter: &AdapterRef,
         engine: Option<UpstreamId>,
         inputs: &SchedulerInputs<'_>,
     ) {
         let rate_per_s = inputs.demand.rate_per_s(adapter, inputs.now);
-        self.add(adapter, WantOrigin::Background, rate_per_s, engine, inputs);
+        self.add(
+            adapter,
+            LoadPriority::Background,
+            rate_per_s,
+            engine,
+            inputs,
+        );
     }
 
     fn add(
         &mut self,
         adapter: &AdapterRef,
-        origin: WantOrigin,
-        asked: f64,
+        priority: LoadPriority,
+        weight: f64,
         engine: Option<UpstreamId>,
         inputs: &SchedulerInputs<'_>,
     ) {
-        if self.has_enough(adapter, engine.as_ref(), inputs) {
+        if self.has_enough_replicas(adapter, engine.as_ref(), inputs) {
             return;
         }
-        if let Some(want) = self.wants.get_mut(adapter) {
-            want.origin = want.origin.min(origin);
-            want.engine = engine.or(want.engine.take());
-            want.asked += asked;
-            want.last_at = inputs.now;
+        if let Some(pending) = self.pending_loads.get_mut(adapter) {
+            pending.priority = pending.priority.min(priority);
+            pending.engine = engine.or(pending.engine.take());
+            pending.weight += weight;
+            pending.last_at = inputs.now;
             return;
         }
-        if self.wants.len() >= inputs.settings.want_capacity && !self.make_room(origin) {
+        if self.pending_loads.len() >= inputs.settings.pending_load_capacity
+            && !self.drop_lowest_priority(priority)
+        {
             return;
         }
-        let want = Want {
-            origin,
+        let pending = PendingLoad {
+            priority,
             engine,
-            asked,
+            weight,
             first_at: inputs.now,
             last_at: inputs.now,
             attempts: 0,
             not_before: None,
             avoid: None,
         };
-        self.wants.insert(adapter.clone(), want);
+        self.pending_loads.insert(adapter.clone(), pending);
     }
 
     /// Whether the adapter is unknown, or has as many replicas, loaded or in flight, as its demand
     /// needs.
-    fn has_enough(
+    fn has_enough_replicas(
         &self,
         adapter: &AdapterRef,
         engine: Option<&UpstreamId>,
@@ -163,18 +171,20 @@
     }
 
     /// Drops the most recent pending load of the lowest priority, if that is below `priority`.
-    fn make_room(&mut self, origin: WantOrigin) -> bool {
+    fn drop_lowest_priority(&mut self, priority: LoadPriority) -> bool {
         let last = self
-            .wants
+            .pending_loads
             .iter()
-            .filter(|(_, want)| want.origin > origin)
-            .max_by_key(|(adapter, want)| (want.origin, want.first_at, (*adapter).clone()))
+            .filter(|(_, pending)| pending.priority > priority)
+            .max_by_key(|(adapter, pending)| {
+                (pending.priority, pending.first_at, (*adapter).clone())
+            })
             .map(|(adapter, _)| adapter.clone());
-        last.is_some_and(|adapter| self.wants.remove(&adapter).is_some())
+        last.is_some_and(|adapter| self.pending_loads.remove(&adapter).is_some())
     }
 
     /// Records how a permitted load ended.
-    pub fn ended(
+    pub fn record_outcome(
         &mut self,
         engine: &UpstreamId,
         adapter: &AdapterRef,
@@ -188,13 +198,13 @@
         let load = self.in_flight.swap_remove(at);
         match outcome {
             LoadOutcome::Ready => {
-                self.budget.succeeded();
+                self.budget.record_success();
                 let took = inputs.now.saturating_duration_since(load.since);
-                self.fastest_load = took.min(self.fastest_load.mul_f64(FASTEST_LOAD_DRIFT));
+                self.fastest_load = took.min(self.fastest_load.mul_f64(FASTEST_LOAD_GROWTH));
             }
             LoadOutcome::StoreRefused => {
                 self.budget
-                    .refused(spread(adapter, load.attempts), inputs.now);
+                    .record_refusal(jitter(adapter, load.attempts), inputs.now);
                 self.retry(load, inputs);
             }
             LoadOutcome::Failed | LoadOutcome::NoVictim | LoadOutcome::NotOwner => {
@@ -210,8 +220,8 @@
         for load in lost {
             self.retry(load, inputs);
         }
-        for want in self.wants.values_mut() {
-            want.engine.take_if(|wanted| wanted == engine);
+        for pending in self.pending_loads.values_mut() {
+            pending.engine.take_if(|wanted| wanted == engine);
         }
     }
 
@@ -222,35 +232,38 @@
         }
         let doubled = inputs.settings.first_backoff * 2u32.saturating_pow(attempts - 1);
         let wait = doubled.min(inputs.settings.longest_backoff);
-        let wait = wait.mul_f64(0.5 + spread(&load.adapter, attempts) / 2.0);
-        let (origin, now) = (load.origin, inputs.now);
-        let want = self.wants.entry(load.adapter).or_insert_with(|| Want {
-            origin,
-            engine: None,
-            asked: 1.0,
-            first_at: load.since,
-            last_at: now,
-            attempts: 0,
-            not_before: None,
-            avoid: None,
-        });
-        want.origin = want.origin.min(origin);
-        want.attempts = attempts;
-        want.not_before = Some(now + wait);
-        want.avoid = Some(load.engine);
-        want.engine = None;
+        let wait = wait.mul_f64(0.5 + jitter(&load.adapter, attempts) / 2.0);
+        let (priority, now) = (load.priority, inputs.now);
+        let pending = self
+            .pending_loads
+            .entry(load.adapter)
+            .or_insert_with(|| PendingLoad {
+                priority,
+                engine: None,
+                weight: 1.0,
+                first_at: load.since,
+                last_at: now,
+                attempts: 0,
+                not_before: None,
+                avoid: None,
+            });
+        pending.priority = pending.priority.min(priority);
+        pending.attempts = attempts;
+        pending.not_before = Some(now + wait);
+        pending.avoid = Some(load.engine);
+        pending.engine = None;
     }
 
     /// Drops pending loads that are not requested again, and retries loads whose end was not
     /// observed in time.
     pub fn tick(&mut self, inputs: &SchedulerInputs<'_>) {
         let (settings, now) = (inputs.settings, inputs.now);
-        self.wants.retain(|_, want| {
-            let ttl = match want.origin {
-                WantOrigin::Background => BACKGROUND_TTL,
-                WantOrigin::Urgent | WantOrigin::Routine => settings.want_ttl,
+        self.pending_loads.retain(|_, pending| {
+            let ttl = match pending.priority {
+                LoadPriority::Background => BACKGROUND_TTL,
+                LoadPriority::Urgent | LoadPriority::Routine => settings.pending_load_ttl,
             };
-            now < want.last_at + ttl || want.not_before.is_some_and(|at| now < at)
+            now < pending.last_at + ttl || pending.not_before.is_some_and(|at| now < at)
         });
         let is_overdue = |load: &mut LoadInFlight| now >= load.since + settings.load_timeout;
         let overdue: Vec<LoadInFlight> = self.in_flight.extract_if(.., is_overdue).collect();
@@ -272,19 +285,24 @@
         if !self.budget.allows(Class::Urgent, inputs.now) {
             return None;
         }
-        let may_routine = self.may_load(Class::Routine, inputs);
-        let may_urgent = self.may_load(Class::Urgent, inputs);
-        let routine_turn = self.urgent_in_a_row + 1 >= inputs.settings.routine_every;
+        let routine_allowed = self.may_load(Class::Routine, inputs);
+        let urgent_allowed = self.may_load(Class::Urgent, inputs);
+        let is_routine_turn = self.urgent_in_a_row + 1 >= inputs.settings.routine_every;
         // When it is the turn of a routine load, it needs only as much budget as an urgent one:
         // otherwise urgent loads would use up the budget before it suffices for a routine load.
-        let first = if routine_turn && may_urgent {
-            self.best_want(|origin| origin == WantOrigin::Routine, inputs)
+        let first = if is_routine_turn && urgent_allowed {
+            self.best_pending(|priority| priority == LoadPriority::Routine, inputs)
         } else {
             None
         };
         let best = first
-            .or_else(|| self.best_want(|origin| may_urgent && origin == WantOrigin::Urgent, inputs))
-            .or_else(|| self.best_want(|_| may_routine, inputs));
+            .or_else(|| {
+                self.best_pending(
+                    |priority| urgent_allowed && priority == LoadPriority::Urgent,
+                    inputs,
+                )
+            })
+            .or_else(|| self.best_pending(|_| routine_allowed, inputs));
         match best {
             Some((adapter, chosen)) => Some(self.permit(&adapter, chosen, inputs)),
             None => self.prefetch(inputs),
@@ -294,12 +312,13 @@
     /// Whether the store budget and the limit of loads in flight allow a load of this class. An
     /// urgent load does not wait for a routine one to end.
     fn may_load(&mut self, class: Class, inputs: &SchedulerInputs<'_>) -> bool {
-        if self.budget.is_refused() {
+        if self.budget.is_store_refusing() {
             // While the store refuses loads, a single load tests whether it accepts them again.
             return self.in_flight.is_empty() && self.budget.allows(class, inputs.now);
         }
         let limit = self.in_flight_limit(inputs);
-        let counts = |load: &&LoadInFlight| class == Class::Routine || load.origin.class() == class;
+        let counts =
+            |load: &&LoadInFlight| class == Class::Routine || load.priority.class() == class;
         let in_flight = self.in_flight.iter().filter(counts).count();
         in_flight < limit && self.budget.allows(class, inputs.now)
     }
@@ -310,40 +329,40 @@
     fn in_flight_limit(&self, inputs: &SchedulerInputs<'_>) -> usize {
         let needed = self.budget.rate_per_s(inputs.now) * self.fastest_load.as_secs_f64();
         let at_full_speed = inputs.plan.loads_at_full_speed.max(1) as usize;
-        at_full_speed.max((needed * LOADS_UNDER_WAY_MARGIN).ceil() as usize)
+        at_full_speed.max((needed * IN_FLIGHT_MARGIN).ceil() as usize)
     }
 
-    fn best_want(
+    fn best_pending(
         &self,
-        is_eligible: impl Fn(WantOrigin) -> bool,
+        is_eligible: impl Fn(LoadPriority) -> bool,
         inputs: &SchedulerInputs<'_>,
     ) -> Option<(AdapterRef, ChosenEngine)> {
         let now = inputs.now;
-        let oldest_turn = (self.permits + 1).is_multiple_of(OLDEST_EVERY);
-        let is_due = |want: &Want| want.not_before.is_none_or(|at| now >= at);
-        let (adapter, want) = self
-            .wants
+        let is_oldest_turn = (self.permits + 1).is_multiple_of(OLDEST_FIRST_EVERY);
+        let is_due = |pending: &PendingLoad| pending.not_before.is_none_or(|at| now >= at);
+        let (adapter, pending) = self
+            .pending_loads
             .iter()
-            .filter(|(_, want)| is_eligible(want.origin) && is_due(want))
+            .filter(|(_, pending)| is_eligible(pending.priority) && is_due(pending))
             .max_by(|a, b| {
-                let by_origin = b.1.origin.cmp(&a.1.origin);
+                let by_priority = b.1.priority.cmp(&a.1.priority);
                 let by_age = b.1.first_at.cmp(&a.1.first_at);
-                let by_pressure = a.1.pressure(now).total_cmp(&b.1.pressure(now));
-                let by_turn = if oldest_turn { by_age } else { by_pressure };
-                by_origin.then(by_turn).then_with(|| b.0.cmp(a.0))
+                let by_score = a.1.score(now).total_cmp(&b.1.score(now));
+                let by_turn = if is_oldest_turn { by_age } else { by_score };
+                by_priority.then(by_turn).then_with(|| b.0.cmp(a.0))
             })?;
-        let chosen = self.place(adapter, want, inputs)?;
+        let chosen = self.choose_for(adapter, pending, inputs)?;
         Some((adapter.clone(), chosen))
     }
 
-    fn place(
+    fn choose_for(
         &self,
         adapter: &AdapterRef,
-        want: &Want,
+        pending: &PendingLoad,
         inputs: &SchedulerInputs<'_>,
     ) -> Option<ChosenEngine> {
-        if let Some(engine) = &want.engine
-            && inputs.view.takes_loads(engine)
+        if let Some(engine) = &pending.engine
+            && inputs.view.accepts_loads(engine)
             && !inputs.view.is_held_by(engine, adapter)
         {
             return Some(ChosenEngine {
@@ -351,7 +370,7 @@
                 displaced_rate_per_s: 0.0,
             });
         }
-        self.choose_engine(adapter, want.avoid.as_ref(), inputs)
+        self.choose_engine(adapter, pending.avoid.as_ref(), inputs)
     }
 
     fn choose_engine(
@@ -366,14 +385,14 @@
             };
             self.in_flight.iter().filter(is_new).count()
         };
-        let place = LoadPlace {
+        let query = PlacementQuery {
             adapter,
             avoid,
             in_flight_to: &in_flight_to,
         };
         inputs
             .view
-            .choose_engine(&place, inputs.plan, inputs.demand, inputs.now)
+            .choose_engine(&query, inputs.plan, inputs.demand, inputs.now)
     }
 
     fn permit(
@@ -382,21 +401,23 @@
         chosen: ChosenEngine,
         inputs: &SchedulerInputs<'_>,
     ) -> LoadPermit {
-        let want = self.wants.remove(adapter);
-        let origin = want.as_ref().map_or(WantOrigin::Background, |w| w.origin);
-        let class = origin.class();
+        let pending = self.pending_loads.remove(adapter);
+        let priority = pending
+            .as_ref()
+            .map_or(LoadPriority::Background, |w| w.priority);
+        let class = priority.class();
         self.urgent_in_a_row = match class {
             Class::Urgent => self.urgent_in_a_row + 1,
             Class::Routine => 0,
         };
         self.permits += 1;
-        self.budget.spend(inputs.now);
+        self.budget.record_load(inputs.now);
         self.in_flight.push(LoadInFlight {
             adapter: adapter.clone(),
             engine: chosen.engine.clone(),
-            origin,
+            priority,
             since: inputs.now,
-            attempts: want.map_or(0, |w| w.attempts),
+            attempts: pending.map_or(0, |w| w.attempts),
         });
         LoadPermit {
             engine: chosen.engine,
@@ -421,8 +442,8 @@
         }
         self.prefetched_at = Some(now);
         for (adapter, rate) in inputs.demand.top(PREFETCH_CANDIDATES, now) {
-            let is_retried = self.wants.contains_key(&adapter);
-            if is_retried || self.has_enough(&adapter, None, inputs) {
+            let is_pending = self.pending_loads.contains_key(&adapter);
+            if is_pending || self.has_enough_replicas(&adapter, None, inputs) {
                 continue;
             }
             let Some(chosen) = self.choose_engine(&adapter, None, inputs) else {
@@ -439,14 +460,14 @@
     /// This failure domain's use of the weight store, to be sent to the other ones.
     pub fn store_use(&self, now: Instant) -> StoreUse {
         StoreUse {
-            loads_per_s: self.budget.own_use_per_s(now),
-            backlog: self.wants.len() as u32,
+            loads_per_s: self.budget.recent_loads_per_s(now),
+            backlog: self.pending_loads.len() as u32,
         }
     }
 }
 
 /// A number from 0 to 1 that differs between adapters and attempts, so that retries don't coincide.
-fn spread(adapter: &AdapterRef, attempts: u32) -> f64 {
+fn jitter(adapter: &AdapterRef, attempts: u32) -> f64 {
     let hash = xxh3_64(format!("{adapter}/{attempts}").as_bytes());
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/placement/src/owner_choice.rs
+++ b/crates/placement/src/owner_choice.rs
@@ -31,7 +31,7 @@
 ///
 /// The upper 32 bits count takeovers, the lower 32 bits are a hash of the node. Otherwise two nodes
 /// that take over an engine at the same time without the key-value service would choose the same
-/// number, and the engine would obey both.
+/// token, and the engine would obey both.
 ///
 /// ```
 /// use nutmegsail_base::NodeId;
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -16,7 +16,7 @@
     /// When this node first knew that the engine has seen the fencing token.
     confirmed_at: Option<Instant>,
     /// When the last report without a higher fencing token was requested.
-    unfenced_at: Option<Instant>,
+    no_higher_fence_at: Option<Instant>,
 }
 
 impl Ownership {
@@ -32,17 +32,17 @@
             granted_at: now,
             valid_until,
             confirmed_at: None,
-            unfenced_at: None,
+            no_higher_fence_at: None,
         }
     }
 
-    pub fn renewed(&mut self, valid_until: Instant) {
+    pub fn renew(&mut self, valid_until: Instant) {
         self.valid_until = self.valid_until.max(Some(valid_until));
     }
 
     /// Records that the engine has seen the fencing token: it accepted an order, or its report
-    /// contains the number.
-    pub fn confirmed(&mut self, now: Instant) {
+    /// contains the token.
+    pub fn confirm(&mut self, now: Instant) {
         self.confirmed_at.get_or_insert(now);
     }
 
@@ -52,15 +52,15 @@
 
     /// After a restart the engine may have forgotten the fencing token, so its reports show no
     /// higher one to either the present or a previous owner that resumes. Each owner must raise the
-    /// number again before it grants pins or evicts, so that the previous one notices that it was
+    /// token again before it grants pins or evicts, so that the previous one notices that it was
     /// replaced.
-    pub fn engine_restarted(&mut self) {
+    pub fn reset_after_restart(&mut self) {
         self.confirmed_at = None;
-        self.unfenced_at = None;
+        self.no_higher_fence_at = None;
     }
 
-    pub fn saw_no_higher_fence(&mut self, taken_at: Instant) {
-        self.unfenced_at = self.unfenced_at.max(Some(taken_at));
+    pub fn record_no_higher_fence(&mut self, taken_at: Instant) {
+        self.no_higher_fence_at = self.no_higher_fence_at.max(Some(taken_at));
     }
 
     /// Whether an order made now may be sent.
@@ -83,18 +83,19 @@
         if !self.checks_fencing {
             return self.valid_until.is_some_and(|until| now < until);
         }
-        let is_recent = |at: Instant| now < at + settings.authority_ttl;
-        self.is_confirmed() && self.unfenced_at.is_some_and(is_recent)
+        let is_recent = |at: Instant| now < at + settings.grant_report_ttl;
+        self.is_confirmed() && self.no_higher_fence_at.is_some_and(is_recent)
     }
 
     /// The time from which adapters may be evicted: before it, pins granted by previous owners may
     /// still be valid. `None`: not known yet, since a previous owner may still be granting pins.
-    pub fn quiet_until(&self, settings: &PlacementSettings) -> Option<Instant> {
-        let pins_lapse = settings.pin_lease + settings.pin_margin;
+    pub fn evictions_allowed_from(&self, settings: &PlacementSettings) -> Option<Instant> {
+        let pin_duration = settings.pin_lease + settings.pin_margin;
         if !self.checks_fencing {
-            return Some(self.granted_at + pins_lapse);
+            return Some(self.granted_at + pin_duration);
         }
-        let former_grants = settings.authority_ttl + settings.report_lag;
-        self.confirmed_at.map(|at| at + former_grants + pins_lapse)
+        let previous_grants = settings.grant_report_ttl + settings.report_lag;
+        self.confirmed_at
+            .map(|at| at + previous_grants + pin_duration)
     }
 }
--- a/crates/placement/src/want.rs
+++ b/crates/placement/src/pending_load.rs
@@ -6,11 +6,11 @@
 
 /// Added to the age of a pending load, in seconds, so that a new one does not outrank all others
 /// because its age is near zero.
-const NEW_WANT_S: f64 = 0.1;
+const AGE_OFFSET_S: f64 = 0.1;
 
 /// Why an adapter is to be loaded, in the order in which loads are permitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum WantOrigin {
+pub(crate) enum LoadPriority {
     /// Urgent requests wait.
     Urgent,
     /// Routine requests wait.
@@ -19,7 +19,7 @@
     Background,
 }
 
-impl WantOrigin {
+impl LoadPriority {
     pub fn class(self) -> Class {
         match self {
             Self::Urgent => Class::Urgent,
@@ -36,26 +36,30 @@
 }
 
 #[derive(Debug)]
-pub(crate) struct Want {
-    pub origin: WantOrigin,
+pub(crate) struct PendingLoad {
+    pub priority: LoadPriority,
+    /// The engine on which to load it, if routing prefers one.
     pub engine: Option<UpstreamId>,
-    pub asked: f64,
+    /// The number of requests for it, or the request rate for a background load.
+    pub weight: f64,
     pub first_at: Instant,
     pub last_at: Instant,
     pub attempts: u32,
+    /// It is not retried before this time.
     pub not_before: Option<Instant>,
+    /// The engine on which the last attempt failed.
     pub avoid: Option<UpstreamId>,
 }
 
-impl Want {
+impl PendingLoad {
     /// The rank among pending loads of the same priority: higher with more waiting requests, lower
     /// with age.
     ///
     /// When more loads are requested than the weight store can serve, some requests time out.
     /// Serving the oldest load first would be too late for most of its requests, and each new load
     /// would then wait as long as the last one.
-    pub fn pressure(&self, now: Instant) -> f64 {
+    pub fn score(&self, now: Instant) -> f64 {
         let age_s = now.saturating_duration_since(self.first_at).as_secs_f64();
-        self.asked.powi(2) / (NEW_WANT_S + age_s).powi(3)
+        self.weight.powi(2) / (AGE_OFFSET_S + age_s).powi(3)
     }
 }
--- a/crates/placement/src/pin_cache.rs
+++ b/crates/placement/src/pin_cache.rs
@@ -54,7 +54,7 @@
     /// How long an unused pin is kept.
     pub idle_return: Duration,
     /// How long an unanswered pin request is waited for before it is repeated.
-    pub ask_timeout: Duration,
+    pub request_timeout: Duration,
 }
 
 impl Default for PinCacheSettings {
@@ -62,15 +62,15 @@
         Self {
             margin: Duration::from_secs(1),
             idle_return: Duration::from_secs(1),
-            ask_timeout: Duration::from_millis(500),
+            request_timeout: Duration::from_millis(500),
         }
     }
 }
 
 #[derive(Debug)]
-struct PendingAsk {
+struct PendingPinRequest {
     ask_id: u64,
-    asked_at: Instant,
+    requested_at: Instant,
 }
 
 #[derive(Debug)]
@@ -78,8 +78,8 @@
     /// When the pin expires for this node: never later than the owner's lease minus the margin.
     until: Option<Instant>,
     renew_at: Option<Instant>,
-    granted_ask: u64,
-    pending: Option<PendingAsk>,
+    granted_id: u64,
+    pending: Option<PendingPinRequest>,
     wait_until: Option<Instant>,
     /// A recall is in effect until this time: no new request is sent.
     recalled_until: Option<Instant>,
@@ -92,7 +92,7 @@
         Self {
             until: None,
             renew_at: None,
-            granted_ask: 0,
+            granted_id: 0,
             pending: None,
             wait_until: None,
             recalled_until: None,
@@ -132,7 +132,7 @@
 pub struct PinCache {
     settings: PinCacheSettings,
     pins: HashMap<UpstreamId, HashMap<AdapterRef, CachedPin>>,
-    last_ask: u64,
+    last_ask_id: u64,
 }
 
 impl PinCache {
@@ -155,7 +155,9 @@
         if let Some(until) = pin.held_until(now) {
             return PinUse::Held { until };
         }
-        let is_due = |ask: &PendingAsk| now < ask.asked_at + self.settings.ask_timeout;
+        let is_due = |request: &PendingPinRequest| {
+            now < request.requested_at + self.settings.request_timeout
+        };
         if pin.pending.as_ref().is_some_and(is_due) || pin.wait_until.is_some_and(|at| now < at) {
             return PinUse::Wait;
         }
@@ -168,15 +170,15 @@
     /// The lease counts from this call, before the message is sent: however long the answer takes,
     /// the pin expires for this node before it expires for the owner.
     pub fn ask(&mut self, engine: &UpstreamId, adapter: &AdapterRef, now: Instant) -> u64 {
-        self.last_ask += 1;
-        let ask_id = self.last_ask;
+        self.last_ask_id += 1;
+        let ask_id = self.last_ask_id;
         let pins = self.pins.entry(engine.clone()).or_default();
         let pin = pins
             .entry(adapter.clone())
             .or_insert_with(|| CachedPin::new(now));
-        pin.pending = Some(PendingAsk {
+        pin.pending = Some(PendingPinRequest {
             ask_id,
-            asked_at: now,
+            requested_at: now,
         });
         ask_id
     }
@@ -194,12 +196,12 @@
         let Some(pin) = self.pin_mut(engine, adapter) else {
             return;
         };
-        let Some(ask) = pin.pending.take_if(|ask| ask.ask_id == ask_id) else {
+        let Some(request) = pin.pending.take_if(|request| request.ask_id == ask_id) else {
             return;
         };
-        pin.until = Some(ask.asked_at + lease.saturating_sub(margin));
-        pin.renew_at = Some(ask.asked_at + lease / 2);
-        pin.granted_ask = ask_id;
+        pin.until = Some(request.requested_at + lease.saturating_sub(margin));
+        pin.renew_at = Some(request.requested_at + lease / 2);
+        pin.granted_id = ask_id;
         pin.wait_until = None;
     }
 
@@ -216,7 +218,11 @@
         let Some(pin) = self.pin_mut(engine, adapter) else {
             return;
         };
-        if pin.pending.take_if(|ask| ask.ask_id == ask_id).is_some() {
+        if pin
+            .pending
+            .take_if(|request| request.ask_id == ask_id)
+            .is_some()
+        {
             pin.wait_until = Some(now + retry_after);
         }
     }
@@ -268,12 +274,13 @@
         self.pins.is_empty()
     }
 
-    /// A pin that was returned after a recall stays known as long as the recall is in effect: a new
-    /// pin request could overtake the return and would be granted.
-    ///
     /// Renews pins in use, returns idle ones and forgets expired ones. To be called several times a
     /// second; the pin requests and returns of one call that go to one owner are sent in one
     /// message.
+    ///
+    /// A pin that was returned after a recall stays known as long as the recall is in effect:
+    /// otherwise it could be requested again at once, and that request could overtake the return
+    /// and be granted.
     pub fn tick(&mut self, now: Instant, actions: &mut Vec<PinCacheAction>) {
         let settings = self.settings;
         let mut renew = Vec::new();
@@ -327,24 +334,24 @@
 /// Whether the pin can be returned. A pin with an unanswered request is not: the grant would arrive
 /// after the return, and the owner would keep a pin that is never returned.
 fn is_finished(pin: &CachedPin, settings: &PinCacheSettings, now: Instant) -> bool {
-    let is_asking = pin
+    let is_requested = pin
         .pending
         .as_ref()
-        .is_some_and(|ask| now < ask.asked_at + settings.ask_timeout);
+        .is_some_and(|request| now < request.requested_at + settings.request_timeout);
     let is_waiting = pin.wait_until.is_some_and(|at| now < at);
     let is_idle = now >= pin.last_used + settings.idle_return;
-    pin.in_use == 0 && !is_asking && !is_waiting && (is_idle || pin.is_recalled(now))
+    pin.in_use == 0 && !is_requested && !is_waiting && (is_idle || pin.is_recalled(now))
 }
 
 /// Whether the pin is due for renewal. While it has requests in flight, it is renewed even after it
 /// has expired.
 fn needs_renewal(pin: &CachedPin, settings: &PinCacheSettings, now: Instant) -> bool {
-    let is_asking = pin
+    let is_requested = pin
         .pending
         .as_ref()
-        .is_some_and(|ask| now < ask.asked_at + settings.ask_timeout);
+        .is_some_and(|request| now < request.requested_at + settings.request_timeout);
     let is_waiting = pin.wait_until.is_some_and(|at| now < at);
-    !is_asking && !is_waiting && pin.renew_at.is_some_and(|at| now >= at)
+    !is_requested && !is_waiting && pin.renew_at.is_some_and(|at| now >= at)
 }
 
 fn push_return(
@@ -356,7 +363,7 @@
 ) {
     if pin.held_until(now).is_some() {
         actions.push(PinCacheAction::Return {
-            ask_id: pin.granted_ask,
+            ask_id: pin.granted_id,
             engine: engine.clone(),
             adapter: adapter.clone(),
         });
--- a/crates/placement/src/pin_table.rs
+++ b/crates/placement/src/pin_table.rs
@@ -19,7 +19,7 @@
     /// When the last pin ended; `None` if there has been none.
     free_since: Option<Instant>,
     /// Whether a pin expired instead of being returned.
-    has_lapsed: bool,
+    has_expired: bool,
 }
 
 /// How the last pins of an adapter ended.
@@ -28,7 +28,7 @@
     /// When the last pin ended; `None` if there has been none.
     pub free_since: Option<Instant>,
     /// Whether a pin expired: its holder may still have requests in flight.
-    pub has_lapsed: bool,
+    pub has_expired: bool,
 }
 
 /// The pins granted on one engine.
@@ -62,7 +62,7 @@
 
     /// Ends a pin that was returned, unless the node has requested it again since: a return that
     /// arrives late must not end a pin granted after it.
-    pub fn returned(&mut self, node: &NodeId, ask_id: u64, adapter: &AdapterRef, now: Instant) {
+    pub fn release(&mut self, node: &NodeId, ask_id: u64, adapter: &AdapterRef, now: Instant) {
         let Some(pins) = self.adapters.get_mut(adapter) else {
             return;
         };
@@ -77,16 +77,16 @@
     /// Ends pins whose lease and margin have passed.
     pub fn expire(&mut self, now: Instant) {
         for pins in self.adapters.values_mut() {
-            let lapsed_at = pins
+            let expired_at = pins
                 .granted
                 .iter()
                 .map(|pin| pin.honoured_until)
                 .filter(|until| *until <= now)
                 .max();
-            if lapsed_at.is_some() {
+            if expired_at.is_some() {
                 pins.granted.retain(|pin| pin.honoured_until > now);
-                pins.free_since = pins.free_since.max(lapsed_at);
-                pins.has_lapsed = true;
+                pins.free_since = pins.free_since.max(expired_at);
+                pins.has_expired = true;
             }
         }
     }
@@ -117,7 +117,7 @@
             .get(adapter)
             .map_or_else(PinHistory::default, |pins| PinHistory {
                 free_since: pins.free_since,
-                has_lapsed: pins.has_lapsed,
+                has_expired: pins.has_expired,
             })
     }
 
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -48,9 +48,9 @@
     owned: BTreeMap<UpstreamId, EngineOwner>,
     next_order: u64,
     /// Requests that have not been reported to the load scheduler yet.
-    untold_demand: BTreeMap<(AdapterRef, Class), f64>,
-    told_demand_at: Option<Instant>,
-    told_store_use_at: Option<Instant>,
+    unreported_demand: BTreeMap<(AdapterRef, Class), f64>,
+    demand_reported_at: Option<Instant>,
+    store_use_reported_at: Option<Instant>,
 }
 
 impl Placement {
@@ -59,7 +59,7 @@
         let demand = DemandEstimate::new(
             settings.demand_capacity,
             settings.demand_half_life,
-            settings.rise_half_life,
+            settings.short_half_life,
             settings.urgent_weight,
         );
         Self {
@@ -72,9 +72,9 @@
             scheduler: LoadScheduler::new(&settings),
             owned: BTreeMap::new(),
             next_order: 0,
-            untold_demand: BTreeMap::new(),
-            told_demand_at: None,
-            told_store_use_at: None,
+            unreported_demand: BTreeMap::new(),
+            demand_reported_at: None,
+            store_use_reported_at: None,
             settings,
         }
     }
@@ -87,15 +87,15 @@
         actions: &mut Vec<PlacementAction>,
     ) {
         match event {
-            PlacementEvent::Plan(plan) => self.plan(plan, now, actions),
-            PlacementEvent::LiveNodes { nodes } => self.live_nodes(nodes, now),
+            PlacementEvent::Plan(plan) => self.set_plan(plan, now, actions),
+            PlacementEvent::LiveNodes { nodes } => self.set_live_nodes(nodes, now),
             PlacementEvent::OwnershipGranted {
                 engine,
                 fence,
                 valid_until,
             } => self.ownership_granted(&engine, fence, valid_until, now, actions),
             PlacementEvent::OwnershipLost { engine } => {
-                self.claims.wait(&engine, self.settings.claim_retry, now);
+                self.claims.defer(&engine, self.settings.claim_retry, now);
                 self.disown(&engine, DisownCause::Lost, now, actions);
             }
             PlacementEvent::ClaimUnanswered { engine } => {
@@ -111,19 +111,19 @@
                 adapter,
                 class,
                 weight,
-            } => self.note_demand(adapter, class, weight, now),
+            } => self.record_demand(adapter, class, weight, now),
             PlacementEvent::WantAdapter {
                 engine,
                 adapter,
                 class,
-            } => self.want(engine, adapter, class, now, actions),
+            } => self.request_load(engine, adapter, class, now, actions),
             PlacementEvent::PinAsked {
                 from,
                 ask_id,
                 engine,
                 adapter,
                 class,
-            } => self.pin_asked(&from, ask_id, engine, adapter, class, now, actions),
+            } => self.answer_pin_request(&from, ask_id, engine, adapter, class, now, actions),
             PlacementEvent::PinReturned {
                 from,
                 ask_id,
@@ -131,7 +131,7 @@
                 adapter,
             } => {
                 if let Some(owner) = self.owned.get_mut(&engine) {
-                    owner.pin_returned(&from, ask_id, &adapter, now);
+                    owner.release_pin(&from, ask_id, &adapter, now);
                 }
             }
             PlacementEvent::OrderAnswered {
@@ -148,8 +148,8 @@
             } => self
                 .scheduler
                 .budget
-                .peer_use(domain, loads_per_s, backlog, now),
-            PlacementEvent::Received { message, .. } => self.received(message, now, actions),
+                .record_peer_use(domain, loads_per_s, backlog, now),
+            PlacementEvent::Received { message, .. } => self.handle_message(message, now, actions),
             PlacementEvent::Tick => self.tick(now, actions),
         }
     }
@@ -162,7 +162,7 @@
     }
 
     /// The node from which to request pins on an engine of this failure domain. During a handover
-    /// between two live nodes, this is the previous owner.
+    /// between two live nodes, this is the node that releases the engine.
     pub fn owner_of(&self, engine: &UpstreamId, now: Instant) -> Option<&NodeId> {
         self.claims
             .owner_of(engine, self.settings.handover_delay, now)
@@ -179,19 +179,24 @@
         self.scheduler_node.as_ref()
     }
 
-    fn plan(&mut self, plan: Arc<PlacementPlan>, now: Instant, actions: &mut Vec<PlacementAction>) {
-        let former = std::mem::replace(&mut self.plan, plan);
+    fn set_plan(
+        &mut self,
+        plan: Arc<PlacementPlan>,
+        now: Instant,
+        actions: &mut Vec<PlacementAction>,
+    ) {
+        let previous = std::mem::replace(&mut self.plan, plan);
         let plan = Arc::clone(&self.plan);
         let own_domain = &self.settings.failure_domain;
         let own_engines = || {
             let is_own = |engine: &&crate::EnginePlan| engine.failure_domain == *own_domain;
             plan.engines.iter().filter(is_own)
         };
-        self.view.replan(own_engines());
-        self.scheduler.budget.replan(&plan);
+        self.view.apply_plan(own_engines());
+        self.scheduler.budget.apply_plan(&plan);
         for engine in own_engines() {
             if let Some(owner) = self.owned.get_mut(&engine.upstream) {
-                owner.replan(engine.clone());
+                owner.apply_plan(engine.clone());
             }
         }
         self.choose_owners(now);
@@ -203,11 +208,11 @@
             });
             self.disown(&engine, DisownCause::EngineGone, now, actions);
         }
-        self.prepare_new_versions(&former, now);
+        self.prepare_new_versions(&previous, now);
         self.schedule(now, actions);
     }
 
-    fn live_nodes(&mut self, nodes: Vec<NodeId>, now: Instant) {
+    fn set_live_nodes(&mut self, nodes: Vec<NodeId>, now: Instant) {
         self.scheduler_node = first_choice(SCHEDULER_KEY, &nodes).cloned();
         self.nodes = nodes;
         self.choose_owners(now);
@@ -222,14 +227,14 @@
         actions: &mut Vec<PlacementAction>,
     ) {
         let is_leaving = report.is_leaving;
-        let effect = self.view.report(engine, &report, taken_at);
-        self.reload(engine, effect.lost_by_restart, now);
+        let effect = self.view.record_report(engine, &report, taken_at);
+        self.request_lost_adapters(engine, effect.lost_by_restart, now);
         if is_leaving {
-            let (scheduler, inputs) = self.scheduling(now);
+            let (scheduler, inputs) = self.scheduler_with_inputs(now);
             scheduler.engine_gone(engine, &inputs);
         }
         self.with_owner(engine, now, actions, |owner, settings, out| {
-            owner.report(report, taken_at, settings, now, out);
+            owner.apply_report(report, taken_at, settings, now, out);
         });
         self.schedule(now, actions);
     }
@@ -240,14 +245,14 @@
         now: Instant,
         actions: &mut Vec<PlacementAction>,
     ) {
-        self.view.gone(engine);
-        let (scheduler, inputs) = self.scheduling(now);
+        self.view.record_gone(engine);
+        let (scheduler, inputs) = self.scheduler_with_inputs(now);
         scheduler.engine_gone(engine, &inputs);
         self.schedule(now, actions);
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one event")]
-    fn pin_asked(
+    fn answer_pin_request(
         &mut self,
         from: &NodeId,
         ask_id: u64,
@@ -262,10 +267,10 @@
             return;
         };
         let mut out = OwnerOutput::default();
-        owner.pin_asked(from, ask_id, &adapter, &self.settings, now, &mut out);
+        owner.answer_pin_request(from, ask_id, &adapter, &self.settings, now, &mut out);
         actions.append(&mut out.actions);
         if !self.view.is_held_by(&engine, &adapter) {
-            self.want(Some(engine), adapter, class, now, actions);
+            self.request_load(Some(engine), adapter, class, now, actions);
         }
     }
 
@@ -277,9 +282,9 @@
                 owner.tick(settings, now, out);
             });
         }
-        self.tell_demand(now, actions);
-        self.tell_store_use(now, actions);
-        let (scheduler, inputs) = self.scheduling(now);
+        self.report_demand(now, actions);
+        self.report_store_use(now, actions);
+        let (scheduler, inputs) = self.scheduler_with_inputs(now);
         scheduler.tick(&inputs);
         self.schedule(now, actions);
     }
@@ -308,11 +313,11 @@
             self.load_ended(engine, &adapter, outcome, now, actions);
         }
         if let Some(cause) = out.disowned {
-            self.fenced_out(engine, cause, now, actions);
+            self.handle_fenced(engine, cause, now, actions);
         }
     }
 
-    fn scheduling(&mut self, now: Instant) -> (&mut LoadScheduler, SchedulerInputs<'_>) {
+    fn scheduler_with_inputs(&mut self, now: Instant) -> (&mut LoadScheduler, SchedulerInputs<'_>) {
         let inputs = SchedulerInputs {
             settings: &self.settings,
             plan: &self.plan,
--- a/crates/placement/src/placement/loads.rs
+++ b/crates/placement/src/placement/loads.rs
@@ -19,7 +19,7 @@
 const DEMAND_COUNTS: usize = 512;
 
 impl Placement {
-    pub(super) fn note_demand(
+    pub(super) fn record_demand(
         &mut self,
         adapter: AdapterRef,
         class: Class,
@@ -28,27 +28,27 @@
     ) {
         self.demand.add(&adapter, class, weight, now);
         let is_scheduler = self.scheduler_node() == Some(&self.settings.node);
-        if !is_scheduler && self.untold_demand.len() < DEMAND_COUNTS {
-            *self.untold_demand.entry((adapter, class)).or_default() += weight;
+        if !is_scheduler && self.unreported_demand.len() < DEMAND_COUNTS {
+            *self.unreported_demand.entry((adapter, class)).or_default() += weight;
         }
     }
 
     /// Reports the requests that this node received to the load scheduler. In a large failure
     /// domain each node receives a small part of the requests, so the message stays small.
-    pub(super) fn tell_demand(&mut self, now: Instant, actions: &mut Vec<PlacementAction>) {
+    pub(super) fn report_demand(&mut self, now: Instant, actions: &mut Vec<PlacementAction>) {
         let is_recent = |at: Instant| now < at + DEMAND_INTERVAL;
-        if self.untold_demand.is_empty() || self.told_demand_at.is_some_and(is_recent) {
+        if self.unreported_demand.is_empty() || self.demand_reported_at.is_some_and(is_recent) {
             return;
         }
-        self.told_demand_at = Some(now);
-        let untold = std::mem::take(&mut self.untold_demand);
+        self.demand_reported_at = Some(now);
+        let unreported = std::mem::take(&mut self.unreported_demand);
         let Some(to) = self
             .scheduler_node()
             .filter(|to| **to != self.settings.node)
         else {
             return;
         };
-        let counts = untold
+        let counts = unreported
             .into_iter()
             .map(|((adapter, class), weight)| DemandCount {
                 adapter,
@@ -65,15 +65,15 @@
 
     /// Reports to the other failure domains how much of the weight store this one uses, so that
     /// they can use the rest. Only the load scheduler does this.
-    pub(super) fn tell_store_use(&mut self, now: Instant, actions: &mut Vec<PlacementAction>) {
+    pub(super) fn report_store_use(&mut self, now: Instant, actions: &mut Vec<PlacementAction>) {
         let is_recent = |at: Instant| now < at + STORE_USE_INTERVAL;
         let Some(store_use) = self.store_use(now) else {
             return;
         };
-        if self.told_store_use_at.is_some_and(is_recent) {
+        if self.store_use_reported_at.is_some_and(is_recent) {
             return;
         }
-        self.told_store_use_at = Some(now);
+        self.store_use_reported_at = Some(now);
         let own = &self.settings.failure_domain;
         let domains: BTreeSet<&FailureDomain> = self
             .plan
@@ -96,7 +96,7 @@
     }
 
     /// The adapters on the engine, lowest value first.
-    fn victims_of(&self, engine: &UpstreamId, now: Instant) -> Vec<AdapterRef> {
+    fn ranked_victims(&self, engine: &UpstreamId, now: Instant) -> Vec<AdapterRef> {
         let held = self
             .view
             .last_report(engine)
@@ -116,42 +116,47 @@
 
     /// Requests the load of new versions of adapters in demand before the first request for them.
     /// The old version keeps its slot while it is in demand, so that the callers of neither wait.
-    pub(super) fn prepare_new_versions(&mut self, former: &PlacementPlan, now: Instant) {
-        if former.adapters.is_empty() {
+    pub(super) fn prepare_new_versions(&mut self, previous: &PlacementPlan, now: Instant) {
+        if previous.adapters.is_empty() {
             return;
         }
-        let is_new = |adapter: &&AdapterRef| !former.adapters.contains_key(*adapter);
+        let is_new = |adapter: &&AdapterRef| !previous.adapters.contains_key(*adapter);
         let mut newest: HashMap<&AdapterName, &AdapterRef> = HashMap::new();
         for adapter in self.plan.adapters.keys().filter(is_new) {
             let known = newest.entry(&adapter.name).or_insert(adapter);
             *known = (*known).max(adapter);
         }
-        let mut heirs: Vec<(AdapterRef, AdapterRef)> = self
+        let mut successors: Vec<(AdapterRef, AdapterRef)> = self
             .view
-            .held()
+            .held_adapters()
             .filter_map(|held| Some((held.clone(), (*newest.get(&held.name)?).clone())))
             .collect();
-        heirs.sort_unstable();
-        for (held, heir) in heirs {
-            self.demand.inherit(&heir, &held, now);
-            let (scheduler, inputs) = self.scheduling(now);
-            scheduler.want_in_background(&heir, None, &inputs);
+        successors.sort_unstable();
+        for (held, successor) in successors {
+            self.demand.inherit(&successor, &held, now);
+            let (scheduler, inputs) = self.scheduler_with_inputs(now);
+            scheduler.request_background_load(&successor, None, &inputs);
         }
     }
 
     /// Requests the adapters that an engine lost by a cold restart to be loaded there again, in
     /// order of demand.
-    pub(super) fn reload(&mut self, engine: &UpstreamId, mut lost: Vec<AdapterRef>, now: Instant) {
+    pub(super) fn request_lost_adapters(
+        &mut self,
+        engine: &UpstreamId,
+        mut lost: Vec<AdapterRef>,
+        now: Instant,
+    ) {
         let rate = |adapter: &AdapterRef| self.demand.rate_per_s(adapter, now);
         lost.sort_by(|a, b| rate(b).total_cmp(&rate(a)).then_with(|| a.cmp(b)));
         lost.retain(|adapter| rate(adapter) > 0.0);
         for adapter in lost {
-            let (scheduler, inputs) = self.scheduling(now);
-            scheduler.want_in_background(&adapter, Some(engine.clone()), &inputs);
+            let (scheduler, inputs) = self.scheduler_with_inputs(now);
+            scheduler.request_background_load(&adapter, Some(engine.clone()), &inputs);
         }
     }
 
-    pub(super) fn want(
+    pub(super) fn request_load(
         &mut self,
         engine: Option<UpstreamId>,
         adapter: AdapterRef,
@@ -169,14 +174,14 @@
                 },
             }),
             _ => {
-                let (scheduler, inputs) = self.scheduling(now);
-                scheduler.want(&adapter, class, engine, &inputs);
+                let (scheduler, inputs) = self.scheduler_with_inputs(now);
+                scheduler.request_load(&adapter, class, engine, &inputs);
                 self.schedule(now, actions);
             }
         }
     }
 
-    pub(super) fn received(
+    pub(super) fn handle_message(
         &mut self,
         message: PlacementMessage,
         now: Instant,
@@ -188,8 +193,8 @@
                 adapter,
                 class,
             } => {
-                let (scheduler, inputs) = self.scheduling(now);
-                scheduler.want(&adapter, class, engine, &inputs);
+                let (scheduler, inputs) = self.scheduler_with_inputs(now);
+                scheduler.request_load(&adapter, class, engine, &inputs);
                 self.schedule(now, actions);
             }
             PlacementMessage::Permit {
@@ -197,7 +202,7 @@
                 adapter,
                 class,
                 victims,
-            } => self.permitted(&engine, adapter, class, victims, now, actions),
+            } => self.accept_permit(&engine, adapter, class, victims, now, actions),
             PlacementMessage::StoreUse {
                 domain,
                 loads_per_1000_s,
@@ -219,7 +224,7 @@
                         let loads_per_s = f64::from(loads_per_1000_s) / 1_000.0;
                         self.scheduler
                             .budget
-                            .peer_use(domain, loads_per_s, backlog, now);
+                            .record_peer_use(domain, loads_per_s, backlog, now);
                     }
                 }
             }
@@ -234,8 +239,8 @@
                 adapter,
                 outcome,
             } => {
-                let (scheduler, inputs) = self.scheduling(now);
-                scheduler.ended(&engine, &adapter, outcome, &inputs);
+                let (scheduler, inputs) = self.scheduler_with_inputs(now);
+                scheduler.record_outcome(&engine, &adapter, outcome, &inputs);
                 self.schedule(now, actions);
             }
         }
@@ -243,7 +248,7 @@
 
     /// Sends permits for the loads that the weight store's budget allows.
     pub(super) fn schedule(&mut self, now: Instant, actions: &mut Vec<PlacementAction>) {
-        let (scheduler, inputs) = self.scheduling(now);
+        let (scheduler, inputs) = self.scheduler_with_inputs(now);
         let permits = scheduler.next_permits(&inputs);
         for permit in permits {
             self.send_permit(permit, now, actions);
@@ -262,10 +267,10 @@
             class,
         } = permit;
         if self.owned.contains_key(&engine) {
-            self.permitted(&engine, adapter, class, Vec::new(), now, actions);
+            self.accept_permit(&engine, adapter, class, Vec::new(), now, actions);
             return;
         }
-        let victims = self.victims_of(&engine, now);
+        let victims = self.ranked_victims(&engine, now);
         match self.owner_of(&engine, now) {
             Some(node) if *node != self.settings.node => actions.push(PlacementAction::Send {
                 to: node.clone(),
@@ -280,7 +285,7 @@
         }
     }
 
-    pub(super) fn permitted(
+    pub(super) fn accept_permit(
         &mut self,
         engine: &UpstreamId,
         adapter: AdapterRef,
@@ -294,7 +299,7 @@
             return;
         }
         self.with_owner(engine, now, actions, |owner, _, _| {
-            owner.permitted(adapter, class, victims, now);
+            owner.add_permit(adapter, class, victims, now);
         });
     }
 
@@ -324,8 +329,8 @@
                 },
             }),
             _ => {
-                let (scheduler, inputs) = self.scheduling(now);
-                scheduler.ended(engine, adapter, outcome, &inputs);
+                let (scheduler, inputs) = self.scheduler_with_inputs(now);
+                scheduler.record_outcome(engine, adapter, outcome, &inputs);
             }
         }
     }
--- a/crates/placement/src/placement/owning.rs
+++ b/crates/placement/src/placement/owning.rs
@@ -25,31 +25,31 @@
         now: Instant,
         actions: &mut Vec<PlacementAction>,
     ) {
-        self.claims.answered(engine);
+        self.claims.record_answer(engine);
         let Some(plan) = self.view.plan_of(engine).cloned() else {
             return;
         };
         match self.owned.get_mut(engine) {
-            Some(owner) if owner.fence() == fence => owner.renewed(valid_until),
+            Some(owner) if owner.fence() == fence => owner.renew(valid_until),
             Some(owner) if owner.fence() > fence => {}
             _ => {
                 let ownership = Ownership::new(fence, plan.checks_fencing, Some(valid_until), now);
-                self.own(engine, ownership, false, now, actions);
+                self.take_ownership(engine, ownership, false, now, actions);
             }
         }
     }
 
-    /// The key-value service did not decide a claim. For an engine that checks fencing tokens, this
-    /// node takes over without the service: its first order with the higher number makes the engine
-    /// refuse the previous owner. An engine that ignores them could not refuse the previous owner,
-    /// which therefore keeps the engine until the service is back.
+    /// Handles a claim that the key-value service did not decide. For an engine that checks fencing
+    /// tokens, this node takes over without the service: its first order, with a higher token,
+    /// makes the engine refuse the previous owner. An engine that ignores them could not refuse the
+    /// previous owner, which therefore keeps the engine until the service is back.
     pub(super) fn claim_unanswered(
         &mut self,
         engine: &UpstreamId,
         now: Instant,
         actions: &mut Vec<PlacementAction>,
     ) {
-        self.claims.wait(engine, self.settings.claim_retry, now);
+        self.claims.defer(engine, self.settings.claim_retry, now);
         let checks_fencing = self
             .view
             .plan_of(engine)
@@ -62,10 +62,10 @@
         }
         let fence = next_fence(self.view.seen_fence(engine), &self.settings.node);
         let ownership = Ownership::new(fence, true, None, now);
-        self.own(engine, ownership, true, now, actions);
+        self.take_ownership(engine, ownership, true, now, actions);
     }
 
-    pub(super) fn own(
+    pub(super) fn take_ownership(
         &mut self,
         engine: &UpstreamId,
         ownership: Ownership,
@@ -78,8 +78,8 @@
         };
         let fence = ownership.fence;
         let owner = EngineOwner::new(plan, ownership);
-        if let Some(former) = self.owned.insert(engine.clone(), owner) {
-            self.give_back(engine, former, now, actions);
+        if let Some(previous) = self.owned.insert(engine.clone(), owner) {
+            self.return_unfinished_loads(engine, previous, now, actions);
         }
         actions.push(PlacementAction::Report(PlacementNote::Owned {
             engine: engine.clone(),
@@ -91,7 +91,7 @@
         };
         let report = report.clone();
         self.with_owner(engine, now, actions, |owner, settings, out| {
-            owner.report(report, taken_at, settings, now, out);
+            owner.apply_report(report, taken_at, settings, now, out);
         });
     }
 
@@ -105,21 +105,21 @@
         let Some(owner) = self.owned.remove(engine) else {
             return;
         };
-        self.give_back(engine, owner, now, actions);
+        self.return_unfinished_loads(engine, owner, now, actions);
         actions.push(PlacementAction::Report(PlacementNote::Disowned {
             engine: engine.clone(),
             cause,
         }));
     }
 
-    pub(super) fn give_back(
+    pub(super) fn return_unfinished_loads(
         &mut self,
         engine: &UpstreamId,
         owner: EngineOwner,
         now: Instant,
         actions: &mut Vec<PlacementAction>,
     ) {
-        for adapter in owner.into_unfinished() {
+        for adapter in owner.into_unfinished_loads() {
             self.load_ended(engine, &adapter, LoadOutcome::NotOwner, now, actions);
         }
     }
@@ -127,7 +127,7 @@
     pub(super) fn tick_claims(&mut self, now: Instant, actions: &mut Vec<PlacementAction>) {
         let owned = &self.owned;
         let is_owned = |engine: &UpstreamId| owned.contains_key(engine);
-        for (engine, step) in self.claims.steps(&self.settings, is_owned, now) {
+        for (engine, step) in self.claims.due_steps(&self.settings, is_owned, now) {
             match step {
                 ClaimStep::Claim => actions.push(PlacementAction::Claim {
                     seen_fence: self.view.seen_fence(&engine),
@@ -137,7 +137,7 @@
                         .is_some_and(|plan| plan.checks_fencing),
                     engine,
                 }),
-                ClaimStep::Overdue => self.claim_unanswered(&engine, now, actions),
+                ClaimStep::TimedOut => self.claim_unanswered(&engine, now, actions),
                 ClaimStep::Release => {
                     actions.push(PlacementAction::Release {
                         engine: engine.clone(),
@@ -148,18 +148,18 @@
         }
     }
 
-    /// Another node took over the engine. This node does not claim it again before the new owner
-    /// could have evicted anything; otherwise two nodes that see each other as gone would take it
-    /// over by turns, and nothing would ever be evicted.
-    pub(super) fn fenced_out(
+    /// Ends the ownership of an engine that another node took over. This node does not claim it
+    /// again before the new owner could have evicted anything; otherwise two nodes that see each
+    /// other as gone would take it over by turns, and nothing would ever be evicted.
+    pub(super) fn handle_fenced(
         &mut self,
         engine: &UpstreamId,
         cause: DisownCause,
         now: Instant,
         actions: &mut Vec<PlacementAction>,
     ) {
-        let quiet = self.settings.pin_lease + self.settings.pin_margin;
-        self.claims.wait(engine, quiet * 2, now);
+        let pin_duration = self.settings.pin_lease + self.settings.pin_margin;
+        self.claims.defer(engine, pin_duration * 2, now);
         self.disown(engine, cause, now, actions);
     }
 }
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -25,7 +25,7 @@
     pub report_lag: Duration,
     /// How long after a report without a higher fencing token was requested an owner may grant
     /// pins, on an engine that checks fencing tokens.
-    pub authority_ttl: Duration,
+    pub grant_report_ttl: Duration,
     /// How long after it was made an order may be carried out.
     pub order_valid_for: Duration,
     /// How long a node must be first choice for an engine before it claims the engine.
@@ -40,13 +40,13 @@
     /// The half-life of the long-term demand.
     pub demand_half_life: Duration,
     /// The half-life of the short-term demand, which shows a rise early.
-    pub rise_half_life: Duration,
+    pub short_half_life: Duration,
     /// The number of adapters whose demand is remembered.
     pub demand_capacity: usize,
     /// The largest number of pending loads.
-    pub want_capacity: usize,
+    pub pending_load_capacity: usize,
     /// How long a pending load is kept after it was last requested.
-    pub want_ttl: Duration,
+    pub pending_load_ttl: Duration,
     /// Requests per second that one replica of an adapter should serve.
     pub replica_rate_per_s: f64,
     /// The weight of an urgent request, relative to a routine one.
@@ -55,11 +55,11 @@
     /// prefetched.
     pub prefetch_advantage: f64,
     /// How long an owner looks for an adapter to evict before the load goes elsewhere.
-    pub victim_patience: Duration,
+    pub victim_search_timeout: Duration,
     /// How long a load waits for an adapter that is not in use before one in use is drained.
     pub drain_after: Duration,
     /// How long an adapter is drained before it is returned to service.
-    pub drain_patience: Duration,
+    pub drain_timeout: Duration,
     /// The time after which a load whose end was not observed counts as failed.
     pub load_timeout: Duration,
     /// The first backoff after a load failed or the weight store refused; it doubles each time.
@@ -81,23 +81,23 @@
             pin_lease: Duration::from_secs(10),
             pin_margin: Duration::from_secs(1),
             report_lag: Duration::from_millis(500),
-            authority_ttl: Duration::from_secs(3),
+            grant_report_ttl: Duration::from_secs(3),
             order_valid_for: Duration::from_secs(2),
             takeover_delay: Duration::from_secs(1),
             handover_delay: Duration::from_secs(2),
             claim_retry: Duration::from_secs(3),
             min_residency: Duration::from_secs(2),
             demand_half_life: Duration::from_secs(60),
-            rise_half_life: Duration::from_secs(10),
+            short_half_life: Duration::from_secs(10),
             demand_capacity: 16_384,
-            want_capacity: 4_096,
-            want_ttl: Duration::from_secs(5),
+            pending_load_capacity: 4_096,
+            pending_load_ttl: Duration::from_secs(5),
             replica_rate_per_s: 8.0,
             urgent_weight: 3.0,
             prefetch_advantage: 2.0,
-            victim_patience: Duration::from_secs(1),
+            victim_search_timeout: Duration::from_secs(1),
             drain_after: Duration::from_millis(300),
-            drain_patience: Duration::from_secs(3),
+            drain_timeout: Duration::from_secs(3),
             load_timeout: Duration::from_secs(30),
             first_backoff: Duration::from_millis(500),
             longest_backoff: Duration::from_secs(16),
--- a/crates/placement/src/slot_map.rs
+++ b/crates/placement/src/slot_map.rs
@@ -5,7 +5,7 @@
 use nutmegsail_base::{AdapterRef, AdapterState, EngineReport, HeldAdapter};
 
 /// How long an adapter whose drain failed is not drained again.
-const DRAIN_PAUSE: Duration = Duration::from_secs(10);
+const DRAIN_RETRY_DELAY: Duration = Duration::from_secs(10);
 
 /// The state of the adapter in a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// When it became ready, or was first seen if it is not ready yet.
     pub since: Instant,
     /// Only a report requested after this time shows whether it is idle.
-    pub idle_proof_after: Instant,
+    pub idle_report_after: Instant,
     /// When its drain began.
     pub draining_since: Option<Instant>,
     /// Its drain failed; it is not drained again before this time.
@@ -41,7 +41,7 @@
             adapter: adapter.clone(),
             state,
             since: now,
-            idle_proof_after: now,
+            idle_report_after: now,
             draining_since: None,
             no_drain_before: None,
         }
@@ -108,7 +108,7 @@
         if let Some(slot) = self.get_mut(adapter) {
             slot.state = SlotState::Ready;
             slot.draining_since = None;
-            slot.no_drain_before = Some(now + DRAIN_PAUSE);
+            slot.no_drain_before = Some(now + DRAIN_RETRY_DELAY);
         }
     }
 
@@ -123,8 +123,8 @@
     }
 
     /// Whether the drain in progress has taken longer than `timeout`.
-    pub fn drain_is_over(&self, patience: Duration, now: Instant) -> bool {
-        let is_over = |since: Instant| now >= since + patience;
+    pub fn has_drain_timed_out(&self, timeout: Duration, now: Instant) -> bool {
+        let is_over = |since: Instant| now >= since + timeout;
         let mut slots = self.slots.iter();
         slots.any(|s| s.state == SlotState::Draining && s.draining_since.is_some_and(is_over))
     }
@@ -144,7 +144,7 @@
             if slot.state == SlotState::Loading && held.state == AdapterState::Ready {
                 slot.state = SlotState::Ready;
                 slot.since = now;
-                slot.idle_proof_after = now;
+                slot.idle_report_after = now;
                 changes.became_ready.push(held.adapter.clone());
             }
         }
@@ -162,7 +162,7 @@
             .collect();
         for held in &report.adapters {
             if self.get(&held.adapter).is_none() {
-                self.adopt(held, now, &mut changes);
+                self.add_reported(held, now, &mut changes);
             }
         }
         changes
@@ -176,13 +176,13 @@
             };
             if slot.state == SlotState::Unloading && held.state == AdapterState::Ready {
                 slot.state = SlotState::Ready;
-                slot.idle_proof_after = now;
+                slot.idle_report_after = now;
                 changes.became_ready.push(held.adapter.clone());
             }
         }
     }
 
-    fn adopt(&mut self, held: &HeldAdapter, now: Instant, changes: &mut SlotChanges) {
+    fn add_reported(&mut self, held: &HeldAdapter, now: Instant, changes: &mut SlotChanges) {
         let state = match held.state {
             AdapterState::Ready => SlotState::Ready,
             AdapterState::Loading => SlotState::Loading,
--- a/crates/placement/src/store_budget.rs
+++ b/crates/placement/src/store_budget.rs
@@ -13,7 +13,7 @@
 /// a routine one.
 const URGENT_DEBT_LOADS: f64 = 1.0;
 /// The half-life of the recent loads that are reported to other failure domains.
-const USE_WINDOW: Duration = Duration::from_secs(5);
+const RECENT_LOADS_HALF_LIFE: Duration = Duration::from_secs(5);
 
 /// The weight store use that another failure domain reported.
 #[derive(Clone, Copy, Debug)]
@@ -39,13 +39,13 @@
     loads_per_s: f64,
     failure_domains: u32,
     tokens: f64,
-    filled_at: Option<Instant>,
+    refilled_at: Option<Instant>,
     peers: BTreeMap<FailureDomain, PeerUse>,
     peer_ttl: Duration,
     first_backoff: Duration,
     longest_backoff: Duration,
     refusals: u32,
-    closed_until: Option<Instant>,
+    backoff_until: Option<Instant>,
     recent_loads: f64,
     recent_at: Option<Instant>,
 }
@@ -56,24 +56,24 @@
             loads_per_s: 0.0,
             failure_domains: 1,
             tokens: BURST_LOADS,
-            filled_at: None,
+            refilled_at: None,
             peers: BTreeMap::new(),
             peer_ttl: settings.store_use_ttl,
             first_backoff: settings.first_backoff,
             longest_backoff: settings.longest_backoff,
             refusals: 0,
-            closed_until: None,
+            backoff_until: None,
             recent_loads: 0.0,
             recent_at: None,
         }
     }
 
-    pub fn replan(&mut self, plan: &PlacementPlan) {
+    pub fn apply_plan(&mut self, plan: &PlacementPlan) {
         self.loads_per_s = plan.loads_per_s;
         self.failure_domains = plan.failure_domains.max(1);
     }
 
-    pub fn peer_use(
+    pub fn record_peer_use(
         &mut self,
         domain: FailureDomain,
         loads_per_s: f64,
@@ -107,13 +107,13 @@
 
     /// Whether a load may be ordered now.
     pub fn allows(&mut self, class: Class, now: Instant) -> bool {
-        self.fill(now);
-        let is_closed = self.closed_until.is_some_and(|until| now < until);
+        self.refill(now);
+        let is_backing_off = self.backoff_until.is_some_and(|until| now < until);
         let needed = match class {
             Class::Urgent => 1.0 - URGENT_DEBT_LOADS,
             Class::Routine => 1.0,
         };
-        !is_closed && self.loads_per_s > 0.0 && self.tokens >= needed
+        !is_backing_off && self.loads_per_s > 0.0 && self.tokens >= needed
     }
 
     /// Whether the bucket is full and no backoff is in effect.
@@ -121,51 +121,52 @@
         self.allows(Class::Routine, now) && self.tokens >= BURST_LOADS
     }
 
-    pub fn spend(&mut self, now: Instant) {
+    pub fn record_load(&mut self, now: Instant) {
         self.tokens -= 1.0;
-        self.recent_loads = self.recent(now) + 1.0;
+        self.recent_loads = self.decayed_recent_loads(now) + 1.0;
         self.recent_at = Some(now);
     }
 
     /// Records that the store refused a load: no load is allowed for a backoff that doubles each
     /// time. `jitter` (0 to 1) varies the backoff, so that failure domains that were refused
     /// together don't retry together.
-    pub fn refused(&mut self, spread: f64, now: Instant) {
-        if self.closed_until.is_some_and(|until| now < until) {
+    pub fn record_refusal(&mut self, jitter: f64, now: Instant) {
+        if self.backoff_until.is_some_and(|until| now < until) {
             return;
         }
         let doubled = self.first_backoff * 2u32.saturating_pow(self.refusals.min(16));
         let wait = doubled
             .min(self.longest_backoff)
-            .mul_f64(0.75 + spread / 2.0);
+            .mul_f64(0.75 + jitter / 2.0);
         self.refusals = self.refusals.saturating_add(1);
-        self.closed_until = Some(now + wait);
+        self.backoff_until = Some(now + wait);
     }
 
     /// Whether the store has refused a load since the last one that succeeded.
-    pub fn is_refused(&self) -> bool {
+    pub fn is_store_refusing(&self) -> bool {
         self.refusals > 0
     }
 
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.refusals = 0;
     }
 
     /// The recent loads per second of this failure domain.
-    pub fn own_use_per_s(&self, now: Instant) -> f64 {
-        self.recent(now) * std::f64::consts::LN_2 / USE_WINDOW.as_secs_f64()
+    pub fn recent_loads_per_s(&self, now: Instant) -> f64 {
+        self.decayed_recent_loads(now) * std::f64::consts::LN_2
+            / RECENT_LOADS_HALF_LIFE.as_secs_f64()
     }
 
-    fn recent(&self, now: Instant) -> f64 {
+    fn decayed_recent_loads(&self, now: Instant) -> f64 {
         let since = |at| now.saturating_duration_since(at).as_secs_f64();
         let age = self.recent_at.map_or(0.0, since);
-        self.recent_loads * (-age / USE_WINDOW.as_secs_f64()).exp2()
+        self.recent_loads * (-age / RECENT_LOADS_HALF_LIFE.as_secs_f64()).exp2()
     }
 
-    fn fill(&mut self, now: Instant) {
+    fn refill(&mut self, now: Instant) {
         let since = |at| now.saturating_duration_since(at).as_secs_f64();
-        let elapsed = self.filled_at.map_or(0.0, since);
+        let elapsed = self.refilled_at.map_or(0.0, since);
         self.tokens = (self.tokens + elapsed * self.rate_per_s(now)).min(BURST_LOADS);
-        self.filled_at = Some(now);
+        self.refilled_at = Some(now);
     }
 }
