--- a/crates/placement/tests/demand_sharing.rs
+++ b/crates/placement/tests/demand_sharing.rs
@@ -1,4 +1,4 @@
-//! What nodes of one failure domain tell each other about demand.
+//! Reports of demand between nodes, and of weight store use between failure domains.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,10 +9,10 @@
     PlacementPlan, PlacementSettings,
 };
 
-/// Callers of one node ask for an adapter again and again. The node that schedules the failure
-/// domain's loads never sees them; without word of them it would choose that adapter as a victim.
+/// One node receives all requests for an adapter. The node that schedules the failure domain's
+/// loads would choose that adapter for eviction if it were not told of them.
 #[test]
-fn the_load_scheduler_hears_of_requests_at_other_nodes() {
+fn the_load_scheduler_is_told_of_requests_at_other_nodes() {
     let now = Instant::now();
     let names = ["node-1", "node-2"];
     let mut told = Vec::new();
@@ -49,8 +49,8 @@
     assert_eq!(*message, PlacementMessage::Demand { counts });
 }
 
-/// One failure domain has nothing to load, another one has a backlog. Without word of each other
-/// the second one keeps to its share while the weight store stands idle.
+/// One failure domain has nothing to load, another one has a backlog. Without a report of use, the
+/// second one would keep to its share while the weight store is idle.
 #[test]
 fn a_failure_domain_tells_the_others_how_much_of_the_weight_store_it_uses() {
     let now = Instant::now();
--- a/crates/placement/tests/eviction_safety.rs
+++ b/crates/placement/tests/eviction_safety.rs
@@ -1,6 +1,6 @@
 //! Randomised runs: no adapter is unloaded while a request runs on it.
 
-mod world;
+mod simulation;
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use rstest::rstest;
-use world::{ModelEngine, World, adapter, ms, plan};
+use simulation::{SimulatedEngine, Simulation, adapter, ms, plan};
 
 const NODES: usize = 3;
 const ADAPTERS: u32 = 8;
@@ -33,7 +33,7 @@
         node: usize,
         ms: u64,
     },
-    StoreOut {
+    KvUnavailable {
         ms: u64,
     },
     RestartEngine {
@@ -59,7 +59,7 @@
         12 => (100..4_000u64).prop_map(|ms| Step::Run { ms }),
         1 => (0..NODES, 500..20_000u64).prop_map(|(node, ms)| Step::Pause { node, ms }),
         1 => (0..NODES, 500..20_000u64).prop_map(|(node, ms)| Step::PauseAtOrder { node, ms }),
-        1 => (500..20_000u64).prop_map(|ms| Step::StoreOut { ms }),
+        1 => (500..20_000u64).prop_map(|ms| Step::KvUnavailable { ms }),
         1 => (0..2usize).prop_map(|engine| Step::RestartEngine { engine }),
         1 => Just(Step::LoseOrderAnswer),
         1 => (500..6_000u64).prop_map(|ms| Step::DelayOrder { ms }),
@@ -69,45 +69,49 @@
     ]
 }
 
-fn apply(world: &mut World, step: &Step) {
+fn apply(simulation: &mut Simulation, step: &Step) {
     match *step {
         Step::Requests {
             node,
             adapter: n,
             run_ms,
         } => {
-            world.request(node, &adapter(n), Class::Routine, ms(run_ms));
+            simulation.request(node, &adapter(n), Class::Routine, ms(run_ms));
         }
-        Step::Run { ms: time } => world.run(ms(time)),
-        Step::Pause { node, ms: time } => world.pause(node, ms(time)),
-        Step::PauseAtOrder { node, ms: time } => world.nodes[node].pause_at_order = Some(ms(time)),
-        Step::StoreOut { ms: time } => world.faults.store_out_until = Some(world.now + ms(time)),
-        Step::RestartEngine { engine } => world.restart_engine(engine),
-        Step::LoseOrderAnswer => world.faults.lose_order_answers += 1,
-        Step::DelayOrder { ms: time } => world.faults.delay_order = Some(ms(time)),
-        Step::FailLoad => world.faults.fail_loads += 1,
-        Step::RefuseLoad => world.faults.refuse_loads += 1,
-        Step::LoseMessages { one_in } => world.faults.lose_one_in = one_in,
+        Step::Run { ms: time } => simulation.run(ms(time)),
+        Step::Pause { node, ms: time } => simulation.pause(node, ms(time)),
+        Step::PauseAtOrder { node, ms: time } => {
+            simulation.nodes[node].pause_at_order = Some(ms(time));
+        }
+        Step::KvUnavailable { ms: time } => {
+            simulation.faults.kv_unavailable_until = Some(simulation.now + ms(time));
+        }
+        Step::RestartEngine { engine } => simulation.restart_engine(engine),
+        Step::LoseOrderAnswer => simulation.faults.lose_order_answers += 1,
+        Step::DelayOrder { ms: time } => simulation.faults.delay_order = Some(ms(time)),
+        Step::FailLoad => simulation.faults.fail_loads += 1,
+        Step::RefuseLoad => simulation.faults.refuse_loads += 1,
+        Step::LoseMessages { one_in } => simulation.faults.lose_one_in = one_in,
     }
 }
 
-fn run(checks_fencing: bool, seed: u64, steps: &[Step]) -> World {
-    let mut world = World::new(NODES, plan(2, 2, ADAPTERS, checks_fencing), seed);
-    world.run(Duration::from_secs(20));
+fn run(checks_fencing: bool, seed: u64, steps: &[Step]) -> Simulation {
+    let mut simulation = Simulation::new(NODES, plan(2, 2, ADAPTERS, checks_fencing), seed);
+    simulation.run(Duration::from_secs(20));
     for step in steps {
-        apply(&mut world, step);
+        apply(&mut simulation, step);
     }
-    world.run(Duration::from_secs(20));
-    world
+    simulation.run(Duration::from_secs(20));
+    simulation
 }
 
-fn sum(world: &World, count: impl Fn(&ModelEngine) -> u32) -> u32 {
-    world.engines.iter().map(count).sum()
+fn sum(simulation: &Simulation, count: impl Fn(&SimulatedEngine) -> u32) -> u32 {
+    simulation.engines.iter().map(count).sum()
 }
 
-/// Owners pause, are replaced and wake; orders and answers are late or lost; engines restart
-/// cold; the key-value service is out. A caller would see an answer cut short if an adapter
-/// went while its request ran.
+/// Owners pause, are replaced and resume; orders and answers are late or lost; engines restart with
+/// nothing loaded; the key-value service is unavailable. If an adapter were evicted while its
+/// request ran, the caller's answer would be cut short.
 #[rstest]
 #[case::engines_check_fencing(true)]
 #[case::engines_ignore_fencing(false)]
@@ -123,15 +127,15 @@
     let runs = (any::<u64>(), vec(step(), 80..160));
     TestRunner::new(config)
         .run(&runs, |(seed, steps)| {
-            let world = run(checks_fencing, seed, &steps);
+            let simulation = run(checks_fencing, seed, &steps);
             prop_assert_eq!(
-                sum(&world, |e| e.evicted_in_use),
+                sum(&simulation, |e| e.evicted_in_use),
                 0,
                 "an adapter in use was evicted"
             );
-            ran.set(ran.get() + world.ran);
-            evictions.set(evictions.get() + sum(&world, |e| e.evictions));
-            takeovers.set(takeovers.get() + world.takeovers);
+            ran.set(ran.get() + simulation.ran);
+            evictions.set(evictions.get() + sum(&simulation, |e| e.evictions));
+            takeovers.set(takeovers.get() + simulation.takeovers);
             Ok(())
         })
         .expect("no adapter in use is evicted");
--- a/crates/placement/tests/owner_choice.rs
+++ b/crates/placement/tests/owner_choice.rs
@@ -1,4 +1,4 @@
-//! Which node owns an engine.
+//! The choice of the node that owns an engine, and of its fencing token.
 
 use nutmegsail_base::NodeId;
 use nutmegsail_placement::{first_choice, next_fence};
@@ -7,8 +7,8 @@
     names.iter().map(|name| NodeId::from(*name)).collect()
 }
 
-/// An entry VM fails. Operators would see engines that never were the failed node's change hands,
-/// each without evictions for a pin lease, if the choice were not stable.
+/// A node fails. If the choice were not stable, engines that it did not own would change owners as
+/// well, and each change means no evictions for the length of a pin lease.
 #[test]
 fn only_engines_of_the_node_that_left_move() {
     let before = nodes(&["a", "b", "c", "d"]);
@@ -21,10 +21,10 @@
     }
 }
 
-/// Two nodes take an engine over at once while the key-value service is out. With the same
-/// fencing number the engine would obey both.
+/// Two nodes take over an engine at the same time while the key-value service is unavailable. With
+/// the same fencing token, the engine would obey both.
 #[test]
-fn two_nodes_never_draw_the_same_fence() {
+fn two_nodes_never_choose_the_same_fencing_token() {
     let seen = next_fence(next_fence(0, &"a".into()), &"b".into());
     let drawn = [next_fence(seen, &"c".into()), next_fence(seen, &"d".into())];
     assert_ne!(drawn[0], drawn[1]);
--- a/crates/placement/tests/pin_cache.rs
+++ b/crates/placement/tests/pin_cache.rs
@@ -1,4 +1,5 @@
-//! Stories of this node's pins.
+//! Tests of the pin cache: when requests may be sent, and when pins are requested, renewed and
+//! returned.
 
 use std::time::{Duration, Instant};
 
@@ -57,10 +58,12 @@
     }
 }
 
-/// The owner's grant is slow on its way. The owner counts its lease from the grant; counted from
-/// its arrival, this node would go on sending after the owner had evicted the adapter.
+/// The owner counts the lease from its grant. If the holder counted from the arrival of a slow
+/// grant, it would go on sending after the owner had evicted the adapter.
 #[rstest]
-fn a_pin_lapses_here_before_it_lapses_at_the_owner(#[values(0, 200, 499, 5_000)] answer_ms: u64) {
+fn a_pin_expires_for_the_holder_before_it_expires_for_the_owner(
+    #[values(0, 200, 499, 5_000)] answer_ms: u64,
+) {
     let mut holder = Holder::new();
     let granted_at = holder.now;
     let ask_id = holder.ask();
@@ -73,10 +76,10 @@
     assert!(!holder.begin());
 }
 
-/// The node pauses between the check of its pin and the sending of the request. When it wakes, the
-/// pin has lapsed and the adapter may be gone.
+/// If the node pauses between checking its pin and sending the request, the pin may have expired
+/// and the adapter may be evicted.
 #[test]
-fn a_pin_that_lapses_between_check_and_send_is_noticed() {
+fn no_request_is_sent_when_the_pin_expires_after_the_check() {
     let mut holder = Holder::new();
     let ask_id = holder.ask();
     holder.granted(ask_id);
@@ -86,10 +89,10 @@
     assert_eq!(holder.pins.in_use(&holder.engine, &holder.adapter), 0);
 }
 
-/// A hot adapter: a thousand requests a second for half a minute. An ask for each would cost each
-/// a hop, and the owner a thousand messages a second.
+/// An adapter with a thousand requests a second for half a minute. A pin request for each would add
+/// a network hop to each, and the owner would receive a thousand messages a second.
 #[test]
-fn a_hot_adapter_is_asked_for_only_to_renew() {
+fn a_pin_in_constant_use_is_requested_only_to_renew_it() {
     let mut holder = Holder::new();
     let ask_id = holder.ask();
     holder.granted(ask_id);
@@ -110,17 +113,17 @@
     assert_eq!(asks, 1 + renewals);
 }
 
-/// A manuscript pass runs for minutes. Its pin must stay known to the owner all the time, also
-/// when the owner could not be reached for longer than a lease.
+/// A request runs for minutes. Its pin must be renewed all the time, even if the owner could not be
+/// reached for longer than a lease.
 #[test]
-fn a_request_in_flight_keeps_its_pin_alive() {
+fn the_pin_of_a_request_in_flight_is_renewed() {
     let mut holder = Holder::new();
     let ask_id = holder.ask();
     holder.granted(ask_id);
     assert!(holder.begin());
     holder.now += LEASE * 2;
     assert!(matches!(holder.tick()[..], [PinCacheAction::Ask { .. }]));
-    assert!(!holder.begin(), "no new request under a lapsed pin");
+    assert!(!holder.begin(), "no new request under an expired pin");
     holder.now += ms(600);
     let renewal = holder.tick();
     let [PinCacheAction::Ask { ask_id, .. }] = renewal[..] else {
@@ -130,10 +133,10 @@
     assert!(holder.begin());
 }
 
-/// An adapter is no longer used here. The owner waits for every pin before it evicts, so a pin
-/// that is kept for nothing stalls a load elsewhere.
+/// The owner evicts an adapter only when all of its pins have ended, so an unused pin that is kept
+/// delays a load elsewhere.
 #[test]
-fn an_idle_pin_is_given_back_with_the_ask_that_it_rests_on() {
+fn an_idle_pin_is_returned_with_the_number_of_its_granted_request() {
     let mut holder = Holder::new();
     let ask_id = holder.ask();
     holder.granted(ask_id);
@@ -152,10 +155,10 @@
     assert!(holder.pins.is_empty());
 }
 
-/// An ask is given up and repeated, then the first grant arrives. The holder would count the
-/// second lease from the first ask, or give back the wrong one.
+/// A pin request times out and is repeated; then the grant for the first one arrives. If the holder
+/// accepted it, it would count the second lease from the first request, or return the wrong pin.
 #[test]
-fn a_grant_of_an_ask_given_up_since_is_dropped() {
+fn a_grant_for_a_repeated_pin_request_is_ignored() {
     let mut holder = Holder::new();
     let first = holder.ask();
     holder.now += ms(500);
@@ -167,10 +170,10 @@
     assert!(matches!(holder.may_send(), PinUse::Held { .. }));
 }
 
-/// The owner needs the slot of an adapter that is asked for without a pause. The pin must come
-/// back after the requests that run, and a new ask must not overtake its return.
+/// The owner needs the slot of an adapter that is in constant use. The pin must be returned when
+/// the running requests have ended, and a new pin request must not overtake the return.
 #[test]
-fn a_recalled_pin_takes_no_new_request_and_comes_back_when_the_last_one_ends() {
+fn a_recalled_pin_takes_no_new_request_and_is_returned_when_the_last_one_ends() {
     let mut holder = Holder::new();
     let ask_id = holder.ask();
     holder.granted(ask_id);
--- a/crates/placement/tests/world/engine.rs
+++ b/crates/placement/tests/simulation/engine.rs
@@ -1,4 +1,4 @@
-//! A small model of an engine: slots, orders, requests.
+//! A simulated engine: slots, orders, requests.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -6,7 +6,7 @@
 use nutmegsail_base::{AdapterRef, AdapterState, EngineReport, HeldAdapter, Incarnation};
 use nutmegsail_upstream::{OrderAnswer, OrderError, OrderOp};
 
-/// An order as it reaches the engine.
+/// An order as it arrives at the engine.
 #[derive(Clone, Debug)]
 pub struct ArrivingOrder {
     pub op: OrderOp,
@@ -17,10 +17,10 @@
     pub valid_until: Instant,
 }
 
-/// An engine that obeys any order in force, also one that evicts an adapter in use: the model
-/// does not help the owner. It counts such evictions.
+/// A simulated engine. It obeys every valid order, even one that evicts an adapter in use, and
+/// counts such evictions: the owner alone has to prevent them.
 #[derive(Debug)]
-pub struct ModelEngine {
+pub struct SimulatedEngine {
     pub checks_fencing: bool,
     pub adapter_slots: u32,
     pub incarnation: u64,
@@ -34,7 +34,7 @@
     history: VecDeque<(Instant, EngineReport)>,
 }
 
-impl ModelEngine {
+impl SimulatedEngine {
     pub fn new(checks_fencing: bool, adapter_slots: u32) -> Self {
         Self {
             checks_fencing,
@@ -92,7 +92,7 @@
         Ok(OrderAnswer::Accepted)
     }
 
-    /// A load's bytes are there, or it failed half-way.
+    /// Ends a load: the adapter is ready, or the load failed half-way.
     pub fn load_done(&mut self, adapter: &AdapterRef, failed: bool) {
         if let Some(at) = self.held.iter().position(|h| h.adapter == *adapter) {
             if failed {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// A request arrives. False: refused, since the adapter is not there.
+    /// Starts a request. Returns false if the adapter is not ready; the request is refused then.
     pub fn start(&mut self, adapter: &AdapterRef) -> bool {
         let ready = self
             .held
@@ -126,7 +126,7 @@
         self.history.clear();
     }
 
-    /// Keeps a snapshot, for reports that lag.
+    /// Keeps a snapshot of the report, for reports that lag.
     pub fn snapshot(&mut self, now: Instant) {
         let report = self.report();
         self.history.push_back((now, report));
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The newest snapshot that is at least `lag` old, or the present state.
+    /// The newest snapshot that is at least `lag` old, or the present state if there is none.
     pub fn lagging_report(&self, lag: Duration, now: Instant) -> EngineReport {
         let is_old = |(at, _): &&(Instant, EngineReport)| *at + lag <= now;
         let old = self.history.iter().rev().find(is_old);
--- a/crates/placement/tests/world/mod.rs
+++ b/crates/placement/tests/simulation/mod.rs
@@ -1,6 +1,7 @@
-//! Nodes, engines and a key-value service in one process, on a clock that the test moves.
+//! A simulation of nodes, engines and a key-value service in one process, on a clock that the test
+//! advances.
 //!
-//! Messages take up to 200 ms, reports are up to 400 ms old. Faults are injected by the tests.
+//! Messages take up to 200 ms, and reports are up to 400 ms old. The tests inject faults.
 
 mod engine;
 mod node;
@@ -10,8 +11,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub use engine::{ArrivingOrder, ModelEngine};
-pub use node::{ModelNode, NodeInput};
+pub use engine::{ArrivingOrder, SimulatedEngine};
+pub use node::{NodeInput, SimulatedNode};
 use nutmegsail_base::{AdapterRef, Class, NodeId, UpstreamId};
 use nutmegsail_placement::{
     EnginePlan, PinCacheAction, PlacementAction, PlacementEvent, PlacementPlan, next_fence,
@@ -32,7 +33,7 @@
     AdapterRef::new(format!("adapter-{n}"), 1)
 }
 
-/// Something that arrives later.
+/// Something that takes effect at a later time.
 #[derive(Clone, Debug)]
 enum Arrival {
     Node(usize, NodeInput),
@@ -45,7 +46,7 @@
     LoadDone(usize, u64, AdapterRef),
     Request(usize, usize, AdapterRef, Duration),
     RequestEnds(usize, usize, u64, AdapterRef),
-    Act(usize, Vec<PlacementAction>),
+    CarryOut(usize, Vec<PlacementAction>),
 }
 
 #[derive(Debug)]
@@ -68,23 +69,24 @@
     }
 }
 
-/// What the network and the weight store do wrong. Each is used up by the next matching event.
+/// Faults of the network, the key-value service and the weight store. A count or a delay is used up
+/// by the next matching events.
 #[derive(Debug, Default)]
 pub struct Faults {
     pub lose_order_answers: u32,
     pub delay_order: Option<Duration>,
     pub fail_loads: u32,
     pub refuse_loads: u32,
-    /// One in so many messages between nodes is lost; 0: none.
+    /// One in so many messages between nodes is lost; 0 means none.
     pub lose_one_in: u64,
-    pub store_out_until: Option<Instant>,
+    pub kv_unavailable_until: Option<Instant>,
 }
 
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     pub now: Instant,
-    pub engines: Vec<ModelEngine>,
-    pub nodes: Vec<ModelNode>,
+    pub engines: Vec<SimulatedEngine>,
+    pub nodes: Vec<SimulatedNode>,
     pub faults: Faults,
     pub load_time: Duration,
     pub ran: u32,
@@ -106,7 +108,7 @@
     NodeId::from(format!("node-{n}"))
 }
 
-/// One failure domain with a weight store of its own at 3 loads/s.
+/// A plan of one failure domain that has the weight store's whole rate of 3 loads/s.
 pub fn plan(engines: usize, slots: u32, adapters: u32, checks_fencing: bool) -> PlacementPlan {
     PlacementPlan {
         engines: (0..engines)
@@ -125,15 +127,17 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn new(nodes: usize, plan: PlacementPlan, seed: u64) -> Self {
         let now = Instant::now();
         let engines = plan.engines.iter();
-        let engines = engines.map(|e| ModelEngine::new(e.checks_fencing, e.adapter_slots));
-        let mut world = Self {
+        let engines = engines.map(|e| SimulatedEngine::new(e.checks_fencing, e.adapter_slots));
+        let mut simulation = Self {
             now,
             engines: engines.collect(),
-            nodes: (0..nodes).map(|n| ModelNode::new(node_name(n))).collect(),
+            nodes: (0..nodes)
+                .map(|n| SimulatedNode::new(node_name(n)))
+                .collect(),
             faults: Faults::default(),
             load_time: ms(300),
             ran: 0,
@@ -146,9 +150,9 @@
             owners: BTreeMap::new(),
             leases: vec![now; nodes],
         };
-        world.give_plan(plan);
-        world.spread_live_nodes();
-        world
+        simulation.give_plan(plan);
+        simulation.publish_live_nodes();
+        simulation
     }
 
     pub fn give_plan(&mut self, plan: PlacementPlan) {
@@ -163,7 +167,7 @@
         self.now - self.start
     }
 
-    /// A caller's request of `run_time` comes to `node`.
+    /// A request that runs for `run_time` arrives at `node`.
     pub fn request(&mut self, node: usize, adapter: &AdapterRef, class: Class, run_time: Duration) {
         let now = self.now;
         self.nodes[node].add_request(adapter, class, run_time, now);
@@ -195,7 +199,7 @@
         }
         let tenths = self.elapsed().as_millis() / STEP.as_millis();
         if tenths.is_multiple_of(10) {
-            self.spread_live_nodes();
+            self.publish_live_nodes();
             (0..self.nodes.len()).for_each(|node| self.renew_lease(node));
         }
         if tenths.is_multiple_of(2) {
@@ -213,7 +217,7 @@
         self.rng.next_u64() % limit.max(1)
     }
 
-    fn later(&mut self, delay: Duration, arrival: Arrival) {
+    fn schedule(&mut self, delay: Duration, arrival: Arrival) {
         self.arrival_count += 1;
         let scheduled = Scheduled(self.now + delay, self.arrival_count, arrival);
         self.arrivals.push(Reverse(scheduled));
@@ -225,7 +229,7 @@
             return;
         }
         let delay = ms(self.random_below(200));
-        self.later(delay, Arrival::Node(node, input));
+        self.schedule(delay, Arrival::Node(node, input));
     }
 
     fn arrive(&mut self, arrival: Arrival) {
@@ -252,14 +256,14 @@
                 }
                 self.deliver(node, NodeInput::RequestOver(engine_name(engine), adapter));
             }
-            Arrival::Act(node, actions) => self.act(node, actions),
+            Arrival::CarryOut(node, actions) => self.carry_out(node, actions),
         }
     }
 
-    /// Hands the node its input, or keeps it until the node's pause is over.
+    /// Passes an input to the node, or keeps it until the pause of the node is over.
     pub fn deliver(&mut self, node: usize, input: NodeInput) {
         if let Some(until) = self.nodes[node].paused_until.filter(|at| self.now < *at) {
-            self.later(until - self.now, Arrival::Node(node, input));
+            self.schedule(until - self.now, Arrival::Node(node, input));
             return;
         }
         let actions = self.nodes[node].handle(input, self.now);
@@ -269,20 +273,20 @@
             .take_if(|_| actions.iter().any(has_order))
         {
             self.pause(node, pause);
-            self.later(pause, Arrival::Act(node, actions));
+            self.schedule(pause, Arrival::CarryOut(node, actions));
             return;
         }
-        self.act(node, actions);
+        self.carry_out(node, actions);
     }
 
-    fn act(&mut self, node: usize, actions: Vec<PlacementAction>) {
+    fn carry_out(&mut self, node: usize, actions: Vec<PlacementAction>) {
         for action in actions {
             self.log.push((self.elapsed(), node, action.clone()));
-            self.act_on(node, action);
+            self.carry_out_action(node, action);
         }
     }
 
-    fn act_on(&mut self, node: usize, action: PlacementAction) {
+    fn carry_out_action(&mut self, node: usize, action: PlacementAction) {
         match action {
             PlacementAction::Claim {
                 engine,
@@ -377,7 +381,7 @@
             id,
             order,
         };
-        self.later(delay, arrival);
+        self.schedule(delay, arrival);
     }
 
     fn order_arrives(
@@ -396,7 +400,7 @@
         if result.is_ok() && order.op == OrderOp::Load {
             let incarnation = self.engines[engine].incarnation;
             let done = Arrival::LoadDone(engine, incarnation, order.adapter.clone());
-            self.later(self.load_time, done);
+            self.schedule(self.load_time, done);
         }
         let result = if take_one(&mut self.faults.lose_order_answers) {
             Err(OrderError::Ambiguous)
@@ -422,7 +426,7 @@
             self.ran += 1;
             let incarnation = self.engines[engine].incarnation;
             let ends = Arrival::RequestEnds(node, engine, incarnation, adapter);
-            self.later(run_time, ends);
+            self.schedule(run_time, ends);
         } else {
             self.deliver(
                 node,
@@ -436,20 +440,20 @@
         let served = self.nodes[node].serve(now);
         for (engine, adapter, run_time) in served.sent {
             let delay = ms(self.random_below(100));
-            self.later(
+            self.schedule(
                 delay,
                 Arrival::Request(node, index_of(&engine), adapter, run_time),
             );
         }
         for action in served.pins {
-            self.act_on_pin(node, action);
+            self.carry_out_pin_action(node, action);
         }
         for event in served.events {
             self.deliver(node, NodeInput::Event(event));
         }
     }
 
-    fn act_on_pin(&mut self, node: usize, action: PinCacheAction) {
+    fn carry_out_pin_action(&mut self, node: usize, action: PinCacheAction) {
         let from = node_name(node);
         let (engine, event) = match action {
             PinCacheAction::Ask {
@@ -502,9 +506,9 @@
         }
     }
 
-    /// A node that has been paused for a second is no longer seen as live.
-    fn spread_live_nodes(&mut self) {
-        let is_seen = |node: &ModelNode| node.is_seen_live(self.now);
+    /// Tells each node which nodes are live: those that aren't paused, and itself.
+    fn publish_live_nodes(&mut self) {
+        let is_seen = |node: &SimulatedNode| node.is_seen_live(self.now);
         let nodes: Vec<NodeId> = self
             .nodes
             .iter()
@@ -520,14 +524,14 @@
         }
     }
 
-    fn store_is_out(&self) -> bool {
+    fn is_kv_unavailable(&self) -> bool {
         self.faults
-            .store_out_until
+            .kv_unavailable_until
             .is_some_and(|until| self.now < until)
     }
 
     fn renew_lease(&mut self, node: usize) {
-        if self.store_is_out() || self.nodes[node].is_paused(self.now) {
+        if self.is_kv_unavailable() || self.nodes[node].is_paused(self.now) {
             return;
         }
         self.leases[node] = self.now + LEASE_TTL;
@@ -558,7 +562,7 @@
     }
 
     fn claim(&mut self, node: usize, engine: &UpstreamId, seen_fence: u64, may_replace: bool) {
-        if self.store_is_out() {
+        if self.is_kv_unavailable() {
             let event = PlacementEvent::ClaimUnanswered {
                 engine: engine.clone(),
             };
--- a/crates/placement/tests/world/node.rs
+++ b/crates/placement/tests/simulation/node.rs
@@ -1,4 +1,4 @@
-//! A node of the model: placement, pins, and callers' requests that wait.
+//! A simulated node: placement, pins, and requests that wait.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,9 +9,9 @@
     PlacementSettings, Presence,
 };
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What reaches a node.
+/// An input that arrives at a node.
 #[derive(Clone, Debug)]
 pub enum NodeInput {
     Event(PlacementEvent),
@@ -31,7 +31,7 @@
     since: Instant,
 }
 
-/// What a node does about its requests.
+/// What a node does for its requests in one step.
 #[derive(Debug, Default)]
 pub struct Served {
     pub sent: Vec<(UpstreamId, AdapterRef, Duration)>,
@@ -40,19 +40,19 @@
 }
 
 #[derive(Debug)]
-pub struct ModelNode {
+pub struct SimulatedNode {
     pub id: NodeId,
     pub placement: Placement,
     pub pins: PinCache,
     pub paused_until: Option<Instant>,
-    /// How long the node pauses between its next order being made and being sent.
+    /// How long the node pauses between making its next order and sending it.
     pub pause_at_order: Option<Duration>,
     pub known: BTreeMap<(AdapterRef, UpstreamId), Presence>,
     pub waits: Vec<Duration>,
     waiting: Vec<WaitingRequest>,
 }
 
-impl ModelNode {
+impl SimulatedNode {
     pub fn new(id: NodeId) -> Self {
         let settings = PlacementSettings::new(id.clone(), "negril-hall");
         Self {
@@ -121,14 +121,14 @@
         actions
     }
 
-    /// Sends what a pin allows, asks for pins and wants adapters for the rest.
+    /// Sends the requests that a pin allows; requests pins and loads for the others.
     pub fn serve(&mut self, now: Instant) -> Served {
         let mut served = Served::default();
         self.pins.tick(now, &mut served.pins);
         for request in std::mem::take(&mut self.waiting) {
             if self.try_send(&request, now, &mut served) {
                 self.waits.push(now - request.since);
-            } else if now < request.since + PATIENCE {
+            } else if now < request.since + REQUEST_TIMEOUT {
                 self.waiting.push(request);
             }
         }
--- a/crates/placement/tests/single_owner/mod.rs
+++ b/crates/placement/tests/single_owner/mod.rs
@@ -1,4 +1,4 @@
-//! One node that owns one engine, told every event by hand.
+//! A fixture with one node that owns one engine. The test passes every event itself.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -48,7 +48,7 @@
     }
 }
 
-/// A node and the report that its engine would give.
+/// A node, and the report that its engine would give.
 pub struct SingleOwner {
     pub placement: Placement,
     pub now: Instant,
@@ -56,7 +56,7 @@
 }
 
 impl SingleOwner {
-    /// The node has just taken the engine over; it has seen no report yet.
+    /// A node that has just taken over the engine and has seen no report yet.
     pub fn new(checks_fencing: bool, adapter_slots: u32) -> Self {
         let mut owner = Self {
             placement: Placement::new(PlacementSettings::new("node", "ochi-hall")),
@@ -73,11 +73,11 @@
                 is_leaving: false,
             },
         };
-        owner.tell(PlacementEvent::Plan(Arc::new(plan(
+        owner.handle(PlacementEvent::Plan(Arc::new(plan(
             checks_fencing,
             adapter_slots,
         ))));
-        owner.tell(PlacementEvent::LiveNodes {
+        owner.handle(PlacementEvent::LiveNodes {
             nodes: vec![NodeId::from("node")],
         });
         owner.grant(secs(1_000));
@@ -86,31 +86,31 @@
 
     pub fn grant(&mut self, valid_for: Duration) {
         let valid_until = self.now + valid_for;
-        self.tell(PlacementEvent::OwnershipGranted {
+        self.handle(PlacementEvent::OwnershipGranted {
             engine: engine(),
             fence: FENCE,
             valid_until,
         });
     }
 
-    pub fn tell(&mut self, event: PlacementEvent) -> Vec<PlacementAction> {
+    pub fn handle(&mut self, event: PlacementEvent) -> Vec<PlacementAction> {
         let mut actions = Vec::new();
         self.placement.handle(event, self.now, &mut actions);
         actions
     }
 
-    /// Gives the engine's report, as asked for `age` ago.
-    pub fn tell_report(&mut self, age: Duration) -> Vec<PlacementAction> {
+    /// Passes the engine's report, as requested `age` ago.
+    pub fn handle_report(&mut self, age: Duration) -> Vec<PlacementAction> {
         let event = PlacementEvent::Report {
             engine: engine(),
             report: self.report.clone(),
             taken_at: self.now - age,
         };
-        self.tell(event)
+        self.handle(event)
     }
 
     pub fn want(&mut self, n: u32, class: Class) -> Vec<PlacementAction> {
-        self.tell(PlacementEvent::WantAdapter {
+        self.handle(PlacementEvent::WantAdapter {
             engine: None,
             adapter: adapter(n),
             class,
@@ -118,7 +118,7 @@
     }
 
     pub fn ask_pin(&mut self, ask_id: u64, n: u32) -> bool {
-        let actions = self.tell(PlacementEvent::PinAsked {
+        let actions = self.handle(PlacementEvent::PinAsked {
             from: "holder".into(),
             ask_id,
             engine: engine(),
@@ -130,7 +130,7 @@
     }
 
     pub fn return_pin(&mut self, ask_id: u64, n: u32) {
-        self.tell(PlacementEvent::PinReturned {
+        self.handle(PlacementEvent::PinReturned {
             from: "holder".into(),
             ask_id,
             engine: engine(),
@@ -143,22 +143,22 @@
         order: OrderId,
         result: Result<OrderAnswer, OrderError>,
     ) -> Vec<PlacementAction> {
-        self.tell(PlacementEvent::OrderAnswered {
+        self.handle(PlacementEvent::OrderAnswered {
             engine: engine(),
             order,
             result,
         })
     }
 
-    /// Lets `time` pass with ticks, fresh reports and a caller that goes on wanting adapter
-    /// `wanted`; returns the first order and how long it took.
+    /// Lets `time` pass with ticks, fresh reports and requests for the adapter `wanted`; returns
+    /// the first order and the time until it.
     pub fn first_order_within(&mut self, time: Duration, wanted: u32) -> Option<(Duration, Order)> {
         let start = self.now;
         while self.now < start + time {
             self.now += Duration::from_millis(100);
             let mut actions = self.want(wanted, Class::Urgent);
-            actions.extend(self.tell_report(Duration::ZERO));
-            actions.extend(self.tell(PlacementEvent::Tick));
+            actions.extend(self.handle_report(Duration::ZERO));
+            actions.extend(self.handle(PlacementEvent::Tick));
             if let Some(order) = orders(&actions).pop() {
                 return Some((self.now - start, order));
             }
