--- a/crates/placement/benches/placement.rs
+++ b/crates/placement/benches/placement.rs
@@ -1,5 +1,6 @@
-//! The handling of events at the two-year size: one failure domain with 125 engines of 8 slots,
-//! all owned by one node, and 11,000 adapters. A node of that size really owns two or three.
+//! Benchmarks of event handling at the size expected in two years: one failure domain with 125
+//! engines of 8 slots, all owned by one node, and 11,000 adapters. In a deployment of that size a
+//! node owns two or three engines.
 
 use std::hint::black_box;
 use std::sync::Arc;
--- a/crates/placement/src/eviction.rs
+++ b/crates/placement/src/eviction.rs
@@ -59,9 +59,9 @@
         }))
     }
 
-    /// The slots whose adapter has been there for the minimum residency, so that it could serve the
-    /// requests for which it was loaded. Without the minimum, two adapters in demand would replace
-    /// each other in one slot at every request.
+    /// The slots whose adapter has been there for the minimum residency, or half of it for an
+    /// urgent load, so that it could serve the requests for which it was loaded. Without the
+    /// minimum, two adapters in demand would replace each other in one slot at every request.
     fn slots_past_residency(&self, class: Class) -> impl Iterator<Item = &Slot> {
         let residency = match class {
             Class::Urgent => self.settings.min_residency / 2,
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -40,8 +40,8 @@
         self.valid_until = self.valid_until.max(Some(valid_until));
     }
 
-    /// Records that the engine has seen the fencing token: it accepted an order, or its report
-    /// contains the token.
+    /// Records that the engine has seen the fencing token: it did not refuse an order with it, or
+    /// its report contains it.
     pub fn confirm(&mut self, now: Instant) {
         self.confirmed_at.get_or_insert(now);
     }
