--- a/crates/placement/src/demand.rs
+++ b/crates/placement/src/demand.rs
@@ -1,4 +1,4 @@
-//! How much each adapter is asked for.
+//! Estimates the request rate of each adapter.
 
 use std::time::{Duration, Instant};
 use std::{fmt, num::NonZeroUsize};
@@ -6,10 +6,10 @@
 use lru::LruCache;
 use nutmegsail_base::{AdapterRef, Class};
 
-/// How much of the blended rate comes from the short half-life.
-const RISE_SHARE: f64 = 0.4;
+/// The share of the short-term rate in the blended rate.
+const SHORT_TERM_SHARE: f64 = 0.4;
 
-/// A rate that forgets exponentially.
+/// A sum of request weights with exponential decay.
 #[derive(Clone, Copy, Debug)]
 struct DecayedRate {
     weight: f64,
@@ -29,13 +29,13 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct AdapterDemand {
-    steady: DecayedRate,
-    rise: DecayedRate,
+struct AdapterRates {
+    long_term: DecayedRate,
+    short_term: DecayedRate,
 }
 
-/// Demand by adapter, with exponential decay and in bounded memory: the adapter that was not asked
-/// for the longest is forgotten first.
+/// The request rate of each adapter, with exponential decay. Memory is bounded: beyond the
+/// capacity, the adapter whose last request is the oldest is forgotten.
 ///
 /// ```
 /// use std::time::{Duration, Instant};
@@ -50,9 +50,9 @@
 /// assert!(demand.rate_per_s(&adapter, now + half_life) < fresh / 2.0);
 /// ```
 pub struct DemandEstimate {
-    adapters: LruCache<AdapterRef, AdapterDemand>,
+    adapters: LruCache<AdapterRef, AdapterRates>,
     half_life: Duration,
-    rise_half_life: Duration,
+    short_half_life: Duration,
     urgent_weight: f64,
 }
 
@@ -65,59 +65,65 @@
 }
 
 impl DemandEstimate {
-    /// Remembers `capacity` adapters. Urgent requests count `urgent_weight` times.
+    /// Keeps the rates of up to `capacity` adapters. An urgent request counts as `urgent_weight`
+    /// routine ones.
     pub fn new(
         capacity: usize,
         half_life: Duration,
-        rise_half_life: Duration,
+        short_half_life: Duration,
         urgent_weight: f64,
     ) -> Self {
         let capacity = NonZeroUsize::new(capacity).unwrap_or(NonZeroUsize::MIN);
         Self {
             adapters: LruCache::new(capacity),
             half_life,
-            rise_half_life,
+            short_half_life,
             urgent_weight,
         }
     }
 
-    /// Adds `weight` requests.
+    /// Records `weight` requests for an adapter.
     pub fn add(&mut self, adapter: &AdapterRef, class: Class, weight: f64, now: Instant) {
         let weight = match class {
             Class::Urgent => weight * self.urgent_weight,
             Class::Routine => weight,
         };
-        let (half_life, rise_half_life) = (self.half_life, self.rise_half_life);
+        let (half_life, short_half_life) = (self.half_life, self.short_half_life);
         let demand = self.entry(adapter, now);
-        demand.steady.add(weight, now, half_life);
-        demand.rise.add(weight, now, rise_half_life);
+        demand.long_term.add(weight, now, half_life);
+        demand.short_term.add(weight, now, short_half_life);
     }
 
-    /// Lets `heir` start with the demand of `from`, as a new version does.
-    pub fn inherit(&mut self, heir: &AdapterRef, from: &AdapterRef, now: Instant) {
+    /// Raises the demand of `new_version` to at least that of `from`, so that a new version starts
+    /// with the demand of the old one.
+    pub fn inherit(&mut self, new_version: &AdapterRef, from: &AdapterRef, now: Instant) {
         let Some(demand) = self.adapters.peek(from).copied() else {
             return;
         };
-        let (half_life, rise_half_life) = (self.half_life, self.rise_half_life);
-        let steady = demand.steady.weight_at(now, half_life);
-        let rise = demand.rise.weight_at(now, rise_half_life);
-        let entry = self.entry(heir, now);
-        entry.steady.weight = entry.steady.weight_at(now, half_life).max(steady);
-        entry.steady.at = now;
-        entry.rise.weight = entry.rise.weight_at(now, rise_half_life).max(rise);
-        entry.rise.at = now;
+        let (half_life, short_half_life) = (self.half_life, self.short_half_life);
+        let long_term = demand.long_term.weight_at(now, half_life);
+        let short_term = demand.short_term.weight_at(now, short_half_life);
+        let entry = self.entry(new_version, now);
+        entry.long_term.weight = entry.long_term.weight_at(now, half_life).max(long_term);
+        entry.long_term.at = now;
+        entry.short_term.weight = entry
+            .short_term
+            .weight_at(now, short_half_life)
+            .max(short_term);
+        entry.short_term.at = now;
     }
 
-    /// Weighted requests a second, blended from the long and the short half-life.
+    /// Weighted requests per second, blended from the long-term and the short-term rate.
     ///
-    /// The long one alone keeps adapters that were popular a minute ago over those that are now;
-    /// the short one alone takes every single request for a rise.
+    /// The long-term rate alone would keep adapters that were popular a minute ago in favour of
+    /// those that are popular now; the short-term rate alone would treat every single request as a
+    /// rise in demand.
     pub fn rate_per_s(&self, adapter: &AdapterRef, now: Instant) -> f64 {
-        let rate = |demand: &AdapterDemand| self.blended_rate(demand, now);
+        let rate = |demand: &AdapterRates| self.blended_rate(demand, now);
         self.adapters.peek(adapter).map_or(0.0, rate)
     }
 
-    /// The adapters asked for most, highest rate a second first.
+    /// The `count` adapters with the highest rates per second, highest first.
     pub fn top(&self, count: usize, now: Instant) -> Vec<(AdapterRef, f64)> {
         let mut rates: Vec<(&AdapterRef, f64)> = self
             .adapters
@@ -138,38 +144,39 @@
             .collect()
     }
 
-    /// How many adapters are remembered.
+    /// The number of adapters with a recorded rate.
     pub fn len(&self) -> usize {
         self.adapters.len()
     }
 
-    /// Whether no adapter was asked for yet.
+    /// Whether no request has been recorded.
     pub fn is_empty(&self) -> bool {
         self.adapters.is_empty()
     }
 
-    fn blended_rate(&self, demand: &AdapterDemand, now: Instant) -> f64 {
-        let steady = demand.steady.weight_at(now, self.half_life) * per_second(self.half_life);
-        let rise =
-            demand.rise.weight_at(now, self.rise_half_life) * per_second(self.rise_half_life);
-        RISE_SHARE * rise + (1.0 - RISE_SHARE) * steady
+    fn blended_rate(&self, demand: &AdapterRates, now: Instant) -> f64 {
+        let long_term =
+            demand.long_term.weight_at(now, self.half_life) * per_second(self.half_life);
+        let short_term = demand.short_term.weight_at(now, self.short_half_life)
+            * per_second(self.short_half_life);
+        SHORT_TERM_SHARE * short_term + (1.0 - SHORT_TERM_SHARE) * long_term
     }
 
-    fn entry(&mut self, adapter: &AdapterRef, now: Instant) -> &mut AdapterDemand {
+    fn entry(&mut self, adapter: &AdapterRef, now: Instant) -> &mut AdapterRates {
         self.adapters.get_or_insert_mut_ref(adapter, || {
             let none = DecayedRate {
                 weight: 0.0,
                 at: now,
             };
-            AdapterDemand {
-                steady: none,
-                rise: none,
+            AdapterRates {
+                long_term: none,
+                short_term: none,
             }
         })
     }
 }
 
-/// A steady rate r keeps a decayed count of `r * half_life / ln 2`.
+/// Factor from a decayed sum to a rate: a constant rate r keeps the sum at `r * half_life / ln 2`.
 fn per_second(half_life: Duration) -> f64 {
     std::f64::consts::LN_2 / half_life.as_secs_f64()
 }
--- a/crates/placement/src/domain_view.rs
+++ b/crates/placement/src/domain_view.rs
@@ -1,4 +1,4 @@
-//! What the engines of the own failure domain hold, by their reports.
+//! The engines of this node's failure domain and the adapters that they report.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
@@ -8,16 +8,17 @@
 use crate::owner_choice::rendezvous_score;
 use crate::{DemandEstimate, EnginePlan, PlacementPlan};
 
-/// What an engine without a report costs, against one with.
+/// Cost of an engine that has not reported.
 const COST_UNKNOWN: f64 = 2_000.0;
-/// What an engine costs on which every adapter is in use.
+/// Cost of an engine on which every adapter is in use.
 const COST_BUSY: f64 = 1_000.0;
-/// What an engine costs on which the load has just failed.
+/// Cost of the engine on which the last attempt of this load failed.
 const COST_AVOIDED: f64 = 5_000.0;
-/// How much the demand that an engine already carries counts against a victim's demand.
-const BALANCE_SHARE: f64 = 0.05;
-/// What is left of an adapter's worth when it has more replicas than it needs.
-const SURPLUS_SHARE: f64 = 0.1;
+/// Weight of the demand that an engine already serves per slot, relative to the demand of the
+/// adapter to be evicted.
+const BALANCE_WEIGHT: f64 = 0.05;
+/// The factor on the value of an adapter that has more replicas than it needs.
+const SURPLUS_VALUE_SHARE: f64 = 0.1;
 
 #[derive(Debug)]
 pub(crate) struct EngineView {
@@ -28,7 +29,7 @@
 }
 
 impl EngineView {
-    fn takes_loads(&self) -> bool {
+    fn accepts_loads(&self) -> bool {
         !self.is_gone && !self.report.as_ref().is_some_and(|report| report.is_leaving)
     }
 
@@ -38,28 +39,28 @@
     }
 }
 
-/// What an engine lost by a cold restart.
+/// What a report changed: the adapters that the engine lost by a cold restart.
 #[derive(Debug, Default)]
 pub(crate) struct ReportEffect {
     pub lost_by_restart: Vec<AdapterRef>,
 }
 
-/// How a load is to be placed.
-pub(crate) struct LoadPlace<'a> {
+/// The load for which an engine is to be chosen.
+pub(crate) struct PlacementQuery<'a> {
     pub adapter: &'a AdapterRef,
     pub avoid: Option<&'a UpstreamId>,
-    /// How many loads are already under way to an engine.
+    /// The number of loads in flight to an engine.
     pub in_flight_to: &'a dyn Fn(&UpstreamId) -> usize,
 }
 
-/// An engine to load on, with the demand of what would have to go.
+/// The engine chosen for a load, and the demand of the adapter that has to be evicted there.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ChosenEngine {
     pub engine: UpstreamId,
     pub displaced_rate_per_s: f64,
 }
 
-/// The engines of one failure domain with their adapters.
+/// The engines of one failure domain with their reported adapters.
 #[derive(Debug, Default)]
 pub(crate) struct DomainView {
     engines: BTreeMap<UpstreamId, EngineView>,
@@ -76,26 +77,28 @@
         }
     }
 
-    /// Takes the engines of the own failure domain.
-    pub fn replan<'a>(&mut self, engines: impl Iterator<Item = &'a EnginePlan>) {
-        let mut former = std::mem::take(&mut self.engines);
+    /// Replaces the engines by those of the new plan and keeps the reports of the ones that remain.
+    pub fn apply_plan<'a>(&mut self, engines: impl Iterator<Item = &'a EnginePlan>) {
+        let mut previous = std::mem::take(&mut self.engines);
         self.engines_by_service.clear();
         for plan in engines {
             *self
                 .engines_by_service
                 .entry(plan.service.clone())
                 .or_default() += 1;
-            let mut view = former.remove(&plan.upstream).unwrap_or_else(|| EngineView {
-                plan: plan.clone(),
-                report: None,
-                taken_at: None,
-                is_gone: false,
-            });
+            let mut view = previous
+                .remove(&plan.upstream)
+                .unwrap_or_else(|| EngineView {
+                    plan: plan.clone(),
+                    report: None,
+                    taken_at: None,
+                    is_gone: false,
+                });
             view.plan = plan.clone();
             self.engines.insert(plan.upstream.clone(), view);
         }
-        for view in former.into_values() {
-            count_out(&mut self.replicas, view.report.as_ref());
+        for view in previous.into_values() {
+            remove_replicas(&mut self.replicas, view.report.as_ref());
         }
     }
 
@@ -107,12 +110,12 @@
         self.engines.get(engine).map(|view| &view.plan)
     }
 
-    /// Adapters that some engine that stays holds.
-    pub fn held(&self) -> impl Iterator<Item = &AdapterRef> {
+    /// The adapters held by at least one engine that is not leaving.
+    pub fn held_adapters(&self) -> impl Iterator<Item = &AdapterRef> {
         self.replicas.keys()
     }
 
-    /// The highest fencing number that the engine reported.
+    /// The fencing token in the last report of the engine.
     pub fn seen_fence(&self, engine: &UpstreamId) -> u64 {
         let report = self
             .engines
@@ -121,14 +124,14 @@
         report.map_or(0, |report| report.fence)
     }
 
-    /// The last report and when it was asked for.
+    /// The last report and the time at which it was requested.
     pub fn last_report(&self, engine: &UpstreamId) -> Option<(&EngineReport, Instant)> {
         let view = self.engines.get(engine)?;
         Some((view.report.as_ref()?, view.taken_at?))
     }
 
-    /// Takes a report, unless it is older than the one known.
-    pub fn report(
+    /// Records a report, unless a newer one is known.
+    pub fn record_report(
         &mut self,
         engine: &UpstreamId,
         report: &EngineReport,
@@ -145,17 +148,17 @@
         if let Some(known) = view.report.as_ref().filter(|known| is_restarted(known)) {
             effect.lost_by_restart = known.adapters.iter().map(|h| h.adapter.clone()).collect();
         }
-        count_out(&mut self.replicas, view.report.as_ref());
-        count_in(&mut self.replicas, report);
+        remove_replicas(&mut self.replicas, view.report.as_ref());
+        add_replicas(&mut self.replicas, report);
         view.report = Some(report.clone());
         view.taken_at = Some(taken_at);
         view.is_gone = false;
         effect
     }
 
-    pub fn gone(&mut self, engine: &UpstreamId) {
+    pub fn record_gone(&mut self, engine: &UpstreamId) {
         if let Some(view) = self.engines.get_mut(engine) {
-            count_out(&mut self.replicas, view.report.as_ref());
+            remove_replicas(&mut self.replicas, view.report.as_ref());
             view.report = None;
             view.is_gone = true;
         }
@@ -167,25 +170,27 @@
             .is_some_and(|view| view.holds(adapter))
     }
 
-    pub fn takes_loads(&self, engine: &UpstreamId) -> bool {
+    pub fn accepts_loads(&self, engine: &UpstreamId) -> bool {
         self.engines
             .get(engine)
-            .is_some_and(EngineView::takes_loads)
+            .is_some_and(EngineView::accepts_loads)
     }
 
-    /// How many engines that stay hold the adapter, ready or loading.
+    /// The number of engines that hold the adapter, ready or loading, without those that are
+    /// leaving.
     pub fn replicas(&self, adapter: &AdapterRef) -> u32 {
         self.replicas.get(adapter).copied().unwrap_or(0)
     }
 
-    /// How many engines should hold an adapter of this rate.
+    /// The number of engines that should hold an adapter with this request rate.
     pub fn replicas_for(&self, service: &ServiceName, rate_per_s: f64) -> u32 {
         let engines = self.engines_by_service.get(service).copied().unwrap_or(0);
         let wanted = (rate_per_s / self.replica_rate_per_s).ceil() as u32;
         wanted.clamp(1, engines.max(1))
     }
 
-    /// What an adapter's slot is worth: the demand that would have to go elsewhere.
+    /// The value of one replica of an adapter: the request rate that other engines would have to
+    /// serve without it.
     pub fn slot_value(
         &self,
         adapter: &AdapterRef,
@@ -200,30 +205,31 @@
         let replicas = self.replicas(adapter).max(1);
         let share = rate / f64::from(replicas);
         if replicas > self.replicas_for(service, rate) {
-            share * SURPLUS_SHARE
+            share * SURPLUS_VALUE_SHARE
         } else {
             share
         }
     }
 
-    /// The engine on which a load displaces the least demand.
+    /// Chooses the engine on which the load evicts the least demand. Equal costs are decided by
+    /// rendezvous hashing on the adapter.
     pub fn choose_engine(
         &self,
-        place: &LoadPlace<'_>,
+        query: &PlacementQuery<'_>,
         plan: &PlacementPlan,
         demand: &DemandEstimate,
         now: Instant,
     ) -> Option<ChosenEngine> {
-        let service = plan.adapters.get(place.adapter)?;
+        let service = plan.adapters.get(query.adapter)?;
         let is_candidate = |view: &&EngineView| {
-            view.plan.service == *service && view.takes_loads() && !view.holds(place.adapter)
+            view.plan.service == *service && view.accepts_loads() && !view.holds(query.adapter)
         };
-        let key = place.adapter.name.as_str();
+        let key = query.adapter.name.as_str();
         self.engines
             .values()
             .filter(is_candidate)
             .map(|view| {
-                let (cost, displaced) = self.cost(view, place, plan, demand, now);
+                let (cost, displaced) = self.cost(view, query, plan, demand, now);
                 let rank = rendezvous_score(key, &view.plan.upstream);
                 (cost, rank, displaced, &view.plan.upstream)
             })
@@ -237,13 +243,13 @@
     fn cost(
         &self,
         view: &EngineView,
-        place: &LoadPlace<'_>,
+        query: &PlacementQuery<'_>,
         plan: &PlacementPlan,
         demand: &DemandEstimate,
         now: Instant,
     ) -> (f64, f64) {
-        let in_flight = (place.in_flight_to)(&view.plan.upstream);
-        let is_avoided = place.avoid == Some(&view.plan.upstream);
+        let in_flight = (query.in_flight_to)(&view.plan.upstream);
+        let is_avoided = query.avoid == Some(&view.plan.upstream);
         let avoided = if is_avoided { COST_AVOIDED } else { 0.0 };
         let Some(report) = &view.report else {
             return (COST_UNKNOWN + avoided + in_flight as f64, 0.0);
@@ -251,7 +257,7 @@
         let value = |adapter: &AdapterRef| self.slot_value(adapter, plan, demand, now);
         let slots = report.adapter_slots.min(view.plan.adapter_slots) as usize;
         let carried: f64 = report.adapters.iter().map(|h| value(&h.adapter)).sum();
-        let balance = BALANCE_SHARE * carried / slots.max(1) as f64;
+        let balance = BALANCE_WEIGHT * carried / slots.max(1) as f64;
         let free = slots.saturating_sub(report.adapters.len());
         if in_flight < free {
             return (avoided + balance, 0.0);
@@ -272,10 +278,10 @@
     }
 }
 
-/// Counts what an engine holds. The copies of a leaving engine serve no new request: counted, they
-/// would keep an adapter from being loaded elsewhere, and its requests would wait in vain until
-/// their deadlines.
-fn count_in(replicas: &mut HashMap<AdapterRef, u32>, report: &EngineReport) {
+/// Adds what an engine holds to the replica counts. A leaving engine serves no new request, so its
+/// replicas don't count: otherwise the adapter would not be loaded elsewhere, and its requests
+/// would wait until their deadlines.
+fn add_replicas(replicas: &mut HashMap<AdapterRef, u32>, report: &EngineReport) {
     if report.is_leaving {
         return;
     }
@@ -284,7 +290,7 @@
     }
 }
 
-fn count_out(replicas: &mut HashMap<AdapterRef, u32>, report: Option<&EngineReport>) {
+fn remove_replicas(replicas: &mut HashMap<AdapterRef, u32>, report: Option<&EngineReport>) {
     let counted = report.filter(|report| !report.is_leaving);
     for held in counted.into_iter().flat_map(|report| &report.adapters) {
         let Some(count) = replicas.get_mut(&held.adapter) else {
--- a/crates/placement/src/engine_owner.rs
+++ b/crates/placement/src/engine_owner.rs
@@ -1,4 +1,5 @@
-//! The owner of one engine: grants pins, orders loads, and evicts only what nobody uses.
+//! The owner of one engine: grants pins, sends load orders, and evicts only adapters that are not
+//! in use.
 
 use std::time::{Duration, Instant};
 
@@ -18,10 +19,10 @@
     Presence,
 };
 
-/// How soon a refused pin is worth asking for again.
+/// How long a node should wait before it requests a refused pin again.
 const PIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// What the owner wants done, gathered over one event.
+/// What the handling of one event produced: actions, ended loads, and whether the ownership ended.
 #[derive(Debug, Default)]
 pub(crate) struct OwnerOutput {
     pub actions: Vec<PlacementAction>,
@@ -29,7 +30,7 @@
     pub disowned: Option<DisownCause>,
 }
 
-/// A load that the scheduler permitted and that is not ordered yet.
+/// A load that the scheduler permitted and that has not been ordered yet.
 #[derive(Debug)]
 struct Permit {
     adapter: AdapterRef,
@@ -38,27 +39,28 @@
 }
 
 #[derive(Debug)]
-struct SeenReport {
+struct LastReport {
     report: EngineReport,
     taken_at: Instant,
 }
 
-/// State of one engine that this node owns.
+/// The state of one engine that this node owns.
 #[derive(Debug)]
 pub(crate) struct EngineOwner {
     plan: EnginePlan,
     ownership: Ownership,
     slots: SlotMap,
     pins: PinTable,
-    seen: Option<SeenReport>,
-    /// The engine's `order_seq` as far as answers tell.
+    last_report: Option<LastReport>,
+    /// The engine's `order_seq` according to its answers and reports.
     known_seq: u64,
-    /// Orders wait for a report taken after this time.
+    /// No order is sent before a report that was requested after this time.
     report_needed_after: Option<Instant>,
     outstanding: Option<OutstandingOrder>,
     permits: Vec<Permit>,
     recalled_at: Option<Instant>,
-    /// What is worth least first, as the load scheduler of another node said last.
+    /// The adapters of the engine by value, lowest first, as another node's load scheduler sent
+    /// them with its last permit.
     victim_order: Vec<AdapterRef>,
 }
 
@@ -69,7 +71,7 @@
             ownership,
             slots: SlotMap::default(),
             pins: PinTable::default(),
-            seen: None,
+            last_report: None,
             known_seq: 0,
             report_needed_after: None,
             outstanding: None,
@@ -83,16 +85,17 @@
         self.ownership.fence
     }
 
-    pub fn renewed(&mut self, valid_until: Instant) {
-        self.ownership.renewed(valid_until);
+    pub fn renew(&mut self, valid_until: Instant) {
+        self.ownership.renew(valid_until);
     }
 
-    pub fn replan(&mut self, plan: EnginePlan) {
+    pub fn apply_plan(&mut self, plan: EnginePlan) {
         self.plan = plan;
     }
 
-    /// Gives up: what was permitted goes elsewhere.
-    pub fn into_unfinished(mut self) -> Vec<AdapterRef> {
+    /// Ends the ownership and returns the loads that were permitted or in progress, so that they
+    /// can be retried elsewhere.
+    pub fn into_unfinished_loads(mut self) -> Vec<AdapterRef> {
         let loading = self.slots.clear();
         let loading = loading
             .into_iter()
@@ -102,8 +105,8 @@
         permitted.chain(loading).collect()
     }
 
-    /// Takes a report. One that is older than what is known is ignored.
-    pub fn report(
+    /// Applies a report, unless it is older than the last one.
+    pub fn apply_report(
         &mut self,
         report: EngineReport,
         taken_at: Instant,
@@ -119,33 +122,35 @@
             return;
         }
         if self.is_other_incarnation(&report) {
-            self.restarted_cold(out);
+            self.handle_cold_restart(out);
         }
-        self.ownership.saw_no_higher_fence(taken_at);
+        self.ownership.record_no_higher_fence(taken_at);
         if report.fence == self.ownership.fence {
-            self.ownership.confirmed(now);
+            self.ownership.confirm(now);
         }
-        self.settle(&report, taken_at, settings);
-        self.take_over_slots(&report, taken_at, now, out);
-        self.seen = Some(SeenReport { report, taken_at });
+        self.settle_order(&report, taken_at, settings);
+        self.update_slots(&report, taken_at, now, out);
+        self.last_report = Some(LastReport { report, taken_at });
     }
 
     fn is_stale(&self, report: &EngineReport, taken_at: Instant) -> bool {
-        self.seen.as_ref().is_some_and(|seen| {
-            let is_same_run = seen.report.incarnation == report.incarnation;
-            taken_at < seen.taken_at || (is_same_run && report.order_seq < seen.report.order_seq)
+        self.last_report.as_ref().is_some_and(|last_report| {
+            let is_same_run = last_report.report.incarnation == report.incarnation;
+            taken_at < last_report.taken_at
+                || (is_same_run && report.order_seq < last_report.report.order_seq)
         })
     }
 
     fn is_other_incarnation(&self, report: &EngineReport) -> bool {
-        self.seen
+        self.last_report
             .as_ref()
-            .is_some_and(|seen| seen.report.incarnation != report.incarnation)
+            .is_some_and(|last_report| last_report.report.incarnation != report.incarnation)
     }
 
-    /// Guards against a map of a former run: requests would be sent to adapters that are gone,
-    /// and orders refused one by one. Pins stay: their holders may not know of the restart yet.
-    fn restarted_cold(&mut self, out: &mut OwnerOutput) {
+    /// Clears the slots after the engine restarted with nothing loaded. Kept, they would have
+    /// requests sent to adapters that are not loaded any more, and orders refused one by one. Pins
+    /// stay, since their holders may not know of the restart yet.
+    fn handle_cold_restart(&mut self, out: &mut OwnerOutput) {
         let lost = self.slots.clear();
         out.actions
             .push(PlacementAction::Report(PlacementNote::ColdRestart {
@@ -156,15 +161,15 @@
             if slot.state == SlotState::Loading {
                 self.load_ended(&slot.adapter, LoadOutcome::Failed, out);
             }
-            self.announce(&slot.adapter, Presence::Absent, out);
+            self.publish_state(&slot.adapter, Presence::Absent, out);
         }
-        self.ownership.engine_restarted();
+        self.ownership.reset_after_restart();
         self.outstanding = None;
         self.report_needed_after = None;
         self.known_seq = 0;
     }
 
-    fn take_over_slots(
+    fn update_slots(
         &mut self,
         report: &EngineReport,
         taken_at: Instant,
@@ -172,36 +177,36 @@
         out: &mut OwnerOutput,
     ) {
         let knows_every_order = self.outstanding.is_none() && report.order_seq >= self.known_seq;
-        let answers_need = self.report_needed_after.is_none_or(|need| taken_at >= need);
-        let changes = if knows_every_order && answers_need {
+        let is_recent_enough = self.report_needed_after.is_none_or(|need| taken_at >= need);
+        let changes = if knows_every_order && is_recent_enough {
             self.known_seq = report.order_seq;
             self.report_needed_after = None;
             self.slots.reconcile(report, now)
         } else {
             self.slots.update_states(report, now)
         };
-        self.tell_changes(changes, out);
+        self.publish_changes(changes, out);
     }
 
-    fn tell_changes(&mut self, changes: SlotChanges, out: &mut OwnerOutput) {
+    fn publish_changes(&mut self, changes: SlotChanges, out: &mut OwnerOutput) {
         for adapter in changes.became_ready {
-            self.announce(&adapter, Presence::Ready, out);
+            self.publish_state(&adapter, Presence::Ready, out);
             self.load_ended(&adapter, LoadOutcome::Ready, out);
         }
         for adapter in changes.became_loading {
-            self.announce(&adapter, Presence::Loading, out);
+            self.publish_state(&adapter, Presence::Loading, out);
         }
         for slot in changes.vanished {
             if slot.state == SlotState::Loading {
                 self.load_ended(&slot.adapter, LoadOutcome::Failed, out);
             }
-            self.announce(&slot.adapter, Presence::Absent, out);
+            self.publish_state(&slot.adapter, Presence::Absent, out);
         }
     }
 
-    /// Answers a node that wants to use an adapter. While it is drained, only pins that are held
-    /// are renewed: requests may be running under them.
-    pub fn pin_asked(
+    /// Grants or refuses a pin. While an adapter is draining, only nodes that hold a pin get it
+    /// renewed, since their requests may still be running.
+    pub fn answer_pin_request(
         &mut self,
         from: &NodeId,
         ask_id: u64,
@@ -232,12 +237,12 @@
         });
     }
 
-    pub fn pin_returned(&mut self, from: &NodeId, ask_id: u64, adapter: &AdapterRef, now: Instant) {
-        self.pins.returned(from, ask_id, adapter, now);
+    pub fn release_pin(&mut self, from: &NodeId, ask_id: u64, adapter: &AdapterRef, now: Instant) {
+        self.pins.release(from, ask_id, adapter, now);
     }
 
-    /// Takes the scheduler's permission to load an adapter.
-    pub fn permitted(
+    /// Adds the scheduler's permission to load an adapter.
+    pub fn add_permit(
         &mut self,
         adapter: AdapterRef,
         class: Class,
@@ -255,28 +260,28 @@
         }
     }
 
-    /// Ends what has run out: pins, unanswered orders, permits that found no victim.
+    /// Expires pins, unanswered orders, and permits for which no adapter could be evicted in time.
     pub fn tick(&mut self, settings: &PlacementSettings, now: Instant, out: &mut OwnerOutput) {
         self.pins.expire(now);
         let slots = &self.slots;
         self.pins
             .forget_absent(|adapter| slots.get(adapter).is_some());
-        let patience = settings.order_valid_for + settings.pin_margin;
+        let timeout = settings.order_valid_for + settings.pin_margin;
         let is_overdue =
-            |order: &mut OutstandingOrder| !order.is_unsettled && now > order.made_at + patience;
+            |order: &mut OutstandingOrder| !order.is_unsettled && now > order.made_at + timeout;
         if let Some(order) = self.outstanding.take_if(is_overdue) {
-            self.order_unsettled(order, out);
+            self.mark_order_unsettled(order, out);
         }
         self.tick_drain(settings, now, out);
         let drain = self.slots.is_draining();
-        let is_spent =
-            |permit: &mut Permit| !drain && now > permit.since + settings.victim_patience;
-        for permit in self.permits.extract_if(.., is_spent) {
+        let has_timed_out =
+            |permit: &mut Permit| !drain && now > permit.since + settings.victim_search_timeout;
+        for permit in self.permits.extract_if(.., has_timed_out) {
             out.outcomes.push((permit.adapter, LoadOutcome::NoVictim));
         }
     }
 
-    /// Orders the next step, if there is one. `value` says what an adapter's slot is worth.
+    /// Sends the next order if one is due. `value` gives the value of an adapter's slot.
     pub fn advance(
         &mut self,
         settings: &PlacementSettings,
@@ -286,11 +291,11 @@
         out: &mut OwnerOutput,
     ) {
         self.drop_settled_permits(out);
-        let is_informed = self.seen.is_some() && self.report_needed_after.is_none();
+        let is_informed = self.last_report.is_some() && self.report_needed_after.is_none();
         if self.outstanding.is_some() || !is_informed || !self.ownership.may_order(settings, now) {
             return;
         }
-        if let Some(adapter) = self.fence_raiser() {
+        if let Some(adapter) = self.adapter_for_fence_order() {
             self.order(OrderOp::Load, &adapter, settings, next_order, now, out);
             return;
         }
@@ -316,7 +321,7 @@
         } else if now >= since + settings.drain_after && !self.slots.is_draining() {
             let in_use = eviction.victim_in_use(&adapter, class, &ranked);
             if let Some(victim) = in_use {
-                self.drain(&victim, now, out);
+                self.start_drain(&victim, now, out);
             }
         }
     }
@@ -335,11 +340,13 @@
         }
     }
 
-    /// An adapter that the engine holds, as long as the engine has not seen this owner's fence.
+    /// An adapter that the engine holds, while the engine has not seen the fencing token of this
+    /// owner.
     ///
-    /// A load of what is held changes nothing but the fence. Without it an owner of a full engine
-    /// would wait for ever: only an order raises the fence, and before that nothing is evicted.
-    fn fence_raiser(&self) -> Option<AdapterRef> {
+    /// Ordering the load of an adapter that is already loaded only raises the fencing token. An
+    /// owner of a full engine needs this: only an order raises the token, and nothing is evicted
+    /// before it is raised.
+    fn adapter_for_fence_order(&self) -> Option<AdapterRef> {
         if !self.plan.checks_fencing || self.ownership.is_confirmed() {
             return None;
         }
@@ -347,23 +354,26 @@
     }
 
     fn adapter_slots(&self) -> u32 {
-        let reported = self.seen.as_ref().map_or(0, |s| s.report.adapter_slots);
+        let reported = self
+            .last_report
+            .as_ref()
+            .map_or(0, |s| s.report.adapter_slots);
         reported.min(self.plan.adapter_slots)
     }
 
     fn eviction<'a>(&'a self, settings: &'a PlacementSettings, now: Instant) -> Eviction<'a> {
-        let seen = self.seen.as_ref();
+        let last_report = self.last_report.as_ref();
         Eviction {
             slots: &self.slots,
             pins: &self.pins,
             ownership: &self.ownership,
-            report: seen.map(|seen| (&seen.report, seen.taken_at)),
+            report: last_report.map(|last_report| (&last_report.report, last_report.taken_at)),
             settings,
             now,
         }
     }
 
-    fn announce(&self, adapter: &AdapterRef, state: Presence, out: &mut OwnerOutput) {
+    fn publish_state(&self, adapter: &AdapterRef, state: Presence, out: &mut OwnerOutput) {
         out.actions.push(PlacementAction::AdapterState {
             engine: self.plan.upstream.clone(),
             adapter: adapter.clone(),
--- a/crates/placement/src/engine_owner/draining.rs
+++ b/crates/placement/src/engine_owner/draining.rs
@@ -1,4 +1,4 @@
-//! Taking an adapter out of service that is in use all the time.
+//! Draining: takes an adapter that is always in use out of service, so that it can be evicted.
 
 use std::time::{Duration, Instant};
 
@@ -7,21 +7,27 @@
 use super::{EngineOwner, OwnerOutput};
 use crate::{PlacementAction, PlacementSettings, Presence};
 
-/// How often the pins of an adapter that is drained are recalled.
+/// How often the pins of a draining adapter are recalled.
 const RECALL_INTERVAL: Duration = Duration::from_millis(400);
 
 impl EngineOwner {
-    /// Stops new use of an adapter that is in use all the time, so that it can be evicted.
+    /// Stops new use of an adapter whose slot another one needs, and recalls its pins.
     ///
-    /// Guards against adapters that hold every slot for ever: each is used again before its pins
-    /// come back, and a request for another adapter waits until its deadline.
-    pub(super) fn drain(&mut self, adapter: &AdapterRef, now: Instant, out: &mut OwnerOutput) {
+    /// Without draining, adapters in constant use would keep every slot: each is used again before
+    /// its pins are returned, and a request for another adapter waits until its deadline.
+    pub(super) fn start_drain(
+        &mut self,
+        adapter: &AdapterRef,
+        now: Instant,
+        out: &mut OwnerOutput,
+    ) {
         self.slots.begin_drain(adapter, now);
-        self.announce(adapter, Presence::Absent, out);
+        self.publish_state(adapter, Presence::Absent, out);
         self.recall(adapter, now, out);
     }
 
-    /// The load that an eviction makes room for gets the slot, also if it waited long for it.
+    /// Restarts the timeout of a permit, so that a load that waited long for an eviction still gets
+    /// the slot that the eviction frees.
     pub(super) fn extend_permit(&mut self, adapter: &AdapterRef, now: Instant) {
         for permit in self.permits.iter_mut().filter(|p| p.adapter == *adapter) {
             permit.since = now;
@@ -39,8 +45,8 @@
         }
     }
 
-    /// Recalls pins again, since a recall may be lost and ends by itself; gives up on an adapter
-    /// whose requests run too long.
+    /// Recalls pins again, since a recall may be lost and expires. Returns the adapter to service
+    /// when its requests run for too long or no permitted load needs the slot any more.
     pub(super) fn tick_drain(
         &mut self,
         settings: &PlacementSettings,
@@ -50,10 +56,10 @@
         let Some(adapter) = self.slots.draining().cloned() else {
             return;
         };
-        let is_over = self.slots.drain_is_over(settings.drain_patience, now);
+        let is_over = self.slots.has_drain_timed_out(settings.drain_timeout, now);
         if is_over || self.permits.is_empty() {
             self.slots.end_drain(&adapter, now);
-            self.announce(&adapter, Presence::Ready, out);
+            self.publish_state(&adapter, Presence::Ready, out);
         } else if self
             .recalled_at
             .is_none_or(|at| now >= at + RECALL_INTERVAL)
--- a/crates/placement/src/engine_owner/orders.rs
+++ b/crates/placement/src/engine_owner/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of one engine's owner: one at a time, and what their answers mean.
+//! Orders to one engine and the handling of their answers. At most one order is outstanding.
 
 use std::time::Instant;
 
@@ -11,7 +11,7 @@
     DisownCause, LoadOutcome, OrderId, PlacementAction, PlacementNote, PlacementSettings, Presence,
 };
 
-/// The one order that is under way. A second one would rest on an unknown `order_seq`.
+/// The order that is outstanding. A second one could not know which `order_seq` to expect.
 #[derive(Debug)]
 pub(super) struct OutstandingOrder {
     pub(super) id: OrderId,
@@ -19,15 +19,16 @@
     pub(super) adapter: AdapterRef,
     pub(super) made_at: Instant,
     pub(super) expected_seq: u64,
-    /// No answer came: it may be carried out until it ends.
+    /// No answer arrived: the engine may still carry it out until it expires.
     pub(super) is_unsettled: bool,
 }
 
 impl EngineOwner {
-    /// Guards against an order whose answer was lost and that is carried out late: until a report
-    /// shows that it was, or its time has passed, its slot counts as taken and nothing else is
-    /// ordered. A report that may be as old as `report_lag` must be that much younger.
-    pub(super) fn settle(
+    /// Clears an unanswered order once a report shows that it was carried out or that it can't be
+    /// any more. Until then its slot counts as taken and no other order is sent, since the engine
+    /// may still carry it out. A report can be `report_lag` older than its request, so one that
+    /// shows no effect counts only if it was requested that much after the expiry.
+    pub(super) fn settle_order(
         &mut self,
         report: &EngineReport,
         taken_at: Instant,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Takes the engine's answer to an order.
+    /// Handles the engine's answer to the outstanding order.
     pub fn order_answered(
         &mut self,
         id: OrderId,
@@ -55,32 +56,36 @@
             return;
         };
         match result {
-            Ok(answer) => self.order_taken(&order, answer, now, out),
-            Err(OrderError::Ambiguous) => self.order_unsettled(order, out),
+            Ok(answer) => self.handle_order_accepted(&order, answer, now, out),
+            Err(OrderError::Ambiguous) => self.mark_order_unsettled(order, out),
             Err(OrderError::Fenced) => out.disowned = Some(DisownCause::Fenced),
-            Err(refusal) => self.order_refused(&order, &refusal, now, out),
+            Err(refusal) => self.handle_order_refused(&order, &refusal, now, out),
         }
     }
 
-    pub(super) fn order_taken(
+    pub(super) fn handle_order_accepted(
         &mut self,
         order: &OutstandingOrder,
         answer: OrderAnswer,
         now: Instant,
         out: &mut OwnerOutput,
     ) {
-        self.ownership.confirmed(now);
+        self.ownership.confirm(now);
         match answer {
             OrderAnswer::Accepted => self.known_seq = self.known_seq.max(order.expected_seq + 1),
             OrderAnswer::AlreadyDone => self.report_needed_after = Some(now),
         }
         if order.op == OrderOp::Unload {
             self.slots.remove(&order.adapter);
-            self.announce(&order.adapter, Presence::Absent, out);
+            self.publish_state(&order.adapter, Presence::Absent, out);
         }
     }
 
-    pub(super) fn order_unsettled(&mut self, mut order: OutstandingOrder, out: &mut OwnerOutput) {
+    pub(super) fn mark_order_unsettled(
+        &mut self,
+        mut order: OutstandingOrder,
+        out: &mut OwnerOutput,
+    ) {
         out.actions
             .push(PlacementAction::Report(PlacementNote::OrderUnsettled {
                 engine: self.plan.upstream.clone(),
@@ -90,7 +95,7 @@
         self.outstanding = Some(order);
     }
 
-    pub(super) fn order_refused(
+    pub(super) fn handle_order_refused(
         &mut self,
         order: &OutstandingOrder,
         refusal: &OrderError,
@@ -99,21 +104,26 @@
     ) {
         self.report_needed_after = Some(now);
         match order.op {
-            OrderOp::Unload => self.keep_slot(&order.adapter, now, out),
-            OrderOp::Load => self.drop_load(order, refusal, now, out),
+            OrderOp::Unload => self.return_to_service(&order.adapter, now, out),
+            OrderOp::Load => self.abandon_load(order, refusal, now, out),
         }
     }
 
-    pub(super) fn keep_slot(&mut self, adapter: &AdapterRef, now: Instant, out: &mut OwnerOutput) {
+    pub(super) fn return_to_service(
+        &mut self,
+        adapter: &AdapterRef,
+        now: Instant,
+        out: &mut OwnerOutput,
+    ) {
         let Some(slot) = self.slots.get_mut(adapter) else {
             return;
         };
         slot.state = SlotState::Ready;
-        slot.idle_proof_after = now;
-        self.announce(adapter, Presence::Ready, out);
+        slot.idle_report_after = now;
+        self.publish_state(adapter, Presence::Ready, out);
     }
 
-    pub(super) fn drop_load(
+    pub(super) fn abandon_load(
         &mut self,
         order: &OutstandingOrder,
         refusal: &OrderError,
@@ -125,18 +135,19 @@
             return;
         }
         self.slots.remove(&order.adapter);
-        self.announce(&order.adapter, Presence::Absent, out);
+        self.publish_state(&order.adapter, Presence::Absent, out);
         match refusal {
             OrderError::StoreRefused => {
                 self.load_ended(&order.adapter, LoadOutcome::StoreRefused, out);
             }
             OrderError::Unreachable => self.load_ended(&order.adapter, LoadOutcome::Failed, out),
-            _ => self.permit_again(order, now),
+            _ => self.requeue_permit(order, now),
         }
     }
 
-    /// The load goes first among what waits: its share of the weight store's rate is spent.
-    pub(super) fn permit_again(&mut self, order: &OutstandingOrder, now: Instant) {
+    /// Permits the load again, ahead of the other permits: its share of the weight store's rate is
+    /// already spent.
+    pub(super) fn requeue_permit(&mut self, order: &OutstandingOrder, now: Instant) {
         self.permits.push(Permit {
             adapter: order.adapter.clone(),
             class: Class::Urgent,
@@ -153,7 +164,7 @@
         out: &mut OwnerOutput,
     ) {
         self.slots.begin_load(adapter, self.adapter_slots(), now);
-        self.announce(adapter, Presence::Loading, out);
+        self.publish_state(adapter, Presence::Loading, out);
         self.order(OrderOp::Load, adapter, settings, next_order, now, out);
     }
 
@@ -169,7 +180,7 @@
         if let Some(slot) = self.slots.get_mut(adapter) {
             slot.state = SlotState::Unloading;
         }
-        self.announce(adapter, Presence::Absent, out);
+        self.publish_state(adapter, Presence::Absent, out);
         self.order(OrderOp::Unload, adapter, settings, next_order, now, out);
     }
 
@@ -182,7 +193,9 @@
         now: Instant,
         out: &mut OwnerOutput,
     ) {
-        let Some(seen) = &self.seen else { return };
+        let Some(last_report) = &self.last_report else {
+            return;
+        };
         assert!(self.outstanding.is_none(), "one order at a time");
         *next_order += 1;
         let id = OrderId(*next_order);
@@ -194,7 +207,7 @@
             adapter: adapter.clone(),
             fence: self.ownership.fence,
             expected_seq,
-            incarnation: seen.report.incarnation,
+            incarnation: last_report.report.incarnation,
             made_at: now,
             valid_for: settings.order_valid_for,
         });
--- a/crates/placement/src/eviction.rs
+++ b/crates/placement/src/eviction.rs
@@ -1,4 +1,4 @@
-//! What may be evicted from an engine, and what should be.
+//! Decides which adapters of an engine may be evicted, and which of them should be.
 
 use std::time::Instant;
 
@@ -9,20 +9,20 @@
 use crate::pin_table::PinTable;
 use crate::slot_map::{Slot, SlotMap, SlotState};
 
-/// An owner's knowledge of one engine at one time.
+/// What the owner of an engine knows about it at `now`.
 pub(crate) struct Eviction<'a> {
     pub slots: &'a SlotMap,
     pub pins: &'a PinTable,
     pub ownership: &'a Ownership,
-    /// The last report and when it was asked for.
+    /// The last report and the time at which it was requested.
     pub report: Option<(&'a EngineReport, Instant)>,
     pub settings: &'a PlacementSettings,
     pub now: Instant,
 }
 
 impl Eviction<'_> {
-    /// The adapter that is worth least among those that nobody uses. Another version of the
-    /// wanted adapter comes last: it serves until the new one is ready.
+    /// The adapter to evict: the one of lowest value among those not in use. Another version of the
+    /// wanted adapter comes last, since it serves until the new version is ready.
     pub fn victim(
         &self,
         wanted: &AdapterRef,
@@ -30,36 +30,39 @@
         value: &dyn Fn(&AdapterRef) -> f64,
     ) -> Option<AdapterRef> {
         let evictable = self
-            .settled_slots(class)
+            .slots_past_residency(class)
             .filter(|slot| self.is_evictable(slot));
-        least(evictable.map(|slot| (slot.adapter.name == wanted.name, value(&slot.adapter), slot)))
+        lowest_value(
+            evictable.map(|slot| (slot.adapter.name == wanted.name, value(&slot.adapter), slot)),
+        )
     }
 
-    /// The adapter to stop using, if each is in use: the one that is worth least, with those that
-    /// run many requests coming later.
+    /// The adapter to drain if every one is in use: the one of lowest value times one plus its
+    /// running requests.
     pub fn victim_in_use(
         &self,
         wanted: &AdapterRef,
         class: Class,
         value: &dyn Fn(&AdapterRef) -> f64,
     ) -> Option<AdapterRef> {
-        if !self.is_quiet_over() {
+        if !self.previous_pins_have_expired() {
             return None;
         }
         let ready = self
-            .settled_slots(class)
+            .slots_past_residency(class)
             .filter(|slot| slot.state == SlotState::Ready)
             .filter(|slot| slot.no_drain_before.is_none_or(|at| self.now >= at));
-        least(ready.map(|slot| {
+        lowest_value(ready.map(|slot| {
             let running = self.running_on(&slot.adapter).unwrap_or(0);
             let cost = value(&slot.adapter) * f64::from(1 + running);
             (slot.adapter.name == wanted.name, cost, slot)
         }))
     }
 
-    /// Slots whose adapter has had time to serve the requests that it was loaded for. Without it
-    /// two adapters in demand would swap in one slot at each request.
-    fn settled_slots(&self, class: Class) -> impl Iterator<Item = &Slot> {
+    /// The slots whose adapter has been there for the minimum residency, or half of it for an
+    /// urgent load, so that it could serve the requests for which it was loaded. Without the
+    /// minimum, two adapters in demand would replace each other in one slot at every request.
+    fn slots_past_residency(&self, class: Class) -> impl Iterator<Item = &Slot> {
         let residency = match class {
             Class::Urgent => self.settings.min_residency / 2,
             Class::Routine => self.settings.min_residency,
@@ -69,37 +72,38 @@
             .filter(move |slot| self.now >= slot.since + residency)
     }
 
-    /// Whether nobody can be using the adapter.
+    /// Whether no request can be using the adapter.
     ///
-    /// Guards against evicting an adapter that serves a request, which shows as an answer cut
-    /// short. Holds since no node may send without a pin; a node whose pin lapsed may have
-    /// requests in flight, which the engine's report, asked for after the lapse, would show as
-    /// running or queued; and pins of a former owner have lapsed when the quiet time is over.
+    /// Evicting an adapter in use would cut off a caller's answer. Three rules exclude it. No node
+    /// sends a request without a pin. If a pin expired, its holder may still have requests in
+    /// flight, so the engine's report, requested after the expiry, must show none running or
+    /// queued. Pins granted by previous owners have expired before this owner evicts anything.
     fn is_evictable(&self, slot: &Slot) -> bool {
         let Some((report, taken_at)) = self.report else {
             return false;
         };
         let is_in_service = matches!(slot.state, SlotState::Ready | SlotState::Draining);
         let is_pinned = self.pins.is_pinned(&slot.adapter, self.now);
-        if !is_in_service || is_pinned || !self.is_quiet_over() {
+        if !is_in_service || is_pinned || !self.previous_pins_have_expired() {
             return false;
         }
         let history = self.pins.history(&slot.adapter);
-        let proof_after = history.free_since.max(Some(slot.idle_proof_after));
-        let is_recent = proof_after.is_none_or(|at| taken_at >= at + self.settings.report_lag);
-        let may_be_queued = history.has_lapsed && report.queued > 0;
+        let report_needed_from = history.free_since.max(Some(slot.idle_report_after));
+        let is_recent =
+            report_needed_from.is_none_or(|at| taken_at >= at + self.settings.report_lag);
+        let may_be_queued = history.has_expired && report.queued > 0;
         is_recent && !may_be_queued && self.running_on(&slot.adapter) == Some(0)
     }
 
-    /// Ends the process rather than evict an adapter that may be in use.
+    /// Panics rather than evict an adapter that may be in use.
     pub fn assert_evictable(&self, adapter: &AdapterRef) {
         assert!(
             !self.pins.is_pinned(adapter, self.now),
             "{adapter} is pinned and must not be evicted"
         );
         assert!(
-            self.is_quiet_over(),
-            "{adapter} must not be evicted before a former owner's pins have lapsed"
+            self.previous_pins_have_expired(),
+            "{adapter} must not be evicted before a previous owner's pins have expired"
         );
         assert_eq!(
             self.running_on(adapter),
@@ -108,9 +112,9 @@
         );
     }
 
-    fn is_quiet_over(&self) -> bool {
-        let quiet_until = self.ownership.quiet_until(self.settings);
-        quiet_until.is_some_and(|until| self.now >= until)
+    fn previous_pins_have_expired(&self) -> bool {
+        let evictions_allowed_from = self.ownership.evictions_allowed_from(self.settings);
+        evictions_allowed_from.is_some_and(|until| self.now >= until)
     }
 
     fn running_on(&self, adapter: &AdapterRef) -> Option<u32> {
@@ -123,7 +127,7 @@
     }
 }
 
-fn least<'a>(ranked: impl Iterator<Item = (bool, f64, &'a Slot)>) -> Option<AdapterRef> {
+fn lowest_value<'a>(ranked: impl Iterator<Item = (bool, f64, &'a Slot)>) -> Option<AdapterRef> {
     ranked
         .min_by(|a, b| {
             let by_value = a.0.cmp(&b.0).then(a.1.total_cmp(&b.1));
--- a/crates/placement/src/slot_map.rs
+++ b/crates/placement/src/slot_map.rs
@@ -1,37 +1,37 @@
-//! The adapter slots of one engine, as its owner sees them.
+//! The adapter slots of one engine, as known to its owner.
 
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::{AdapterRef, AdapterState, EngineReport, HeldAdapter};
 
-/// How long an adapter that could not be drained is left alone.
-const DRAIN_PAUSE: Duration = Duration::from_secs(10);
+/// How long an adapter whose drain failed is not drained again.
+const DRAIN_RETRY_DELAY: Duration = Duration::from_secs(10);
 
-/// How far an adapter is on its way into or out of its slot.
+/// The state of the adapter in a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SlotState {
-    /// It serves.
+    /// It serves requests.
     Ready,
-    /// A load was ordered or is under way.
+    /// Its load was ordered or is in progress.
     Loading,
-    /// It serves what runs; nobody may start to use it.
+    /// It serves the requests that use it; no new pin is granted.
     Draining,
-    /// An unload was ordered; nobody may start to use it.
+    /// Its unload was ordered; no pin is granted.
     Unloading,
 }
 
-/// One slot that is taken.
+/// A slot in use.
 #[derive(Clone, Debug)]
 pub(crate) struct Slot {
     pub adapter: AdapterRef,
     pub state: SlotState,
-    /// When it was first seen here.
+    /// When it became ready, or was first seen if it is not ready yet.
     pub since: Instant,
-    /// A report on it counts only if taken after this time.
-    pub idle_proof_after: Instant,
-    /// Since when it is drained.
+    /// Only a report requested after this time shows whether it is idle.
+    pub idle_report_after: Instant,
+    /// When its drain began.
     pub draining_since: Option<Instant>,
-    /// It ran too long to be drained and is left alone until then.
+    /// Its drain failed; it is not drained again before this time.
     pub no_drain_before: Option<Instant>,
 }
 
@@ -41,14 +41,14 @@
             adapter: adapter.clone(),
             state,
             since: now,
-            idle_proof_after: now,
+            idle_report_after: now,
             draining_since: None,
             no_drain_before: None,
         }
     }
 }
 
-/// What a report changed.
+/// The changes that a report made to the slots.
 #[derive(Debug, Default)]
 pub(crate) struct SlotChanges {
     pub became_ready: Vec<AdapterRef>,
@@ -56,7 +56,7 @@
     pub vanished: Vec<Slot>,
 }
 
-/// The slots of one engine. There are never more than the engine has.
+/// The slots in use on one engine, never more than the engine has.
 #[derive(Debug, Default)]
 pub(crate) struct SlotMap {
     slots: Vec<Slot>,
@@ -84,7 +84,7 @@
         Some(self.slots.swap_remove(at))
     }
 
-    /// Takes a slot for a load that is about to be ordered.
+    /// Reserves a slot for a load that is about to be ordered.
     pub fn begin_load(&mut self, adapter: &AdapterRef, adapter_slots: u32, now: Instant) {
         assert!(
             self.slots.len() < adapter_slots as usize,
@@ -95,7 +95,7 @@
         self.slots.push(slot);
     }
 
-    /// Stops new use of an adapter.
+    /// Marks an adapter as draining, so that no new pin is granted.
     pub fn begin_drain(&mut self, adapter: &AdapterRef, now: Instant) {
         if let Some(slot) = self.get_mut(adapter) {
             slot.state = SlotState::Draining;
@@ -103,16 +103,16 @@
         }
     }
 
-    /// Puts an adapter back into service that could not be drained.
+    /// Returns an adapter to service after its drain failed.
     pub fn end_drain(&mut self, adapter: &AdapterRef, now: Instant) {
         if let Some(slot) = self.get_mut(adapter) {
             slot.state = SlotState::Ready;
             slot.draining_since = None;
-            slot.no_drain_before = Some(now + DRAIN_PAUSE);
+            slot.no_drain_before = Some(now + DRAIN_RETRY_DELAY);
         }
     }
 
-    /// The adapter that is drained; one at a time.
+    /// The adapter that is draining; there is at most one.
     pub fn draining(&self) -> Option<&AdapterRef> {
         let draining = self.slots.iter().find(|s| s.state == SlotState::Draining)?;
         Some(&draining.adapter)
@@ -122,19 +122,19 @@
         self.draining().is_some()
     }
 
-    /// Whether the drain under way has taken longer than `patience`.
-    pub fn drain_is_over(&self, patience: Duration, now: Instant) -> bool {
-        let is_over = |since: Instant| now >= since + patience;
+    /// Whether the drain in progress has taken longer than `timeout`.
+    pub fn has_drain_timed_out(&self, timeout: Duration, now: Instant) -> bool {
+        let is_over = |since: Instant| now >= since + timeout;
         let mut slots = self.slots.iter();
         slots.any(|s| s.state == SlotState::Draining && s.draining_since.is_some_and(is_over))
     }
 
-    /// Empties the map and returns what was in it, as after a cold restart.
+    /// Removes and returns all slots, as after a cold restart.
     pub fn clear(&mut self) -> Vec<Slot> {
         std::mem::take(&mut self.slots)
     }
 
-    /// Takes over states of slots that both sides know.
+    /// Marks loads as ready that the report shows as ready. Adds and removes no slot.
     pub fn update_states(&mut self, report: &EngineReport, now: Instant) -> SlotChanges {
         let mut changes = SlotChanges::default();
         for held in &report.adapters {
@@ -144,14 +144,14 @@
             if slot.state == SlotState::Loading && held.state == AdapterState::Ready {
                 slot.state = SlotState::Ready;
                 slot.since = now;
-                slot.idle_proof_after = now;
+                slot.idle_report_after = now;
                 changes.became_ready.push(held.adapter.clone());
             }
         }
         changes
     }
 
-    /// Makes the map what the report says. Only for a report that knows of every order.
+    /// Replaces the slots by those of the report. Only for a report that reflects every order.
     pub fn reconcile(&mut self, report: &EngineReport, now: Instant) -> SlotChanges {
         let mut changes = self.update_states(report, now);
         let is_reported = |slot: &Slot| report.adapters.iter().any(|h| h.adapter == slot.adapter);
@@ -162,13 +162,13 @@
             .collect();
         for held in &report.adapters {
             if self.get(&held.adapter).is_none() {
-                self.adopt(held, now, &mut changes);
+                self.add_reported(held, now, &mut changes);
             }
         }
         changes
     }
 
-    /// An unload that did not happen: the adapter still serves.
+    /// Returns adapters to service whose unload did not take place.
     fn undo_unloads(&mut self, report: &EngineReport, now: Instant, changes: &mut SlotChanges) {
         for held in &report.adapters {
             let Some(slot) = self.get_mut(&held.adapter) else {
@@ -176,13 +176,13 @@
             };
             if slot.state == SlotState::Unloading && held.state == AdapterState::Ready {
                 slot.state = SlotState::Ready;
-                slot.idle_proof_after = now;
+                slot.idle_report_after = now;
                 changes.became_ready.push(held.adapter.clone());
             }
         }
     }
 
-    fn adopt(&mut self, held: &HeldAdapter, now: Instant, changes: &mut SlotChanges) {
+    fn add_reported(&mut self, held: &HeldAdapter, now: Instant, changes: &mut SlotChanges) {
         let state = match held.state {
             AdapterState::Ready => SlotState::Ready,
             AdapterState::Loading => SlotState::Loading,
