--- a/crates/idempotency/src/answer.rs
+++ b/crates/idempotency/src/answer.rs
@@ -1,4 +1,4 @@
-//! The answer that repeats of a call get.
+//! Recorded answers, which repeats of a call receive.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -12,21 +12,21 @@
     pub value: String,
 }
 
-/// What the upstream answered, kept for repeats.
+/// An upstream's answer, recorded for repeats of the call.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The headers that a repeat gets too.
+    /// The headers that repeats receive.
     pub headers: Vec<RecordedHeader>,
-    /// The body; empty if it was too large to keep.
+    /// The body; empty if it was too large to store.
     pub body: Bytes,
-    /// Whether headers and body are kept. A repeat of a large answer gets the status alone.
+    /// Whether headers and body are stored. For a large answer, repeats receive only the status.
     pub is_kept: bool,
 }
 
 impl RecordedAnswer {
-    /// An answer whose headers and body are kept.
+    /// Creates an answer without headers whose body is stored.
     ///
     /// ```
     /// let answer = nutmegsail_idempotency::RecordedAnswer::new(201, "booked");
@@ -41,7 +41,7 @@
         }
     }
 
-    /// This answer if it is at most `max_bytes` long, or else its status alone.
+    /// Drops headers and body if together they are larger than `max_bytes`.
     ///
     /// ```
     /// let answer = nutmegsail_idempotency::RecordedAnswer::new(200, "long text");
@@ -69,13 +69,13 @@
     }
 }
 
-/// How a call that was let run ended.
+/// How a call that was allowed to run ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
     /// The upstream answered.
     Answered(RecordedAnswer),
-    /// The upstream certainly did not run it and never will: no byte was sent, or it said so.
+    /// The upstream did not run the call and never will: no byte was sent, or the upstream said so.
     NotRun,
-    /// It may have run: the connection broke after bytes were sent, or the upstream failed.
+    /// The call may have run: the connection broke after bytes were sent, or the upstream failed.
     Unknown,
 }
--- a/crates/idempotency/src/chain.rs
+++ b/crates/idempotency/src/chain.rs
@@ -1,4 +1,4 @@
-//! What a writer knows of one chain of records.
+//! A writer's cached copy of one chain of records.
 
 use std::collections::BTreeMap;
 
@@ -6,140 +6,155 @@
 
 use crate::{ChainPlace, ClaimRecord, IdempotencyKey, RecordError, StoredRecord};
 
-/// A record with the revision that the store gave it; [`StoreNumber::NONE`]: it does not exist yet.
+/// A record and its store revision, which is [`StoreNumber::NONE`] if it does not exist yet.
 #[derive(Clone, Debug, Default)]
-struct Segment {
+struct KnownRecord {
     record: ClaimRecord,
     revision: StoreNumber,
 }
 
-/// A chain as last seen: sealed records, then the one that takes new keys.
+/// A chain as last read: sealed records, followed by one open record that takes new keys.
 ///
-/// A key may be claimed in the last record only by somebody who knows every record before it.
-/// Those are sealed, so their keys are final; the last one is guarded by its revision. The next
-/// record is only ever created after the one before it was sealed.
+/// A node may claim a key in the open record only if it has read all records before it, since the
+/// key may be in one of them. Sealed records take no new keys, so a cached copy shows all of their
+/// keys. The open record is protected by its revision. A record is created only after the one
+/// before it was sealed.
 #[derive(Debug)]
 pub(crate) struct Chain {
     place: ChainPlace,
-    segments: Vec<Segment>,
-    segment_of: BTreeMap<IdempotencyKey, usize>,
+    records: Vec<KnownRecord>,
+    index_by_key: BTreeMap<IdempotencyKey, usize>,
     next_read: Option<usize>,
 }
 
 impl Chain {
-    /// A chain of which nothing is known.
+    /// A chain of which no record has been read.
     pub fn new(place: ChainPlace) -> Self {
         Self {
             place,
-            segments: Vec::new(),
-            segment_of: BTreeMap::new(),
+            records: Vec::new(),
+            index_by_key: BTreeMap::new(),
             next_read: Some(0),
         }
     }
 
-    /// Where the chain lies.
+    /// The chain's shard and bucket.
     pub fn place(&self) -> ChainPlace {
         self.place
     }
 
-    /// The record that must be read before anything is written.
+    /// The record to read before the chain can be written; `None` if the cached copy is complete.
     pub fn next_read(&self) -> Option<usize> {
         self.next_read
     }
 
-    /// Whether the record has been seen.
-    pub fn knows(&self, segment: usize) -> bool {
-        segment < self.segments.len()
+    /// Whether the record is cached.
+    pub fn is_known(&self, record_index: usize) -> bool {
+        record_index < self.records.len()
     }
 
-    /// The record that holds `key`, or else the one that takes new keys.
-    pub fn segment_for(&self, key: &IdempotencyKey) -> usize {
-        let tail = self.segments.len().saturating_sub(1);
-        self.segment_of.get(key).copied().unwrap_or(tail)
+    /// The index of the record that holds `key`, or else of the open record.
+    pub fn record_index_for(&self, key: &IdempotencyKey) -> usize {
+        let tail = self.records.len().saturating_sub(1);
+        self.index_by_key.get(key).copied().unwrap_or(tail)
     }
 
-    /// A record as last seen.
-    pub fn record(&self, segment: usize) -> &ClaimRecord {
-        &self.segments[segment].record
+    /// A record as last read or written.
+    pub fn record(&self, record_index: usize) -> &ClaimRecord {
+        &self.records[record_index].record
     }
 
-    /// The revision of a record as last seen.
-    pub fn revision(&self, segment: usize) -> StoreNumber {
-        self.segments[segment].revision
+    /// The revision of a record as last read or written.
+    pub fn revision(&self, record_index: usize) -> StoreNumber {
+        self.records[record_index].revision
     }
 
-    /// Asks for a record to be read again: what the store holds is not known.
-    pub fn distrust(&mut self, segment: usize) {
-        self.next_read = Some(segment);
+    /// Marks a record to be read again, because the store may hold another version.
+    pub fn mark_stale(&mut self, record_index: usize) {
+        self.next_read = Some(record_index);
     }
 
-    /// Takes in a record as the store holds it now.
-    pub fn adopt(
+    /// Replaces a cached record by what the store returned.
+    pub fn update(
         &mut self,
-        segment: usize,
+        record_index: usize,
         stored: Option<StoredRecord>,
     ) -> Result<(), RecordError> {
         match stored {
-            Some(stored) => self.adopt_stored(segment, &stored),
+            Some(stored) => self.update_stored(record_index, &stored),
             None => {
-                self.adopt_absent(segment);
+                self.update_absent(record_index);
                 Ok(())
             }
         }
     }
 
-    fn adopt_stored(&mut self, segment: usize, stored: &StoredRecord) -> Result<(), RecordError> {
+    fn update_stored(
+        &mut self,
+        record_index: usize,
+        stored: &StoredRecord,
+    ) -> Result<(), RecordError> {
         let record = ClaimRecord::decode(&stored.value)?;
-        self.set(segment, record, stored.revision);
-        self.find_tail();
+        self.set(record_index, record, stored.revision);
+        self.update_next_read();
         Ok(())
     }
 
-    fn adopt_absent(&mut self, segment: usize) {
+    fn update_absent(&mut self, record_index: usize) {
         if self
-            .segments
-            .get(segment)
+            .records
+            .get(record_index)
             .is_some_and(|s| s.revision != StoreNumber::NONE)
         {
-            // The record was there and is gone: past its retention. Nothing known still holds.
-            self.segments.clear();
-            self.segment_of.clear();
+            // The record existed and was removed after its retention, so the whole cached copy is
+            // out of date.
+            self.records.clear();
+            self.index_by_key.clear();
         }
-        if segment == self.segments.len() {
-            self.segments.push(Segment::default());
+        if record_index == self.records.len() {
+            self.records.push(KnownRecord::default());
         }
-        self.find_tail();
+        self.update_next_read();
     }
 
-    /// Takes in a record that this node wrote.
-    pub fn committed(&mut self, segment: usize, record: ClaimRecord, revision: StoreNumber) {
+    /// Replaces a cached record by what this node has written.
+    pub fn update_written(
+        &mut self,
+        record_index: usize,
+        record: ClaimRecord,
+        revision: StoreNumber,
+    ) {
         let is_sealed = record.is_sealed;
-        self.set(segment, record, revision);
-        if is_sealed && segment + 1 == self.segments.len() {
-            // Only now may the next record come into being. Revision 0 says "create it"; should
-            // somebody else be faster, the conflict shows their record.
-            self.segments.push(Segment::default());
+        self.set(record_index, record, revision);
+        if is_sealed && record_index + 1 == self.records.len() {
+            // The next record may be created only once this one is sealed. It is written with
+            // revision 0, which means that it must not exist; if another node created it first,
+            // the write conflicts and returns that node's record.
+            self.records.push(KnownRecord::default());
         }
-        self.find_tail();
+        self.update_next_read();
     }
 
-    fn set(&mut self, segment: usize, record: ClaimRecord, revision: StoreNumber) {
-        debug_assert!(segment <= self.segments.len(), "records are read in order");
+    fn set(&mut self, record_index: usize, record: ClaimRecord, revision: StoreNumber) {
+        debug_assert!(
+            record_index <= self.records.len(),
+            "records are read in order"
+        );
         for entry in &record.entries {
-            self.segment_of.insert(entry.key.clone(), segment);
+            self.index_by_key.insert(entry.key.clone(), record_index);
         }
-        let known = Segment { record, revision };
-        match self.segments.get_mut(segment) {
+        let known = KnownRecord { record, revision };
+        match self.records.get_mut(record_index) {
             Some(slot) => *slot = known,
-            None => self.segments.push(known),
+            None => self.records.push(known),
         }
     }
 
-    fn find_tail(&mut self) {
+    fn update_next_read(&mut self) {
         let is_tail_known = self
-            .segments
+            .records
             .last()
-            .is_some_and(|segment| !segment.record.is_sealed);
-        self.next_read = (!is_tail_known).then_some(self.segments.len());
+            .is_some_and(|known| !known.record.is_sealed);
+        self.next_read = (!is_tail_known).then_some(self.records.len());
     }
 }
--- a/crates/idempotency/src/lane.rs
+++ b/crates/idempotency/src/chain_writer.rs
@@ -1,4 +1,4 @@
-//! One chain with the operations that wait for it and the store call under way.
+//! Writes queued operations to one chain of records.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
@@ -6,7 +6,7 @@
 use nutmegsail_base::StoreNumber;
 
 use crate::chain::Chain;
-use crate::commit::{Commit, replies_of};
+use crate::commit::{Commit, into_replies};
 use crate::queued::{QueuedOperation, Reply};
 use crate::token_source::TokenSource;
 use crate::{
@@ -14,13 +14,13 @@
     SwapFault,
 };
 
-/// How often the pause after a failure doubles at most.
+/// The most times that the backoff after failures doubles.
 const MAX_DOUBLINGS: u32 = 10;
 
-/// How many records a chain's reader asks for at a time at most.
+/// The most records that one round reads.
 const MAX_READ_AHEAD: usize = 64;
 
-/// Store calls under way.
+/// The store calls in flight.
 #[derive(Debug)]
 struct InFlight {
     since: Instant,
@@ -33,7 +33,7 @@
     Swap { token: ClaimToken, commit: Commit },
 }
 
-/// Reads of records that follow each other in a chain.
+/// Concurrent reads of consecutive records.
 #[derive(Debug, Default)]
 struct ReadRound {
     open: BTreeMap<ClaimToken, usize>,
@@ -41,22 +41,22 @@
     has_failed: bool,
 }
 
-/// One chain at work: at most one write or one round of reads at a time.
+/// Reads and writes one chain, with at most one write or one round of reads in flight.
 #[derive(Debug)]
-pub(crate) struct Lane {
+pub(crate) struct ChainWriter {
     chain: Chain,
     queue: VecDeque<QueuedOperation>,
     in_flight: Option<InFlight>,
     retry_at: Instant,
-    /// Store calls that failed one after the other.
+    /// The number of store calls that failed in a row.
     failures: u32,
-    /// How many records the next round of reads asks for.
+    /// How many records the next round reads.
     read_ahead: usize,
     last_used: Instant,
 }
 
-impl Lane {
-    /// A lane for a chain of which nothing is known.
+impl ChainWriter {
+    /// Creates a writer for a chain of which no record has been read.
     pub fn new(place: ChainPlace, now: Instant) -> Self {
         Self {
             chain: Chain::new(place),
@@ -69,32 +69,32 @@
         }
     }
 
-    /// Adds an operation at the end.
+    /// Appends an operation to the queue.
     pub fn push(&mut self, operation: QueuedOperation, settings: &ClaimSettings, now: Instant) {
         self.last_used = now;
         if operation.entry.is_claim() {
-            // A caller waits: don't sit out a long pause that outcomes can bear.
+            // A caller waits for a claim, so a long backoff is cut short. Outcomes can wait it out.
             self.retry_at = self.retry_at.min(now + settings.store_backoff);
         }
         self.queue.push_back(operation);
     }
 
-    /// How many operations wait, without those in a store call.
+    /// The number of queued operations, without those in a store call.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether nothing waits and nothing is under way.
+    /// Whether no operation is queued and no store call is in flight.
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.in_flight.is_none()
     }
 
-    /// When it last had work.
+    /// When an operation was last added.
     pub fn last_used(&self) -> Instant {
         self.last_used
     }
 
-    /// When the lane next wants a store call; `None` while one is under way or nothing waits.
+    /// When the next store call is due; `None` while one is in flight or no operation is queued.
     pub fn due(&self) -> Option<Instant> {
         if self.in_flight.is_some() {
             return None;
@@ -103,7 +103,7 @@
         Some(earliest.max(self.retry_at))
     }
 
-    /// When an operation fails or the store call under way counts as lost.
+    /// When the next operation expires or the store call in flight times out.
     pub fn next_expiry(&self, settings: &ClaimSettings) -> Option<Instant> {
         let call = self.in_flight.as_ref();
         let call = call.map(|call| call.since + settings.store_timeout);
@@ -111,15 +111,15 @@
         queued.chain(call).min()
     }
 
-    /// Whether the lane must read before it can write.
+    /// Whether a record must be read before the chain can be written.
     pub fn must_read(&self) -> bool {
         self.chain.next_read().is_some()
     }
 
-    /// Reads the next records that must be known.
+    /// Starts a round of reads of the next records.
     ///
-    /// A new writer may find a chain of a hundred records. Each round of reads asks for twice as
-    /// many as the last, so that it knows them all after a few store answers.
+    /// A new writer may have to read a chain of a hundred records. Each round reads twice as many
+    /// records as the last, so that a few rounds are enough.
     pub fn start_read(
         &mut self,
         tokens: &mut TokenSource,
@@ -129,16 +129,16 @@
         let Some(first) = self.chain.next_read() else {
             return;
         };
-        let count = if self.chain.knows(first) {
+        let count = if self.chain.is_known(first) {
             1
         } else {
             self.read_ahead
         };
         let mut round = ReadRound::default();
-        for segment in first..first + count {
+        for record_index in first..first + count {
             let token = tokens.next();
-            round.open.insert(token, segment);
-            let key = self.chain.place().record_key(segment);
+            round.open.insert(token, record_index);
+            let key = self.chain.place().record_key(record_index);
             actions.push(ClaimAction::Read { token, key });
         }
         self.in_flight = Some(InFlight {
@@ -147,9 +147,10 @@
         });
     }
 
-    /// Writes the record that the most urgent operation belongs to, with all others of that record.
+    /// Starts a write of the record that the most urgent operation belongs to, together with all
+    /// other queued operations on that record.
     ///
-    /// Operations that change nothing are answered at once, without a write.
+    /// If the operations change nothing, they are answered immediately, without a write.
     pub fn start_commit(
         &mut self,
         token: ClaimToken,
@@ -158,17 +159,17 @@
         replies: &mut Vec<Reply>,
     ) -> Option<ClaimAction> {
         let most_urgent = self.queue.iter().min_by_key(|operation| operation.due)?;
-        let segment = self.chain.segment_for(&most_urgent.entry.key);
-        let mut commit = self.take_commit(segment, settings);
-        if commit.record == *self.chain.record(segment) {
-            replies.extend(replies_of(commit.operations));
+        let record_index = self.chain.record_index_for(&most_urgent.entry.key);
+        let mut commit = self.build_commit(record_index, settings);
+        if commit.record == *self.chain.record(record_index) {
+            replies.extend(into_replies(commit.operations));
             return None;
         }
         let value = commit.seal_if_full(settings);
         let action = ClaimAction::Swap {
             token,
-            key: self.chain.place().record_key(segment),
-            expected_revision: self.chain.revision(segment),
+            key: self.chain.place().record_key(record_index),
+            expected_revision: self.chain.revision(record_index),
             value,
         };
         self.in_flight = Some(InFlight {
@@ -178,31 +179,32 @@
         Some(action)
     }
 
-    fn take_commit(&mut self, segment: usize, settings: &ClaimSettings) -> Commit {
+    fn build_commit(&mut self, record_index: usize, settings: &ClaimSettings) -> Commit {
         let mut commit = Commit {
-            segment,
-            record: self.chain.record(segment).clone(),
+            record_index,
+            record: self.chain.record(record_index).clone(),
             operations: Vec::new(),
         };
-        let mut kept = VecDeque::new();
+        let mut remaining = VecDeque::new();
         for operation in self.queue.drain(..) {
             let key = &operation.entry.key;
-            let is_here = self.chain.segment_for(key) == segment;
-            // One fits always: a record that was left open by larger settings is sealed with it.
+            let is_here = self.chain.record_index_for(key) == record_index;
+            // A full record may still be open if it was written with a larger `record_bytes`. The
+            // first operation is always added, and the write then seals the record.
             let has_room = commit.operations.is_empty()
                 || !commit.is_full(settings)
                 || commit.record.find(key).is_some();
             if is_here && has_room {
                 commit.add(operation);
             } else {
-                kept.push_back(operation);
+                remaining.push_back(operation);
             }
         }
-        self.queue = kept;
+        self.queue = remaining;
         commit
     }
 
-    /// Takes in a read's result. Returns whether the token was this lane's.
+    /// Handles the result of a read. Returns whether this chain issued the token.
     pub fn read_done(
         &mut self,
         token: ClaimToken,
@@ -217,29 +219,29 @@
         else {
             return false;
         };
-        let Some(segment) = round.open.remove(&token) else {
+        let Some(record_index) = round.open.remove(&token) else {
             return false;
         };
         match result {
             Ok(stored) => {
-                round.answers.insert(segment, stored.clone());
+                round.answers.insert(record_index, stored.clone());
             }
             Err(StoreFault) => round.has_failed = true,
         }
         if round.open.is_empty() {
             let round = std::mem::take(round);
             self.in_flight = None;
-            self.round_done(round, settings, now);
+            self.finish_read_round(round, settings, now);
         }
         true
     }
 
-    fn round_done(&mut self, round: ReadRound, settings: &ClaimSettings, now: Instant) {
+    fn finish_read_round(&mut self, round: ReadRound, settings: &ClaimSettings, now: Instant) {
         let mut is_whole = !round.has_failed;
-        for (segment, stored) in round.answers {
-            // Only the next record in order says something; after the open one come none.
-            if self.chain.next_read() == Some(segment) {
-                is_whole &= self.chain.adopt(segment, stored).is_ok();
+        for (record_index, stored) in round.answers {
+            // Records are applied in order. Those after the open record do not exist.
+            if self.chain.next_read() == Some(record_index) {
+                is_whole &= self.chain.update(record_index, stored).is_ok();
             }
         }
         self.read_ahead = match self.chain.next_read() {
@@ -253,7 +255,7 @@
         }
     }
 
-    /// Takes in a write's result. Returns whether the token was this lane's.
+    /// Handles the result of a write. Returns whether this chain issued the token.
     pub fn swap_done(
         &mut self,
         token: ClaimToken,
@@ -262,19 +264,19 @@
         now: Instant,
         replies: &mut Vec<Reply>,
     ) -> bool {
-        let Some(commit) = self.take_commit_of(token) else {
+        let Some(commit) = self.take_commit_in_flight(token) else {
             return false;
         };
         match result {
             Ok(revision) => {
                 self.failures = 0;
                 let Commit {
-                    segment,
+                    record_index,
                     record,
                     operations,
                 } = commit;
-                self.chain.committed(segment, record, revision);
-                replies.extend(replies_of(operations));
+                self.chain.update_written(record_index, record, revision);
+                replies.extend(into_replies(operations));
             }
             Err(fault) => self.commit_failed(commit, fault, settings, now),
         }
@@ -288,28 +290,28 @@
         settings: &ClaimSettings,
         now: Instant,
     ) {
-        let segment = commit.segment;
-        self.put_back(commit);
+        let record_index = commit.record_index;
+        self.requeue(commit);
         match fault {
             SwapFault::Conflict {
                 current: Some(current),
             } => {
-                if self.chain.adopt(segment, Some(current)).is_err() {
-                    self.chain.distrust(segment);
+                if self.chain.update(record_index, Some(current)).is_err() {
+                    self.chain.mark_stale(record_index);
                     self.back_off(settings, now);
                 }
             }
-            SwapFault::Conflict { current: None } => self.chain.distrust(segment),
+            SwapFault::Conflict { current: None } => self.chain.mark_stale(record_index),
             SwapFault::NotDone => self.back_off(settings, now),
-            // The write may have taken effect, or the store may carry it out later, while the
-            // record still has the revision it expects. Read back first: if the claims are there,
-            // they hold. If not, the operations are written again at the same revision; of the two
-            // writes the store carries out one, and the other's condition fails.
-            SwapFault::Ambiguous => self.chain.distrust(segment),
+            // The write may have taken effect, or may still do so as long as the record has the
+            // expected revision. The record is read back first: if the claims are in it, they are
+            // valid. If not, the operations are written again with the same expected revision, so
+            // that only one of the two writes can succeed.
+            SwapFault::Ambiguous => self.chain.mark_stale(record_index),
         }
     }
 
-    /// Waits twice as long after each failure, so that a store in trouble is not flooded.
+    /// Doubles the backoff after each failure, so that a failing store is not overloaded.
     fn back_off(&mut self, settings: &ClaimSettings, now: Instant) {
         let factor = 1 << self.failures.min(MAX_DOUBLINGS);
         let pause = settings.store_backoff * factor;
@@ -317,19 +319,19 @@
         self.failures += 1;
     }
 
-    /// Tries again now: the store is said to be back.
+    /// Ends the backoff, because the store is reachable again.
     pub fn retry_now(&mut self, now: Instant) {
         self.retry_at = now;
         self.failures = 0;
     }
 
-    fn put_back(&mut self, commit: Commit) {
+    fn requeue(&mut self, commit: Commit) {
         for (operation, _) in commit.operations.into_iter().rev() {
             self.queue.push_front(operation);
         }
     }
 
-    fn take_commit_of(&mut self, swap: ClaimToken) -> Option<Commit> {
+    fn take_commit_in_flight(&mut self, swap: ClaimToken) -> Option<Commit> {
         let in_flight = self.in_flight.take_if(
             |in_flight| matches!(&in_flight.call, StoreCall::Swap { token, .. } if *token == swap),
         )?;
@@ -339,7 +341,7 @@
         }
     }
 
-    /// Fails operations that waited too long, and gives up on a store call without an answer.
+    /// Fails operations that have expired, and gives up a store call that has timed out.
     pub fn expire(&mut self, settings: &ClaimSettings, now: Instant, replies: &mut Vec<Reply>) {
         let lost = self
             .in_flight
@@ -356,8 +358,8 @@
         if !self.queue.iter().any(is_expired) {
             return;
         }
-        let (expired, kept): (VecDeque<_>, _) = self.queue.drain(..).partition(is_expired);
-        self.queue = kept;
+        let (expired, remaining): (VecDeque<_>, _) = self.queue.drain(..).partition(is_expired);
+        self.queue = remaining;
         let failed = expired.into_iter();
         replies.extend(failed.map(|operation| operation.reply(OperationResult::Failed)));
     }
--- a/crates/idempotency/src/claims/begin.rs
+++ b/crates/idempotency/src/claims/begin.rs
@@ -1,4 +1,4 @@
-//! A caller's call arrives.
+//! Decides what happens to an arriving once-only call.
 
 use std::time::{Instant, SystemTime};
 
@@ -17,27 +17,27 @@
         key: IdempotencyKey,
         digest: RequestDigest,
         now: Instant,
-        wall: SystemTime,
+        wall_time: SystemTime,
         actions: &mut Vec<ClaimAction>,
     ) {
         let settings = &self.settings;
-        if let Err(error) = key.check_age(settings.accepted_age(), settings.skew, wall) {
-            self.tell(request, Verdict::not_run(error.code()), actions);
+        if let Err(error) = key.check_age(settings.accepted_age(), settings.skew, wall_time) {
+            self.respond(request, Verdict::not_run(error.code()), actions);
         } else if key.ticket().is_some() {
             self.begin_with_ticket(request, &key, digest, actions);
         } else if let Some(verdict) = self.verdict_of_own(&key, digest) {
-            self.tell(request, verdict, actions);
+            self.respond(request, verdict, actions);
         } else if self.is_store_down && self.remote_writer(&key).is_none() {
             let verdict = Verdict::not_run(ResultCode::ClaimUnavailable);
-            self.tell(request, verdict, actions);
+            self.respond(request, verdict, actions);
         } else {
-            let expires = now + self.settings.claim_wait;
-            let number = self.own.make(&key, request, digest, expires);
-            self.write(key, digest, number, ClaimOperation::Claim, now);
+            let expires = now + self.settings.claim_timeout;
+            let number = self.own.add(&key, request, digest, expires);
+            self.submit(key, digest, number, ClaimOperation::Claim, now);
         }
     }
 
-    /// What a repeat is told of a claim that this incarnation has in memory.
+    /// The verdict on a repeat of a call whose claim this incarnation has in memory.
     fn verdict_of_own(&self, key: &IdempotencyKey, digest: RequestDigest) -> Option<Verdict> {
         let claim = self.own.get(key)?;
         if claim.digest != digest {
@@ -58,13 +58,14 @@
         digest: RequestDigest,
         actions: &mut Vec<ClaimAction>,
     ) {
-        let ticket = key.ticket().expect("the caller has looked");
+        let ticket = key.ticket().expect("the key has a ticket");
         if ticket.node != self.node {
-            let nodes = &self.nodes;
-            let is_known = nodes.candidates.contains(&ticket.node)
-                || nodes.live.iter().any(|live| live.node == ticket.node);
+            let selector = &self.writer_selector;
+            let is_known = selector.candidates.contains(&ticket.node)
+                || selector.live.iter().any(|live| live.node == ticket.node);
             if is_known {
-                // The other node compares the incarnation: it knows its own, our list lags.
+                // The incarnation is left to the other node to compare, since this node's list may
+                // be out of date.
                 actions.push(ClaimAction::Forward {
                     request,
                     to: ticket.node.clone(),
@@ -72,29 +73,29 @@
                 });
             } else {
                 let verdict = Verdict::may_have_run(ResultCode::OutcomeUnknown);
-                self.tell(request, verdict, actions);
+                self.respond(request, verdict, actions);
             }
             return;
         }
         if ticket.incarnation != self.incarnation {
-            // The incarnation that could run it is gone, and with it what it knew.
+            // Only that incarnation could run the call, and it kept the outcome in memory only.
             let verdict = Verdict::may_have_run(ResultCode::OutcomeUnknown);
-            self.tell(request, verdict, actions);
+            self.respond(request, verdict, actions);
             return;
         }
         match self.tickets.begin(key, &request, digest, &self.settings) {
             TicketVerdict::Run => actions.push(ClaimAction::Run { request }),
             TicketVerdict::Known(state) => {
-                self.tell(request, Verdict::of_ended(&state), actions);
+                self.respond(request, Verdict::of_ended(&state), actions);
             }
             TicketVerdict::Refused(code @ ResultCode::InProgress) => {
-                self.tell(request, Verdict::may_have_run(code), actions);
+                self.respond(request, Verdict::may_have_run(code), actions);
             }
-            TicketVerdict::Refused(code) => self.tell(request, Verdict::not_run(code), actions),
+            TicketVerdict::Refused(code) => self.respond(request, Verdict::not_run(code), actions),
         }
     }
 
-    pub(super) fn forwarded(
+    pub(super) fn on_forwarded(
         &self,
         request: RequestId,
         result: ForwardResult,
@@ -106,6 +107,6 @@
             ForwardResult::NotSent => Verdict::not_run(ResultCode::ClaimUnavailable),
             ForwardResult::NoAnswer => Verdict::may_have_run(ResultCode::OutcomeUnknown),
         };
-        self.tell(request, verdict, actions);
+        self.respond(request, verdict, actions);
     }
 }
--- a/crates/idempotency/src/claims/settle.rs
+++ b/crates/idempotency/src/claims/settle.rs
@@ -1,4 +1,4 @@
-//! What becomes of this node's own claims.
+//! Advances this node's own claims as calls end and results of store operations arrive.
 
 use std::time::{Instant, SystemTime};
 
@@ -12,7 +12,7 @@
 };
 
 impl Claims {
-    pub(super) fn finished(&mut self, request: &RequestId, outcome: ClaimOutcome, now: Instant) {
+    pub(super) fn on_finished(&mut self, request: &RequestId, outcome: ClaimOutcome, now: Instant) {
         let state = match outcome {
             ClaimOutcome::Answered(answer) => {
                 ClaimState::Answered(answer.within(self.settings.answer_bytes))
@@ -26,42 +26,42 @@
         let Some(key) = self.own.finish(request, state.clone()) else {
             return;
         };
-        let claim = self.own.get(&key).expect("it has just ended");
+        let claim = self.own.get(&key).expect("the claim has just ended");
         let (digest, number) = (claim.digest, claim.number);
         let operation = match state {
             ClaimState::Released => ClaimOperation::Release,
             state => ClaimOperation::Finish(state),
         };
-        self.write(key, digest, number, operation, now);
+        self.submit(key, digest, number, operation, now);
     }
 
-    pub(super) fn answered(
+    pub(super) fn on_writer_answered(
         &mut self,
         token: ClaimToken,
         results: Vec<WriterResult>,
         now: Instant,
-        wall: SystemTime,
+        wall_time: SystemTime,
         actions: &mut Vec<ClaimAction>,
     ) {
-        if let Some(writer) = self.asks.asked(token) {
-            self.nodes.trust(writer);
+        if let Some(writer) = self.writer_requests.recipient(token) {
+            self.writer_selector.clear_suspicion(writer);
         }
         for result in results {
-            let asked = self.asks.take(token, &result);
+            let asked = self.writer_requests.take_entry(token, &result);
             if result.result != OperationResult::Failed {
-                self.settle(result, now, wall, actions);
+                self.settle(result, now, wall_time, actions);
             } else if let Some(entry) = asked {
-                self.write_here(entry, now);
+                self.write_locally(entry, now);
             }
         }
     }
 
-    /// Takes in what the store holds after an operation of this node's own claims.
+    /// Handles the result of an operation on one of this node's own claims.
     pub(super) fn settle(
         &mut self,
         result: WriterResult,
         now: Instant,
-        wall: SystemTime,
+        wall_time: SystemTime,
         actions: &mut Vec<ClaimAction>,
     ) {
         let WriterResult {
@@ -71,25 +71,26 @@
             result,
         } = result;
         if claimant.node != self.node || claimant.incarnation != self.incarnation {
-            // Late, for an incarnation before this one. Its claims are not this one's to run.
+            // A late result for an earlier incarnation, whose claims this one must not run.
             return;
         }
         if !is_claim {
-            self.own.recorded(&key, claimant.number);
+            self.own.remove_recorded(&key, claimant.number);
             return;
         }
         if !self.own.is_waiting(&key, claimant.number) {
-            // Late or twice: the claim has been let run or given up. A claim that was given up
-            // has its release under way, which settles the record whatever the order.
+            // A late or repeated result: the call was already allowed to run, or the claim was
+            // given up. In the latter case a release has been submitted, which leads to the right
+            // entry in the record whether it is applied before or after the claim.
             return;
         }
         match result {
-            OperationResult::Claimed => self.claimed(&key, claimant.number, now, wall, actions),
+            OperationResult::Claimed => self.run(&key, claimant.number, now, wall_time, actions),
             OperationResult::Existing(entry) => {
                 let claim = self.own.give_up(&key, claimant.number);
-                let is_live = self.is_live(&entry, wall);
+                let is_live = self.is_live(&entry, wall_time);
                 let verdict = Verdict::of_entry(&entry, claim.digest, is_live);
-                self.tell(claim.request, verdict, actions);
+                self.respond(claim.request, verdict, actions);
             }
             OperationResult::Failed | OperationResult::GivenUp | OperationResult::Recorded => {
                 self.give_up(
@@ -103,21 +104,21 @@
         }
     }
 
-    /// The store holds this very claim, so nobody else may ever run the call.
-    fn claimed(
+    /// Runs the call, whose claim is now in the store, so that no other request can ever run it.
+    fn run(
         &mut self,
         key: &IdempotencyKey,
         number: u64,
         now: Instant,
-        wall: SystemTime,
+        wall_time: SystemTime,
         actions: &mut Vec<ClaimAction>,
     ) {
-        // The process may have been paused since the key's age was checked, past the key's
-        // retention, and an earlier claim for the key may have been removed from the store
-        // meanwhile. It shows as a second run days later. The check after the claim is durable
-        // holds: whoever removed the earlier one did it when every clock refused the key.
+        // The process may have been paused since the key's age was checked, until after the key's
+        // retention. An earlier claim for the key may have been removed meanwhile, and the call
+        // would run a second time days later. Checking again once the claim is durable prevents
+        // this: an earlier claim is removed only when every node's clock refuses the key.
         let (retention, skew) = (self.settings.accepted_age(), self.settings.skew);
-        if let Err(error) = key.check_age(retention, skew, wall) {
+        if let Err(error) = key.check_age(retention, skew, wall_time) {
             self.give_up(key, number, error.code(), now, actions);
             return;
         }
@@ -125,10 +126,10 @@
         actions.push(ClaimAction::Run { request });
     }
 
-    /// Gives up a claim that waits, at once and for good, and lets the store know.
+    /// Refuses a call whose claim is still waiting, and submits a release of the claim.
     ///
-    /// "Not run" is true from here on, whatever becomes of the claim in the store: only this
-    /// incarnation could dispatch it, and has just dropped its right to.
+    /// "Not run" is certain even if the claim reaches the store later: only this incarnation could
+    /// dispatch the call, and it has just discarded its right to.
     pub(super) fn give_up(
         &mut self,
         key: &IdempotencyKey,
@@ -138,29 +139,29 @@
         actions: &mut Vec<ClaimAction>,
     ) {
         let claim = self.own.give_up(key, number);
-        self.tell(claim.request, Verdict::not_run(code), actions);
+        self.respond(claim.request, Verdict::not_run(code), actions);
         let release = ClaimOperation::Release;
-        self.write(key.clone(), claim.digest, number, release, now);
+        self.submit(key.clone(), claim.digest, number, release, now);
     }
 
-    /// Whether the claimant of `entry` may still be at work, for all that is known.
-    fn is_live(&self, entry: &ClaimEntry, wall: SystemTime) -> bool {
+    /// Whether the claimant of `entry` may still be running the call, as far as this node knows.
+    fn is_live(&self, entry: &ClaimEntry, wall_time: SystemTime) -> bool {
         let Claimant {
             node, incarnation, ..
         } = &entry.claimant;
         if *node == self.node {
-            // A claim of this incarnation that it no longer remembers will not go on.
+            // A claim of this incarnation that is no longer in memory has ended or was given up.
             return *incarnation == self.incarnation && self.own.get(&entry.key).is_some();
         }
-        let mut live = self.nodes.live.iter();
+        let mut live = self.writer_selector.live.iter();
         match live.find(|live| live.node == *node) {
             Some(live) => live.incarnation == *incarnation,
-            // Another failure domain's node, or one that is cut off or gone: the call's age says
-            // how long it is worth coming back for.
+            // A node of another failure domain, or one that is unreachable or gone: its call counts
+            // as in progress until the key reaches a certain age.
             None => {
-                let longest = self.settings.in_progress_for;
+                let longest = self.settings.in_progress_max_age;
                 let skew = self.settings.skew;
-                entry.key.check_age(longest, skew, wall).is_ok()
+                entry.key.check_age(longest, skew, wall_time).is_ok()
             }
         }
     }
--- a/crates/idempotency/src/commit.rs
+++ b/crates/idempotency/src/commit.rs
@@ -1,31 +1,31 @@
-//! A group of operations that is written together.
+//! A group of operations that one store write carries out.
 
 use bytes::Bytes;
 
 use crate::queued::{QueuedOperation, Reply};
 use crate::{ClaimRecord, ClaimSettings, OperationResult};
 
-/// About the size of a stored claim without its answer, in bytes.
+/// The approximate size of a stored claim without its answer.
 const CLAIM_BYTES: usize = 230;
 
-/// A record on its way into the store, with what becomes of each operation once it is there.
+/// The new version of a record, and the result that each operation has once it is written.
 #[derive(Debug)]
 pub(crate) struct Commit {
-    /// The record's number in its chain.
-    pub segment: usize,
-    /// The record as it will be.
+    /// The record's index in its chain.
+    pub record_index: usize,
+    /// The record with the operations applied.
     pub record: ClaimRecord,
-    /// The operations with their results.
+    /// The operations and their results.
     pub operations: Vec<(QueuedOperation, OperationResult)>,
 }
 
 impl Commit {
-    /// Whether the record takes no more keys.
+    /// Whether the record has no space for more keys.
     pub fn is_full(&self, settings: &ClaimSettings) -> bool {
         self.record.entries.len() >= (settings.record_bytes / CLAIM_BYTES).max(1)
     }
 
-    /// Applies an operation.
+    /// Applies an operation to the record.
     pub fn add(&mut self, operation: QueuedOperation) {
         let applied = operation
             .entry
@@ -36,7 +36,7 @@
         self.operations.push((operation, applied.result));
     }
 
-    /// The value to write; a record that is full is sealed with it.
+    /// Returns the encoded record to write, and seals the record if it is full.
     pub fn seal_if_full(&mut self, settings: &ClaimSettings) -> Bytes {
         let value = self.record.encode();
         if self.record.is_sealed
@@ -49,8 +49,8 @@
     }
 }
 
-/// The results for those who asked.
-pub(crate) fn replies_of(
+/// The replies to the requesters of the operations.
+pub(crate) fn into_replies(
     operations: Vec<(QueuedOperation, OperationResult)>,
 ) -> impl Iterator<Item = Reply> {
     operations
--- a/crates/idempotency/src/digest.rs
+++ b/crates/idempotency/src/digest.rs
@@ -1,4 +1,4 @@
-//! What a call asks for, in 32 bytes.
+//! A 32-byte digest of what a call asks for.
 
 use std::fmt;
 
@@ -8,13 +8,13 @@
 
 /// The SHA-256 of a call's method, path, service and body.
 ///
-/// A caller that uses one key for two different calls is refused; the digest shows it.
+/// It shows when a caller uses one key for two different calls; the second call is refused.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct RequestDigest([u8; 32]);
 
 impl RequestDigest {
-    /// The digest of a call.
+    /// Computes the digest of a call.
     ///
     /// ```
     /// use nutmegsail_idempotency::RequestDigest;
@@ -32,7 +32,8 @@
             service.as_str().as_bytes(),
             body,
         ] {
-            // The length goes first, so that no two different calls join to the same bytes.
+            // Each part is prefixed with its length, so that different calls never hash the same
+            // bytes.
             sha.update((part.len() as u64).to_be_bytes());
             sha.update(part);
         }
--- a/crates/idempotency/src/entry.rs
+++ b/crates/idempotency/src/entry.rs
@@ -1,4 +1,4 @@
-//! What a record says about one key.
+//! The stored claim for one key.
 
 use derive_more::Display;
 use nutmegsail_base::{Incarnation, NodeId};
@@ -6,40 +6,40 @@
 
 use crate::{IdempotencyKey, RecordedAnswer, RequestDigest};
 
-/// One claim, unique over all nodes, incarnations and time.
+/// Identifies one claim, uniquely over all nodes and incarnations.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[display("{node}/{incarnation}/{number}")]
 pub struct Claimant {
-    /// The node that may dispatch the call.
+    /// The node that made the claim and may dispatch the call.
     pub node: NodeId,
-    /// The run of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// The number of the claim, counted by that incarnation.
+    /// The claim's sequence number within that incarnation.
     pub number: u64,
 }
 
-/// How a claim stands.
+/// The state of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimState {
-    /// The claimant, and nobody else ever, may dispatch the call.
+    /// Only the claimant may dispatch the call, now and later.
     Claimed,
     /// The upstream answered.
     Answered(RecordedAnswer),
     /// The call was sent and its outcome is unknown.
     Unknown,
-    /// The claimant certainly did not run the call and never will; the key may be claimed anew.
+    /// The claimant did not run the call and never will, so the key may be claimed again.
     Released,
 }
 
-/// What a record says about one key.
+/// The stored claim for one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimEntry {
     /// The caller's key.
     pub key: IdempotencyKey,
-    /// What the call asks for.
+    /// The digest of the call.
     pub digest: RequestDigest,
-    /// Who claimed it.
+    /// The claim that holds the key.
     pub claimant: Claimant,
-    /// How the claim stands.
+    /// The state of that claim.
     pub state: ClaimState,
 }
--- a/crates/idempotency/src/event.rs
+++ b/crates/idempotency/src/event.rs
@@ -1,4 +1,4 @@
-//! What the claims are told, and what they ask for.
+//! The events that [`crate::Claims`] handles and the actions that it returns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
     ClaimOutcome, IdempotencyKey, RecordedAnswer, RequestDigest, WriterEntry, WriterResult,
 };
 
-/// Pairs a call to the store or to another node with its answer.
+/// Matches a request to the store or to another node with its answer.
 #[derive(
     Clone,
     Copy,
@@ -30,244 +30,245 @@
 #[serde(transparent)]
 pub struct ClaimToken(pub u64);
 
-/// A stored value with the revision that wrote it.
+/// A stored value and its revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRecord {
     /// The value.
     pub value: Bytes,
-    /// The store's revision of it; never [`StoreNumber::NONE`].
+    /// The store's revision of the value; never [`StoreNumber::NONE`].
     pub revision: StoreNumber,
 }
 
-/// A read failed. Nothing is known.
+/// A store read failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreFault;
 
-/// Why a compare-and-swap did not surely succeed.
+/// Why a compare-and-swap failed, or may have failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SwapFault {
     /// The record has another revision; nothing was written.
     Conflict {
-        /// The record as it is now; `None` if the store did not say or it does not exist.
+        /// The current record; `None` if it does not exist or the store did not return it.
         current: Option<StoredRecord>,
     },
-    /// Nothing was written, and nothing will be.
+    /// The write did not take effect and never will.
     NotDone,
-    /// The write may have taken effect, or may yet take effect while its condition holds.
+    /// The write may have taken effect, or may take effect later if the record still has the
+    /// expected revision.
     Ambiguous,
 }
 
-/// A node as the membership knows it.
+/// A node that the membership considers live.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LiveNode {
     /// The node.
     pub node: NodeId,
-    /// The run of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
 }
 
-/// What came of a call that was passed on to the node that its ticket names.
+/// The result of forwarding a call to the node that its ticket names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ForwardResult {
-    /// The node answered the call, now or before.
+    /// The node returned the call's answer, from this attempt or an earlier one.
     Answered(RecordedAnswer),
-    /// The node refused it.
+    /// The node refused the call.
     Refused {
-        /// The numbered result.
+        /// The result code.
         code: ResultCode,
-        /// What the node said about it.
+        /// Whether the call may have run, according to the node.
         run_state: RunState,
     },
-    /// Nothing was sent: no connection could be made.
+    /// No connection could be made, so nothing was sent.
     NotSent,
-    /// It was sent and no answer came.
+    /// The call was sent, but no answer came.
     NoAnswer,
 }
 
-/// What the claims are told.
+/// An event for [`crate::Claims::handle`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEvent {
-    /// A caller's call that runs once has arrived and could be dispatched at once.
+    /// A once-only call has arrived and could be dispatched immediately.
     Begin {
-        /// The request, new for each attempt.
+        /// The request; each attempt has its own.
         request: RequestId,
         /// The caller's key.
         key: IdempotencyKey,
-        /// What the call asks for.
+        /// The digest of the call.
         digest: RequestDigest,
     },
-    /// Bytes of a request that was let run are about to be sent.
+    /// A request that was allowed to run is about to be sent to an upstream.
     ///
-    /// Comes again when an upstream surely did not run the request and it goes to another one.
+    /// Occurs again when an upstream did not run the request and it is sent to another one.
     Dispatched {
         /// The request.
         request: RequestId,
     },
-    /// A request that was let run has ended.
+    /// A request that was allowed to run has ended.
     Finished {
         /// The request.
         request: RequestId,
-        /// How.
+        /// How it ended.
         outcome: ClaimOutcome,
     },
-    /// The answer to [`ClaimAction::Read`].
+    /// The result of [`ClaimAction::Read`].
     ReadDone {
-        /// Its token.
+        /// The token of the action.
         token: ClaimToken,
         /// The record, `None` if it does not exist.
         result: Result<Option<StoredRecord>, StoreFault>,
     },
-    /// The answer to [`ClaimAction::Swap`]; the new revision if it succeeded.
+    /// The result of [`ClaimAction::Swap`].
     SwapDone {
-        /// Its token.
+        /// The token of the action.
         token: ClaimToken,
-        /// The new revision.
+        /// The record's new revision if the write succeeded.
         result: Result<StoreNumber, SwapFault>,
     },
-    /// The answer to [`ClaimAction::List`].
+    /// The result of [`ClaimAction::List`].
     ListDone {
-        /// Its token.
+        /// The token of the action.
         token: ClaimToken,
-        /// Keys in their order, the first page.
+        /// The first page of keys, sorted.
         result: Result<Vec<Arc<str>>, StoreFault>,
     },
-    /// Another node takes this one for a shard's writer.
+    /// Another node has selected this one as a shard's writer and sends operations.
     WriterAsked {
-        /// The node that asks.
+        /// The requesting node.
         from: NodeId,
-        /// Its token.
+        /// The token of its request.
         token: ClaimToken,
-        /// What it wants written.
+        /// The operations to carry out.
         entries: Vec<WriterEntry>,
     },
-    /// A shard's writer answered some or all entries of [`ClaimAction::AskWriter`].
+    /// A shard's writer answered some or all operations of [`ClaimAction::AskWriter`].
     WriterAnswered {
-        /// The token of the question.
+        /// The token of the request.
         token: ClaimToken,
-        /// Results; others may follow with the same token.
+        /// The results; more may follow with the same token.
         results: Vec<WriterResult>,
     },
-    /// A question could not be delivered to a shard's writer, or may not have been.
+    /// A request to a shard's writer was not delivered, or may not have been.
     WriterUnreachable {
-        /// The token of the question.
+        /// The token of the request.
         token: ClaimToken,
     },
-    /// The nodes that may write for a shard: the entry VMs of every failure domain that the VM list
-    /// holds, this one among them. Without it the live nodes take that place.
+    /// The nodes that may be a shard's writer: the entry VMs of all failure domains on the VM list,
+    /// including this one. Until this event arrives, the live nodes are used.
     WriterCandidates {
         /// Every entry VM.
         nodes: Vec<NodeId>,
     },
-    /// The nodes that the membership takes for live, this one among them; those of the own failure
-    /// domain are enough.
+    /// The nodes that the membership considers live, including this one. Nodes of other failure
+    /// domains may be left out.
     LiveNodes {
         /// Every live node.
         nodes: Vec<LiveNode>,
     },
-    /// The answer to [`ClaimAction::Forward`].
+    /// The result of [`ClaimAction::Forward`].
     Forwarded {
         /// The request.
         request: RequestId,
-        /// What came of it.
+        /// The result.
         result: ForwardResult,
     },
-    /// Another operators' text is in force.
+    /// The operators' configuration text has changed.
     Limits {
         /// How old a key may be.
         retention: Duration,
-        /// How far a clock may be from the true time.
+        /// How far a clock may be off the true time.
         skew: Duration,
     },
-    /// The store can't be reached.
+    /// The store is unreachable.
     StoreDown,
-    /// The store can be reached again.
+    /// The store is reachable again.
     StoreUp,
-    /// Time has passed; due at [`crate::Claims::next_wake`].
+    /// Time has passed. Due at [`crate::Claims::next_wake`].
     Tick,
 }
 
-/// What the claims ask the node for.
+/// An action that the node is to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Dispatch the request now, once. It is the only one that will ever run for its key, unless
-    /// it ends as [`ClaimOutcome::NotRun`].
+    /// Dispatch the request now, once. No other request for its key will ever run, unless this one
+    /// ends as [`ClaimOutcome::NotRun`].
     Run {
         /// The request.
         request: RequestId,
     },
-    /// Answer the request with what an earlier one with the same key got.
+    /// Answer the request with the recorded answer of an earlier one with the same key.
     Answer {
         /// The request.
         request: RequestId,
-        /// The earlier answer.
+        /// The recorded answer.
         recorded: RecordedAnswer,
     },
     /// Refuse the request.
     Refuse {
         /// The request.
         request: RequestId,
-        /// The numbered result.
+        /// The result code.
         code: ResultCode,
         /// Whether the call may have run.
         run_state: RunState,
-        /// When the caller should come back.
+        /// How long the caller should wait before it tries again.
         retry_after: Option<Duration>,
     },
-    /// Pass the request on to the node that its ticket names, as a call to that incarnation.
+    /// Forward the request to the node incarnation that its ticket names.
     Forward {
         /// The request.
         request: RequestId,
         /// The node.
         to: NodeId,
-        /// The only run of it that may take the request.
+        /// The only incarnation of the node that may run the request.
         incarnation: Incarnation,
     },
     /// Read a record.
     Read {
-        /// Pairs with [`ClaimEvent::ReadDone`].
+        /// The token for [`ClaimEvent::ReadDone`].
         token: ClaimToken,
         /// The store's key.
         key: Arc<str>,
     },
-    /// Write a record if it still has this revision; [`StoreNumber::NONE`]: if it does not exist.
+    /// Write a record by compare-and-swap.
     Swap {
-        /// Pairs with [`ClaimEvent::SwapDone`].
+        /// The token for [`ClaimEvent::SwapDone`].
         token: ClaimToken,
         /// The store's key.
         key: Arc<str>,
-        /// The revision it must have.
+        /// The revision that the record must have; [`StoreNumber::NONE`] if it must not exist.
         expected_revision: StoreNumber,
-        /// The new value, JSON.
+        /// The new value, as JSON.
         value: Bytes,
     },
-    /// Read the first page of the keys that begin with `prefix`, in their order.
+    /// List the first page of the keys that begin with `prefix`, sorted.
     List {
-        /// Pairs with [`ClaimEvent::ListDone`].
+        /// The token for [`ClaimEvent::ListDone`].
         token: ClaimToken,
         /// The prefix.
         prefix: Arc<str>,
     },
-    /// Remove a record past its retention. No answer is needed.
+    /// Delete a record past its retention. No event is expected in return.
     Delete {
         /// The store's key.
         key: Arc<str>,
     },
-    /// Ask a shard's writer to write. Every entry is safe to deliver late or twice.
+    /// Send operations to a shard's writer. They may be delivered late or more than once.
     AskWriter {
         /// The writer.
         to: NodeId,
-        /// Pairs with [`ClaimEvent::WriterAnswered`].
+        /// The token for [`ClaimEvent::WriterAnswered`].
         token: ClaimToken,
-        /// What to write.
+        /// The operations to carry out.
         entries: Vec<WriterEntry>,
     },
-    /// Answer a node that asked.
+    /// Send results to a node whose operations arrived with [`ClaimEvent::WriterAsked`].
     AnswerAsked {
-        /// The node that asked.
+        /// The requesting node.
         to: NodeId,
-        /// Its token.
+        /// The token of its request.
         token: ClaimToken,
-        /// Results of some or all of its entries.
+        /// Results of some or all of its operations.
         results: Vec<WriterResult>,
     },
 }
--- a/crates/idempotency/src/key.rs
+++ b/crates/idempotency/src/key.rs
@@ -1,4 +1,4 @@
-//! The caller's key for a call that runs once.
+//! The idempotency key of a once-only call.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,19 +12,20 @@
 const TICKET_PREFIX: &str = "ticket.";
 const MAX_NODE_BYTES: usize = 64;
 
-/// Names the one node incarnation that may ever run the call.
+/// The only node incarnation that may run the call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket {
     /// The node.
     pub node: NodeId,
-    /// The run of its process. After a restart nobody may run the call any more.
+    /// The incarnation of its process. After a restart no node may run the call.
     pub incarnation: Incarnation,
 }
 
-/// An `Idempotency-Key`: a UUID version 7, which carries its issue time, or a ticket around one.
+/// An `Idempotency-Key`: a UUID version 7, which carries its issue time, or a ticket with such a
+/// UUID.
 ///
-/// A ticket is part of the key. So every node sees from the key alone whether it is claimed
-/// through the store or may only run at one incarnation; no key can ever be both.
+/// The ticket is part of the key, so every node can tell from the key alone whether the call is
+/// claimed in the store or may run only at one incarnation. No key can be both.
 ///
 /// ```
 /// use nutmegsail_idempotency::IdempotencyKey;
@@ -42,25 +43,25 @@
     ticket: Option<Box<Ticket>>,
 }
 
-/// Why a call that runs once is refused for its key.
+/// Why the key of a once-only call is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum KeyError {
     /// There is no key.
     #[error("this call runs once and needs an Idempotency-Key")]
     Missing,
-    /// The key is neither a UUID version 7 nor a ticket around one.
+    /// The key is neither a UUID version 7 nor a ticket.
     #[error("the Idempotency-Key is neither a UUID version 7 nor a ticket")]
     Malformed,
-    /// The key is older than its claim is surely kept.
+    /// The key is so old that its claim may have been removed.
     #[error("the Idempotency-Key is older than its claim is kept")]
     TooOld,
-    /// The key's issue time is further ahead than clocks may differ.
+    /// The key's issue time is further in the future than the permitted clock skew.
     #[error("the Idempotency-Key is further ahead than clocks may differ")]
     FromFuture,
 }
 
 impl KeyError {
-    /// The numbered result for the caller.
+    /// The result code for the caller.
     pub fn code(self) -> ResultCode {
         match self {
             Self::Missing => ResultCode::KeyMissing,
@@ -72,7 +73,7 @@
 }
 
 impl IdempotencyKey {
-    /// Reads the value of an `Idempotency-Key` header; an empty one counts as missing.
+    /// Parses the value of an `Idempotency-Key` header. An empty value counts as missing.
     ///
     /// # Errors
     /// [`KeyError::Missing`] or [`KeyError::Malformed`].
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The key `id` bound to one node incarnation, for a caller that asked for a ticket.
+    /// Creates a key with a ticket for one node incarnation.
     ///
     /// ```
     /// use nutmegsail_base::Incarnation;
@@ -124,20 +125,21 @@
         Ok(Self::with_ticket(id, node.into(), Incarnation(incarnation)))
     }
 
-    /// The ticket inside the key.
+    /// The key's ticket, if it has one.
     pub fn ticket(&self) -> Option<&Ticket> {
         self.ticket.as_deref()
     }
 
-    /// When the caller's clock says that it issued the key, in milliseconds since 1970.
+    /// When the key was issued by the caller's clock, in milliseconds since 1970.
     pub fn issued_unix_ms(&self) -> u64 {
-        // RFC 9562: the first 48 of a version 7 UUID's 128 bits.
+        // RFC 9562: the timestamp is the first 48 of the 128 bits of a version 7 UUID.
         (self.id.as_u128() >> 80) as u64
     }
 
-    /// Checks that the claim for this key is surely kept.
+    /// Checks that the key is recent enough for its claim to be still stored, and not from the
+    /// future.
     ///
-    /// Clocks of callers and nodes may differ by `skew` from the true time.
+    /// The clocks of callers and nodes may each be off the true time by up to `skew`.
     ///
     /// # Errors
     /// [`KeyError::TooOld`] or [`KeyError::FromFuture`].
@@ -158,16 +160,16 @@
         &self,
         retention: Duration,
         skew: Duration,
-        wall: SystemTime,
+        wall_time: SystemTime,
     ) -> Result<(), KeyError> {
         let issued = Duration::from_millis(self.issued_unix_ms());
-        let wall = wall
+        let wall_time = wall_time
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
-        if issued + retention < wall {
+        if issued + retention < wall_time {
             return Err(KeyError::TooOld);
         }
-        if issued > wall + skew {
+        if issued > wall_time + skew {
             return Err(KeyError::FromFuture);
         }
         Ok(())
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,23 +1,23 @@
-//! Calls that run at most once: claims, tickets, recorded answers.
+//! Once-only calls, which run at most once: claims, tickets and recorded answers.
 //!
-//! Decides whether a once-only call may be dispatched, gets the recorded answer of an earlier
-//! attempt, or is refused. It is told of calls, outcomes, the store's answers and other nodes'
-//! messages. It does no I/O, reads no clock, and never takes a claim over from anybody: a claim
-//! belongs to the node incarnation that wrote it, for as long as the claim is kept.
+//! For each once-only call, this crate decides whether the call may be dispatched, gets the
+//! recorded answer of an earlier attempt, or is refused. Its input is events: arriving calls,
+//! outcomes, results of store calls, and messages of other nodes. It does no I/O and reads no
+//! clock. A claim belongs to the node incarnation that made it until the claim's record is deleted;
+//! it is never taken over.
 //!
-//! Start at [`Claims::handle`]; [`IdempotencyKey`] is what callers send.
+//! Start at [`Claims::handle`]. Callers send an [`IdempotencyKey`].
 
 mod answer;
-mod asks;
 mod chain;
+mod chain_writer;
 mod claims;
-mod collector;
 mod commit;
 mod digest;
 mod entry;
 mod event;
+mod garbage_collector;
 mod key;
-mod lane;
 mod operation;
 mod own_claims;
 mod place;
@@ -28,7 +28,8 @@
 mod tickets;
 mod token_source;
 mod verdict;
-mod writers;
+mod writer_requests;
+mod writer_selector;
 
 pub use answer::{ClaimOutcome, RecordedAnswer, RecordedHeader};
 pub use claims::Claims;
--- a/crates/idempotency/src/operation.rs
+++ b/crates/idempotency/src/operation.rs
@@ -1,48 +1,48 @@
-//! Changes to a record, as a claimant asks a shard's writer for them.
+//! Operations on claims, which a claimant sends to a shard's writer.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{ClaimEntry, ClaimState, Claimant, IdempotencyKey, RequestDigest};
 
-/// What to do with a key's entry. Each operation may be carried out any number of times.
+/// What to do with a key's entry. All operations are idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOperation {
-    /// Claim the key, unless it is taken.
+    /// Claim the key, unless another claim holds it.
     Claim,
     /// Record how the claim ended.
     Finish(ClaimState),
     /// Release the claim: the claimant did not run the call and never will.
     ///
-    /// Where the claim is not in the record yet, a released entry takes its place. So a claim
-    /// that a slow writer or the store carries out later finds itself given up.
+    /// If the claim is not in the record yet, a released entry is written. When a slow writer or
+    /// the store then carries out the claim, it finds that the claim was given up.
     Release,
 }
 
-/// One operation on one key, as sent from node to node.
+/// One operation on one key. It is sent between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriterEntry {
     /// The key.
     pub key: IdempotencyKey,
-    /// What the call asks for.
+    /// The digest of the call.
     pub digest: RequestDigest,
-    /// The claim that this is about.
+    /// The claim that the operation is for.
     pub claimant: Claimant,
     /// What to do.
     pub operation: ClaimOperation,
 }
 
-/// What came of an operation. All but [`OperationResult::Failed`] rest on what the store holds.
+/// The result of an operation. All results except [`OperationResult::Failed`] reflect stored state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperationResult {
-    /// The store holds the claim: the claimant may dispatch.
+    /// The store holds the claim, so the claimant may dispatch the call.
     Claimed,
-    /// The store holds another claim, or this claim's outcome.
+    /// The store holds another claim for the key, or this claim's outcome.
     Existing(ClaimEntry),
-    /// The claim was given up before.
+    /// The claim was given up earlier.
     GivenUp,
-    /// An outcome or a release is recorded, or has become void.
+    /// An outcome or a release is recorded, or no longer applies.
     Recorded,
-    /// The writer could not finish. The operation may have taken effect, or may yet.
+    /// The writer could not complete the operation, which may have taken effect or may do so later.
     Failed,
 }
 
@@ -51,16 +51,16 @@
 pub struct WriterResult {
     /// The key.
     pub key: IdempotencyKey,
-    /// The claim that the operation was about.
+    /// The claim that the operation was for.
     pub claimant: Claimant,
-    /// Whether the operation was to claim.
+    /// Whether the operation was [`ClaimOperation::Claim`].
     pub is_claim: bool,
-    /// What came of it.
+    /// The result.
     pub result: OperationResult,
 }
 
 impl WriterEntry {
-    /// The entry with its result.
+    /// Combines the operation with its result.
     pub fn with_result(self, result: OperationResult) -> WriterResult {
         WriterResult {
             is_claim: self.is_claim(),
@@ -70,13 +70,13 @@
         }
     }
 
-    /// Whether the operation is to claim.
+    /// Whether the operation is [`ClaimOperation::Claim`].
     pub fn is_claim(&self) -> bool {
         matches!(self.operation, ClaimOperation::Claim)
     }
 
-    /// Applies the operation to the key's present entry. Returns the entry to write, if it changes.
-    pub(crate) fn apply(&self, present: Option<&ClaimEntry>) -> Applied {
+    /// Applies the operation to the key's current entry.
+    pub(crate) fn apply(&self, present: Option<&ClaimEntry>) -> OperationEffect {
         match &self.operation {
             ClaimOperation::Claim => self.apply_claim(present),
             ClaimOperation::Finish(state) => self.apply_finish(state, present),
@@ -84,82 +84,82 @@
         }
     }
 
-    fn apply_claim(&self, present: Option<&ClaimEntry>) -> Applied {
+    fn apply_claim(&self, present: Option<&ClaimEntry>) -> OperationEffect {
         let Some(entry) = present else {
             return self.write(ClaimState::Claimed, OperationResult::Claimed);
         };
         if entry.digest != self.digest {
-            return Applied::unchanged(OperationResult::Existing(entry.clone()));
+            return OperationEffect::unchanged(OperationResult::Existing(entry.clone()));
         }
         if entry.claimant == self.claimant {
-            return Applied::unchanged(match entry.state {
+            return OperationEffect::unchanged(match entry.state {
                 ClaimState::Claimed => OperationResult::Claimed,
                 ClaimState::Released => OperationResult::GivenUp,
                 _ => OperationResult::Existing(entry.clone()),
             });
         }
         if self.is_older_than(&entry.claimant) {
-            return Applied::unchanged(OperationResult::GivenUp);
+            return OperationEffect::unchanged(OperationResult::GivenUp);
         }
         match entry.state {
             ClaimState::Released => self.write(ClaimState::Claimed, OperationResult::Claimed),
-            _ => Applied::unchanged(OperationResult::Existing(entry.clone())),
+            _ => OperationEffect::unchanged(OperationResult::Existing(entry.clone())),
         }
     }
 
-    /// Whether the same incarnation has made a later claim for this key, so that this message is
-    /// late: an incarnation makes a second claim only after it gave up the first.
+    /// Whether the same incarnation has made a later claim for this key. This operation then
+    /// arrived late, since an incarnation makes a second claim only after it gave up the first.
     fn is_older_than(&self, other: &Claimant) -> bool {
         self.claimant.node == other.node
             && self.claimant.incarnation == other.incarnation
             && self.claimant.number < other.number
     }
 
-    fn apply_finish(&self, state: &ClaimState, present: Option<&ClaimEntry>) -> Applied {
+    fn apply_finish(&self, state: &ClaimState, present: Option<&ClaimEntry>) -> OperationEffect {
         let is_open = present.is_some_and(|entry| {
             entry.claimant == self.claimant && entry.state == ClaimState::Claimed
         });
         if is_open {
             self.write(state.clone(), OperationResult::Recorded)
         } else {
-            Applied::unchanged(OperationResult::Recorded)
+            OperationEffect::unchanged(OperationResult::Recorded)
         }
     }
 
-    fn apply_release(&self, present: Option<&ClaimEntry>) -> Applied {
-        let is_due = present.is_none_or(|entry| {
+    fn apply_release(&self, present: Option<&ClaimEntry>) -> OperationEffect {
+        let may_release = present.is_none_or(|entry| {
             entry.claimant == self.claimant && entry.state == ClaimState::Claimed
         });
-        if is_due {
+        if may_release {
             self.write(ClaimState::Released, OperationResult::Recorded)
         } else {
-            Applied::unchanged(OperationResult::Recorded)
+            OperationEffect::unchanged(OperationResult::Recorded)
         }
     }
 
-    fn write(&self, state: ClaimState, result: OperationResult) -> Applied {
+    fn write(&self, state: ClaimState, result: OperationResult) -> OperationEffect {
         let entry = ClaimEntry {
             key: self.key.clone(),
             digest: self.digest,
             claimant: self.claimant.clone(),
             state,
         };
-        Applied {
+        OperationEffect {
             write: Some(entry),
             result,
         }
     }
 }
 
-/// What an operation comes to, once `write` is in the store.
-pub(crate) struct Applied {
-    /// The key's new entry.
+/// The effect of an operation. The result is valid once `write` is in the store.
+pub(crate) struct OperationEffect {
+    /// The key's new entry; `None` if it does not change.
     pub write: Option<ClaimEntry>,
-    /// What to tell the claimant.
+    /// The result for the claimant.
     pub result: OperationResult,
 }
 
-impl Applied {
+impl OperationEffect {
     fn unchanged(result: OperationResult) -> Self {
         Self {
             write: None,
--- a/crates/idempotency/src/own_claims.rs
+++ b/crates/idempotency/src/own_claims.rs
@@ -1,4 +1,4 @@
-//! The claims that this incarnation made.
+//! The claims that this incarnation made and that are not settled yet.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
@@ -7,47 +7,48 @@
 
 use crate::{ClaimState, IdempotencyKey, RequestDigest};
 
-/// The right to dispatch one claim's call. It is made with the claim and used up by the dispatch.
+/// The right to dispatch one claim's call. It is created with the claim and consumed when the call
+/// is allowed to run, so that a call cannot be dispatched twice.
 #[derive(Debug)]
 pub(crate) struct DispatchRight {
     number: u64,
 }
 
-/// How far one of this incarnation's claims has come.
+/// The phase of one of this incarnation's claims.
 #[derive(Debug)]
 pub(crate) enum OwnPhase {
-    /// The claim is on its way into the store.
+    /// The claim is being written to the store.
     Waiting(DispatchRight),
-    /// The call was let run.
+    /// The call was allowed to run and has not ended.
     Running,
-    /// The call has ended; the outcome is on its way into the store.
+    /// The call has ended, and its outcome is being written to the store.
     Recording(ClaimState),
 }
 
 /// A claim of this incarnation, from the call's arrival until its outcome is in the store.
 #[derive(Debug)]
 pub(crate) struct OwnClaim {
-    /// The request that may run.
+    /// The request that made the claim.
     pub request: RequestId,
-    /// What it asks for.
+    /// The digest of the call.
     pub digest: RequestDigest,
-    /// The claim's number.
+    /// The claim's sequence number within this incarnation.
     pub number: u64,
-    /// How far it has come.
+    /// The claim's phase.
     pub phase: OwnPhase,
 }
 
-/// This incarnation's claims by key. A key has at most one.
+/// This incarnation's unsettled claims by key. A key has at most one.
 #[derive(Debug, Default)]
 pub(crate) struct OwnClaims {
     last_number: u64,
     by_key: BTreeMap<IdempotencyKey, OwnClaim>,
     running: BTreeMap<RequestId, IdempotencyKey>,
-    /// Claims that wait, in the order in which they run out.
+    /// Waiting claims in the order in which they expire.
     waits: VecDeque<Wait>,
 }
 
-/// When a claim that waits for the store is given up.
+/// When a claim is given up if it is still waiting for the store.
 #[derive(Debug)]
 struct Wait {
     expires: Instant,
@@ -56,8 +57,8 @@
 }
 
 impl OwnClaims {
-    /// Makes a claim for a key that has none.
-    pub fn make(
+    /// Adds a claim for a key that has none, and returns its number.
+    pub fn add(
         &mut self,
         key: &IdempotencyKey,
         request: RequestId,
@@ -87,51 +88,54 @@
         self.by_key.get(key)
     }
 
-    /// Whether the claim `number` for `key` still waits for the store.
+    /// Whether the claim `number` for `key` is waiting for the store.
     pub fn is_waiting(&self, key: &IdempotencyKey, number: u64) -> bool {
         self.get(key).is_some_and(|claim| {
             claim.number == number && matches!(claim.phase, OwnPhase::Waiting(_))
         })
     }
 
-    /// Turns a claim that waits into a call that runs. Called once for a claim, since it uses up
-    /// the [`DispatchRight`].
+    /// Marks a waiting claim's call as running. Panics if called again for the same claim, because
+    /// the [`DispatchRight`] has been consumed.
     pub fn run(&mut self, key: &IdempotencyKey, number: u64) -> RequestId {
-        let claim = self.by_key.get_mut(key).expect("the claim waits");
+        let claim = self.by_key.get_mut(key).expect("the claim is waiting");
         let phase = std::mem::replace(&mut claim.phase, OwnPhase::Running);
         let OwnPhase::Waiting(right) = phase else {
             panic!("claim {number} has already been dispatched");
         };
-        // Guard against a confusion of claims: a durable older claim of the same key must not
-        // let a newer one run.
-        assert_eq!(right.number, number, "the durable claim is this very claim");
+        // An older claim of the same key that became durable must not allow a newer claim's call to
+        // run.
+        assert_eq!(
+            right.number, number,
+            "the durable claim is the one that is waiting"
+        );
         let request = claim.request.clone();
         self.running.insert(request.clone(), key.clone());
         request
     }
 
-    /// Removes a claim that waits: its call will not run.
+    /// Removes a waiting claim, whose call will then not run.
     pub fn give_up(&mut self, key: &IdempotencyKey, number: u64) -> OwnClaim {
         assert!(
             self.is_waiting(key, number),
-            "only a claim that waits is given up"
+            "only a waiting claim can be given up"
         );
-        self.by_key.remove(key).expect("the claim waits")
+        self.by_key.remove(key).expect("the claim is waiting")
     }
 
-    /// Ends a running call. Returns its key, or `None` for a request that does not run.
+    /// Ends a running call. Returns its key, or `None` if the request is not running.
     pub fn finish(&mut self, request: &RequestId, state: ClaimState) -> Option<IdempotencyKey> {
         let key = self.running.remove(request)?;
         let claim = self
             .by_key
             .get_mut(&key)
-            .expect("a running call is claimed");
+            .expect("a running call has a claim");
         claim.phase = OwnPhase::Recording(state);
         Some(key)
     }
 
-    /// Forgets a claim whose outcome is in the store.
-    pub fn recorded(&mut self, key: &IdempotencyKey, number: u64) {
+    /// Removes a claim whose outcome is in the store.
+    pub fn remove_recorded(&mut self, key: &IdempotencyKey, number: u64) {
         let is_recorded = self.get(key).is_some_and(|claim| {
             claim.number == number && matches!(claim.phase, OwnPhase::Recording(_))
         });
@@ -140,18 +144,18 @@
         }
     }
 
-    /// Whether the request was let run and has not ended.
+    /// Whether the request was allowed to run and has not ended.
     pub fn is_running(&self, request: &RequestId) -> bool {
         self.running.contains_key(request)
     }
 
-    /// How many claims are not settled in the store yet.
+    /// The number of claims whose outcome is not in the store yet.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Takes a claim whose wait has run out.
-    pub fn next_expired(&mut self, now: Instant) -> Option<(IdempotencyKey, u64)> {
+    /// Removes and returns the next claim whose wait has expired.
+    pub fn pop_expired(&mut self, now: Instant) -> Option<(IdempotencyKey, u64)> {
         self.drop_settled_waits();
         if self.next_expiry()? > now {
             return None;
@@ -160,7 +164,7 @@
         Some((wait.key, wait.number))
     }
 
-    /// When the next wait runs out.
+    /// When the next wait expires.
     pub fn next_expiry(&self) -> Option<Instant> {
         self.waits.front().map(|wait| wait.expires)
     }
--- a/crates/idempotency/src/place.rs
+++ b/crates/idempotency/src/place.rs
@@ -1,4 +1,4 @@
-//! Where a key's claim lies in the store, and which node writes there.
+//! Where a key's claim is stored, and which node writes it.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -11,26 +11,28 @@
 /// The prefix of every claim record's key.
 pub const CLAIMS_PREFIX: &str = "nutmegsail/claims/";
 
-/// How many shards claims fall into.
+/// The number of shards.
 ///
-/// Part of the layout, not a setting: another number would look for old claims in other records,
-/// not find them, and let their calls run again.
+/// It is part of the stored layout and must not change: with another number, existing claims would
+/// be looked up in the wrong records, not found, and their calls could run again.
 pub const SHARDS: u8 = 4;
 
-/// The span of issue times that share a chain of records, in milliseconds. Part of the layout too.
+/// The range of issue times that one bucket covers, in milliseconds. It is part of the stored
+/// layout and must not change.
 pub const BUCKET_MS: u64 = 60_000;
 
-/// The chain of records that holds the claims of one shard and one bucket of issue times.
+/// Identifies the chain of records that holds the claims of one shard and one bucket of issue
+/// times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ChainPlace {
-    /// The bucket: issue time over [`BUCKET_MS`].
+    /// The bucket: the issue time divided by [`BUCKET_MS`].
     pub bucket: u64,
-    /// The shard, below [`SHARDS`].
+    /// The shard, less than [`SHARDS`].
     pub shard: u8,
 }
 
 impl ChainPlace {
-    /// Where the claim for `key` lies.
+    /// The chain that holds the claim for `key`.
     ///
     /// ```
     /// use nutmegsail_idempotency::{ChainPlace, IdempotencyKey};
@@ -49,19 +51,19 @@
         }
     }
 
-    /// The store's key of the chain's record number `segment`.
-    pub fn record_key(&self, segment: usize) -> Arc<str> {
+    /// The store key of the chain's record `record_index`.
+    pub fn record_key(&self, record_index: usize) -> Arc<str> {
         let Self { bucket, shard } = self;
-        format!("{CLAIMS_PREFIX}{bucket:010}/{shard}/{segment:06}").into()
+        format!("{CLAIMS_PREFIX}{bucket:010}/{shard}/{record_index:06}").into()
     }
 }
 
-/// Whether the record `record_key` may be removed: nobody accepts its keys any more.
+/// Whether the record `record_key` may be removed because no node accepts its keys any more.
 ///
-/// A node accepts a key until `accepted_age` after its issue time by the node's own clock. This
-/// node's clock and that one's are each within `skew` of the true time, so they differ by at most
-/// twice the skew, and `kept` is longer than the accepted age by that much: by now everyone
-/// refuses every key of the bucket.
+/// Each node accepts a key until `accepted_age` after its issue time by the node's own clock. All
+/// node clocks are within `skew` of the true time, so two of them differ by at most twice the skew.
+/// `record_retention` exceeds the accepted age by at least twice the skew. So when this returns
+/// true on one node, all nodes refuse every key of the bucket.
 ///
 /// ```
 /// use std::time::{Duration, SystemTime};
@@ -70,19 +72,23 @@
 /// let settings = ClaimSettings::default();
 /// let bucket_end = SystemTime::UNIX_EPOCH + Duration::from_secs(60);
 /// let key = "nutmegsail/claims/0000000000/0/000000";
-/// let kept_until = bucket_end + settings.kept;
+/// let kept_until = bucket_end + settings.record_retention;
 /// assert!(!is_past_retention(key, &settings, kept_until));
 /// assert!(is_past_retention(key, &settings, kept_until + Duration::from_secs(1)));
 /// ```
-pub fn is_past_retention(record_key: &str, settings: &ClaimSettings, wall: SystemTime) -> bool {
+pub fn is_past_retention(
+    record_key: &str,
+    settings: &ClaimSettings,
+    wall_time: SystemTime,
+) -> bool {
     let Some(bucket) = bucket_of(record_key) else {
         return false;
     };
     let bucket_end = Duration::from_millis(bucket.saturating_add(1).saturating_mul(BUCKET_MS));
-    let wall = wall
+    let wall_time = wall_time
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
-    bucket_end + settings.kept < wall
+    bucket_end + settings.record_retention < wall_time
 }
 
 fn bucket_of(record_key: &str) -> Option<u64> {
@@ -90,10 +96,10 @@
     rest.split('/').next()?.parse().ok()
 }
 
-/// The node that writes for `shard`, by rendezvous hashing over `nodes`.
+/// The writer of `shard`, chosen from `nodes` by rendezvous hashing.
 ///
-/// Nodes may disagree about it for a while. That costs conflicts and nothing else, for every
-/// write is a compare-and-swap.
+/// Nodes with different lists may choose different writers for a while. This only causes write
+/// conflicts, since every write is a compare-and-swap.
 ///
 /// ```
 /// use nutmegsail_base::NodeId;
--- a/crates/idempotency/src/queued.rs
+++ b/crates/idempotency/src/queued.rs
@@ -1,4 +1,4 @@
-//! Operations that wait for their write.
+//! Operations in a shard writer's queue.
 
 use std::time::Instant;
 
@@ -6,35 +6,35 @@
 
 use crate::{ClaimToken, OperationResult, WriterEntry, WriterResult};
 
-/// Who gets an operation's result.
+/// Where to send an operation's result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ReplyTo {
     /// This node itself.
-    Own,
-    /// A node that asked.
+    Local,
+    /// Another node, which requested the operation.
     Node {
         /// The node.
         node: NodeId,
-        /// The token of its question.
+        /// The token of its request.
         token: ClaimToken,
     },
 }
 
-/// An operation in a writer's queue.
+/// An operation in a shard writer's queue.
 #[derive(Clone, Debug)]
 pub(crate) struct QueuedOperation {
-    /// What to write.
+    /// The operation.
     pub entry: WriterEntry,
-    /// Who gets the result.
+    /// Where to send the result.
     pub reply_to: ReplyTo,
-    /// When it wants to be written; it goes along earlier if its record is written anyway.
+    /// When the operation is due. It is carried out earlier if its record is written before then.
     pub due: Instant,
-    /// When it fails. Outcomes and releases never do.
+    /// When the operation fails if it is still queued; `None` for outcomes and releases.
     pub expires: Option<Instant>,
 }
 
 impl QueuedOperation {
-    /// The result for whoever asked.
+    /// Combines the operation's result with its destination.
     pub fn reply(self, result: OperationResult) -> Reply {
         Reply {
             to: self.reply_to,
@@ -43,10 +43,10 @@
     }
 }
 
-/// A result on its way back.
+/// A result and its destination.
 #[derive(Clone, Debug)]
 pub(crate) struct Reply {
-    /// Who gets it.
+    /// Where to send the result.
     pub to: ReplyTo,
     /// The result.
     pub result: WriterResult,
--- a/crates/idempotency/src/record.rs
+++ b/crates/idempotency/src/record.rs
@@ -1,4 +1,4 @@
-//! One record of the store: a bounded group of claims.
+//! A stored record: a group of claims of bounded size.
 
 use bytes::Bytes;
 use nutmegsail_base::{Incarnation, NodeId};
@@ -14,22 +14,22 @@
 pub struct ClaimRecord {
     /// The entries, oldest first, one for each key.
     pub entries: Vec<ClaimEntry>,
-    /// Whether new keys go into the next record.
+    /// Whether the record is sealed, so that new keys go into the next record.
     pub is_sealed: bool,
 }
 
-/// A stored value is not a claim record. It is never overwritten.
+/// A stored value could not be decoded as a claim record. Such a value is never overwritten.
 #[derive(Debug, Error)]
 #[error("the stored claims cannot be read: {0}")]
 pub struct RecordError(#[from] serde_json::Error);
 
 impl ClaimRecord {
-    /// The key's entry.
+    /// The entry for `key`.
     pub fn find(&self, key: &IdempotencyKey) -> Option<&ClaimEntry> {
         self.entries.iter().find(|entry| entry.key == *key)
     }
 
-    /// Puts `entry` in place of its key's entry, or at the end.
+    /// Replaces the entry for the same key, or appends `entry`.
     pub fn put(&mut self, entry: ClaimEntry) {
         match self.entries.iter_mut().find(|old| old.key == entry.key) {
             Some(old) => *old = entry,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The value to store: JSON, so that the store may keep it as text.
+    /// Encodes the record as JSON, so that the store can keep it as text.
     ///
     /// ```
     /// use nutmegsail_idempotency::ClaimRecord;
@@ -51,14 +51,14 @@
             claims: self.entries.iter().map(StoredClaim::from).collect(),
         };
         serde_json::to_vec(&stored)
-            .expect("plain strings and numbers always encode")
+            .expect("strings and numbers always encode")
             .into()
     }
 
-    /// Reads a stored value.
+    /// Decodes a stored value.
     ///
     /// # Errors
-    /// The value is not a claim record of this layout.
+    /// The value is not a claim record in this layout.
     pub fn decode(value: &[u8]) -> Result<Self, RecordError> {
         let stored: StoredClaims = serde_json::from_slice(value)?;
         Ok(Self {
@@ -75,7 +75,8 @@
     claims: Vec<StoredClaim>,
 }
 
-/// A claim as stored, with short names: they are rewritten with every commit of the record.
+/// A claim as stored. The field names are short because each commit rewrites all claims of the
+/// record.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StoredClaim {
--- a/crates/idempotency/src/shard_writer.rs
+++ b/crates/idempotency/src/shard_writer.rs
@@ -1,11 +1,11 @@
-//! Writes one shard's claims in groups.
+//! Writes the claims of one shard in groups.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::StoreNumber;
 
-use crate::lane::Lane;
+use crate::chain_writer::ChainWriter;
 use crate::queued::{QueuedOperation, Reply};
 use crate::token_source::TokenSource;
 use crate::{
@@ -13,29 +13,29 @@
     SwapFault,
 };
 
-/// How long a chain without work stays in memory.
-const LANE_IDLE: Duration = Duration::from_secs(120);
+/// How long an idle chain stays in memory.
+const IDLE_CHAIN_TTL: Duration = Duration::from_secs(120);
 
-/// Groups the operations of one shard into writes, at most one every `commit_interval`.
+/// Groups the operations of one shard into store writes, at most one every `commit_interval`.
 ///
-/// Any node may run one for any shard at any time: every write is a compare-and-swap. That one
-/// node does it at a time only keeps the number of writes small.
+/// Several nodes may write the same shard at once, since every write is a compare-and-swap. Using
+/// one node at a time only keeps the number of writes small.
 #[derive(Debug)]
 pub(crate) struct ShardWriter {
-    lanes: BTreeMap<ChainPlace, Lane>,
+    chains: BTreeMap<ChainPlace, ChainWriter>,
     next_commit_at: Option<Instant>,
 }
 
 impl ShardWriter {
-    /// A writer that knows nothing of its shard.
+    /// Creates a writer that has read none of the shard's records.
     pub fn new() -> Self {
         Self {
-            lanes: BTreeMap::new(),
+            chains: BTreeMap::new(),
             next_commit_at: None,
         }
     }
 
-    /// Takes an operation in, or fails a claim when too much waits already.
+    /// Queues an operation. A claim fails instead if the shard's queue is full.
     pub fn push(
         &mut self,
         operation: QueuedOperation,
@@ -43,18 +43,19 @@
         now: Instant,
         replies: &mut Vec<Reply>,
     ) {
-        let queued: usize = self.lanes.values().map(Lane::queued).sum();
+        let queued: usize = self.chains.values().map(ChainWriter::queued).sum();
         if operation.entry.is_claim() && queued >= settings.max_queued {
             replies.push(operation.reply(OperationResult::Failed));
             return;
         }
         let place = ChainPlace::of(&operation.entry.key);
-        let lane = self.lanes.entry(place);
-        lane.or_insert_with(|| Lane::new(place, now))
+        let chain = self.chains.entry(place);
+        chain
+            .or_insert_with(|| ChainWriter::new(place, now))
             .push(operation, settings, now);
     }
 
-    /// Takes in a read's result. Returns whether the token was this shard's.
+    /// Handles the result of a read. Returns whether this shard issued the token.
     pub fn read_done(
         &mut self,
         token: ClaimToken,
@@ -62,12 +63,12 @@
         settings: &ClaimSettings,
         now: Instant,
     ) -> bool {
-        self.lanes
+        self.chains
             .values_mut()
-            .any(|lane| lane.read_done(token, result, settings, now))
+            .any(|chain| chain.read_done(token, result, settings, now))
     }
 
-    /// Takes in a write's result. Returns whether the token was this shard's.
+    /// Handles the result of a write. Returns whether this shard issued the token.
     pub fn swap_done(
         &mut self,
         token: ClaimToken,
@@ -76,19 +77,19 @@
         now: Instant,
         replies: &mut Vec<Reply>,
     ) -> bool {
-        self.lanes
+        self.chains
             .values_mut()
-            .any(|lane| lane.swap_done(token, result.clone(), settings, now, replies))
+            .any(|chain| chain.swap_done(token, result.clone(), settings, now, replies))
     }
 
-    /// Tries again what failed before: the store is said to be back.
+    /// Ends all backoffs after failed store calls, because the store is reachable again.
     pub fn retry_now(&mut self, now: Instant) {
-        for lane in self.lanes.values_mut() {
-            lane.retry_now(now);
+        for chain in self.chains.values_mut() {
+            chain.retry_now(now);
         }
     }
 
-    /// Starts what is due.
+    /// Expires what has timed out and starts the store calls that are due.
     pub fn pump(
         &mut self,
         settings: &ClaimSettings,
@@ -97,41 +98,41 @@
         actions: &mut Vec<ClaimAction>,
         replies: &mut Vec<Reply>,
     ) {
-        for lane in self.lanes.values_mut() {
-            lane.expire(settings, now, replies);
-            let is_due = lane.due().is_some_and(|due| due <= now);
-            if is_due && lane.must_read() {
-                lane.start_read(tokens, now, actions);
+        for chain in self.chains.values_mut() {
+            chain.expire(settings, now, replies);
+            let is_due = chain.due().is_some_and(|due| due <= now);
+            if is_due && chain.must_read() {
+                chain.start_read(tokens, now, actions);
             }
         }
         while self.next_commit_at.is_none_or(|at| at <= now) {
-            let Some(lane) = self.most_urgent(now) else {
+            let Some(chain) = self.most_urgent(now) else {
                 break;
             };
-            if let Some(swap) = lane.start_commit(tokens.next(), settings, now, replies) {
+            if let Some(swap) = chain.start_commit(tokens.next(), settings, now, replies) {
                 actions.push(swap);
                 self.next_commit_at = Some(now + settings.commit_interval);
             }
         }
-        self.lanes
-            .retain(|_, lane| !lane.is_idle() || lane.last_used() + LANE_IDLE > now);
+        self.chains
+            .retain(|_, chain| !chain.is_idle() || chain.last_used() + IDLE_CHAIN_TTL > now);
     }
 
-    fn most_urgent(&mut self, now: Instant) -> Option<&mut Lane> {
-        self.lanes
+    fn most_urgent(&mut self, now: Instant) -> Option<&mut ChainWriter> {
+        self.chains
             .values_mut()
-            .filter(|lane| !lane.must_read())
-            .filter(|lane| lane.due().is_some_and(|due| due <= now))
-            .min_by_key(|lane| lane.due())
+            .filter(|chain| !chain.must_read())
+            .filter(|chain| chain.due().is_some_and(|due| due <= now))
+            .min_by_key(|chain| chain.due())
     }
 
     /// When [`Self::pump`] next has something to do.
     pub fn next_wake(&self, settings: &ClaimSettings) -> Option<Instant> {
-        let wakes = self.lanes.values().flat_map(|lane| {
-            let paced = lane
+        let wakes = self.chains.values().flat_map(|chain| {
+            let paced = chain
                 .due()
                 .map(|due| self.next_commit_at.map_or(due, |at| due.max(at)));
-            [paced, lane.next_expiry(settings)]
+            [paced, chain.next_expiry(settings)]
         });
         wakes.flatten().min()
     }
--- a/crates/idempotency/src/tickets.rs
+++ b/crates/idempotency/src/tickets.rs
@@ -1,4 +1,4 @@
-//! Calls whose key names the one incarnation that may run them.
+//! Calls with tickets for this incarnation.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
@@ -19,21 +19,22 @@
     Ended(ClaimState),
 }
 
-/// What becomes of a call with a ticket for this incarnation.
+/// The decision about a call with a ticket for this incarnation.
 #[derive(Debug)]
 pub(crate) enum TicketVerdict {
-    /// It is the first one: dispatch it.
+    /// Dispatch the call: no earlier one with this key has run.
     Run,
-    /// An earlier one has this state.
+    /// An earlier call with this key ended in this state.
     Known(ClaimState),
-    /// It is refused.
+    /// Refuse the call.
     Refused(ResultCode),
 }
 
-/// The ticket calls that this incarnation has let run, for as long as their keys are accepted.
+/// The calls with tickets that this incarnation has allowed to run, remembered for as long as their
+/// keys are accepted.
 ///
-/// Nothing is stored: only this incarnation may run them, and it knows what it has run. When it is
-/// gone, so is the right to run.
+/// They need no store: only this incarnation may run them, and it remembers which it has run. After
+/// a restart no node may run them.
 #[derive(Debug, Default)]
 pub(crate) struct Tickets {
     calls: BTreeMap<IdempotencyKey, TicketCall>,
@@ -41,7 +42,7 @@
 }
 
 impl Tickets {
-    /// Decides about a call whose ticket names this incarnation.
+    /// Decides whether a call whose ticket names this incarnation may run.
     pub fn begin(
         &mut self,
         key: &IdempotencyKey,
@@ -69,7 +70,7 @@
         TicketVerdict::Run
     }
 
-    /// Ends a running call. Returns whether the request was one of these.
+    /// Ends a running call. Returns whether the request was a call with a ticket.
     pub fn finish(&mut self, request: &RequestId, state: ClaimState) -> bool {
         let Some(key) = self.running.remove(request) else {
             return false;
@@ -83,19 +84,21 @@
         true
     }
 
-    /// Whether the request was let run and has not ended.
+    /// Whether the request was allowed to run and has not ended.
     pub fn is_running(&self, request: &RequestId) -> bool {
         self.running.contains_key(request)
     }
 
-    /// Forgets ended calls whose keys are refused for their age, whatever this clock's error.
-    pub fn forget_old(&mut self, settings: &ClaimSettings, wall: SystemTime) {
-        let wall = wall
+    /// Forgets ended calls whose keys are too old to be accepted, even if the clock is off by the
+    /// permitted skew.
+    pub fn forget_old(&mut self, settings: &ClaimSettings, wall_time: SystemTime) {
+        let wall_time = wall_time
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
         self.calls.retain(|key, call| {
             let issued = Duration::from_millis(key.issued_unix_ms());
-            issued + settings.kept >= wall || matches!(call.phase, TicketPhase::Running(_))
+            issued + settings.record_retention >= wall_time
+                || matches!(call.phase, TicketPhase::Running(_))
         });
     }
 }
--- a/crates/idempotency/src/verdict.rs
+++ b/crates/idempotency/src/verdict.rs
@@ -1,17 +1,17 @@
-//! What a repeat of a call is told.
+//! The response to a call that is not allowed to run.
 
 use nutmegsail_base::{ResultCode, RunState};
 
 use crate::{ClaimEntry, ClaimState, RecordedAnswer, RequestDigest};
 
-/// What a call that is not let run is told.
+/// The response to a call that is not allowed to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// What an earlier attempt got.
+    /// The recorded answer of an earlier attempt.
     Answer(RecordedAnswer),
-    /// Why it is refused.
+    /// A refusal.
     Refuse {
-        /// The numbered result.
+        /// The result code.
         code: ResultCode,
         /// Whether the call may have run.
         run_state: RunState,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// What a repeat is told of a call that has ended as `state`.
+    /// The verdict on a repeat of a call that has ended as `state`.
     pub fn of_ended(state: &ClaimState) -> Self {
         match state {
             ClaimState::Answered(answer) => Self::Answer(answer.clone()),
@@ -46,12 +46,12 @@
         }
     }
 
-    /// What a call with `digest` is told when the store holds `entry` for its key.
+    /// The verdict on a call with `digest` when the store holds `entry` for its key.
     ///
-    /// `is_live` says whether the claimant's incarnation is known to run. Should that be wrong,
-    /// the caller hears "in progress" or "unknown" in place of the other; neither lets anything
-    /// run. Nobody ever takes a claim over: however long a claimant was silent, it may be paused
-    /// between its check and its send, and would send when it wakes.
+    /// `is_live` says whether the claimant is believed to be running. If that is wrong, the caller
+    /// gets "in progress" instead of "outcome unknown" or the reverse; neither allows the call to
+    /// run. A claim is never taken over, however long its claimant has been silent: the claimant
+    /// may be paused between its last check and the dispatch, and would dispatch on resuming.
     pub fn of_entry(entry: &ClaimEntry, digest: RequestDigest, is_live: bool) -> Self {
         if entry.digest != digest {
             return Self::not_run(ResultCode::KeyReused);
--- a/crates/idempotency/tests/randomised.rs
+++ b/crates/idempotency/tests/randomised.rs
@@ -74,7 +74,7 @@
     let settings = ClaimSettings {
         retention: Duration::from_secs(60),
         skew: Duration::from_secs(2),
-        kept: Duration::from_secs(64),
+        record_retention: Duration::from_secs(64),
         collect_interval: Duration::from_secs(1),
         record_bytes: 700,
         ..ClaimSettings::default()
--- a/crates/idempotency/tests/stories.rs
+++ b/crates/idempotency/tests/stories.rs
@@ -217,7 +217,7 @@
 #[case::after_the_release(8 * S)]
 fn a_claim_carried_out_after_not_run_never_runs(#[case] late: Duration) {
     let settings = ClaimSettings {
-        claim_wait: 300 * MS,
+        claim_timeout: 300 * MS,
         ..ClaimSettings::default()
     };
     let mut world = World::with_settings(1, 9, settings);
@@ -356,8 +356,8 @@
 fn a_claim_that_comes_past_the_retention_does_not_run() {
     let settings = ClaimSettings {
         retention: 3600 * S,
-        kept: 3660 * S,
-        claim_wait: 1000 * S,
+        record_retention: 3660 * S,
+        claim_timeout: 1000 * S,
         store_timeout: 1000 * S,
         ..ClaimSettings::default()
     };
--- a/crates/idempotency/tests/tiny_model.rs
+++ b/crates/idempotency/tests/tiny_model.rs
@@ -448,9 +448,9 @@
         commit_interval: Duration::ZERO,
         outcome_delay: Duration::ZERO,
         store_backoff: Duration::ZERO,
-        ask_timeout: STEP,
+        writer_timeout: STEP,
         outcome_timeout: STEP,
-        claim_wait: STEP * 2,
+        claim_timeout: STEP * 2,
         collect_interval: Duration::from_secs(3600),
         ..ClaimSettings::default()
     };
--- a/crates/idempotency/tests/world/mod.rs
+++ b/crates/idempotency/tests/world/mod.rs
@@ -149,7 +149,7 @@
     pub fn new(nodes: usize, seed: u64) -> Self {
         let settings = ClaimSettings {
             retention: Duration::from_secs(3600),
-            kept: Duration::from_secs(3660),
+            record_retention: Duration::from_secs(3660),
             ..ClaimSettings::default()
         };
         Self::with_settings(nodes, seed, settings)
