--- a/crates/idempotency/src/writer_selector.rs
+++ b/crates/idempotency/src/writer_selector.rs
@@ -11,7 +11,8 @@
 const SUSPICION_TTL: Duration = Duration::from_secs(5);
 
 /// Selects one writer for each shard, the same on every node, so that the claims of a shard are
-/// written in groups. While that node does not answer, a live node is used instead.
+/// written in groups. While that node does not answer, a live node of this failure
+/// domain is used instead.
 ///
 /// The selection only saves store writes. Correctness does not depend on it: any node may write any
 /// shard at any time.
--- a/crates/idempotency/tests/cost.rs
+++ b/crates/idempotency/tests/cost.rs
@@ -1,8 +1,8 @@
-//! What once-only calls cost: store writes, and the time that a claim adds to a call.
+//! What once-only calls cost: store writes, and the latency that a claim adds to a call.
 //!
-//! The clock is virtual and every figure a function of the seed, so these are not timed tests.
+//! The clock is simulated and all results depend only on the seed, not on the machine's speed.
 
-mod world;
+mod simulation;
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng as _, SeedableRng as _};
 use rstest::rstest;
-use world::World;
+use simulation::Simulation;
 
 const RUN: Duration = Duration::from_secs(20);
 
-/// The load of the two-year peak: a fifth of 1,800 requests a second.
+/// Once-only calls a second at the two-year peak: a fifth of 1,800 requests a second.
 const PEAK_PER_S: f64 = 360.0;
 
-/// Nodes know each other's heartbeats only inside a failure domain.
+/// Nodes receive heartbeats only from nodes of their own failure domain.
 const DOMAINS: usize = 6;
 
 #[derive(Debug, derive_more::Display)]
@@ -37,29 +37,29 @@
     message_bytes_per_claim: f64,
 }
 
-/// Calls arrive at random times at random nodes; the store answers in 5 ms.
+/// Sends calls at random times to random nodes, with a store that answers in 5 ms.
 fn measure(nodes: usize, calls_per_s: f64, call: Duration, seed: u64) -> Cost {
-    let mut world = World::with_settings(nodes, seed, ClaimSettings::default());
-    world.delays.call = call;
+    let mut sim = Simulation::with_settings(nodes, seed, ClaimSettings::default());
+    sim.delays.call = call;
     for node in 0..nodes {
-        world.nodes[node].domain = node % DOMAINS;
+        sim.nodes[node].domain = node % DOMAINS;
     }
-    world.spread_live_nodes();
+    sim.announce_live_nodes();
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
     let mut draw = || f64::from(rng.next_u32()) / f64::from(u32::MAX);
-    while world.elapsed < RUN {
+    while sim.elapsed < RUN {
         let gap_s = -(1.0 - draw()).max(1e-9).ln() / calls_per_s;
-        world.run_for(Duration::from_secs_f64(gap_s));
+        sim.run_for(Duration::from_secs_f64(gap_s));
         let node = (draw() * nodes as f64) as usize % nodes;
-        let key = world.key();
-        world.begin(node, &key, 0);
+        let key = sim.key();
+        sim.begin(node, &key, 0);
     }
-    let run_s = world.elapsed.as_secs_f64();
-    let (writes, reads) = (world.store_writes as f64, world.store_reads as f64);
-    let (stored, sent) = (world.written_bytes as f64, world.asked_bytes as f64);
-    world.run_for(Duration::from_secs(10));
-    world.claim_waits.sort();
-    let waits = &world.claim_waits;
+    let run_s = sim.elapsed.as_secs_f64();
+    let (writes, reads) = (sim.store_writes as f64, sim.store_reads as f64);
+    let (stored, sent) = (sim.written_bytes as f64, sim.message_bytes as f64);
+    sim.run_for(Duration::from_secs(10));
+    sim.claim_waits.sort();
+    let waits = &sim.claim_waits;
     let wait_ms = |share: f64| waits[(waits.len() as f64 * share) as usize].as_secs_f64() * 1e3;
     Cost {
         claims: waits.len(),
@@ -74,7 +74,7 @@
 }
 
 #[rstest]
-fn at_the_peak_claims_fit_the_store(
+fn peak_load_meets_the_write_and_wait_limits(
     #[values(6, 36, 360)] nodes: usize,
     #[values(80, 2000)] call_ms: u64,
 ) {
@@ -85,25 +85,25 @@
     assert!(cost.wait_p95_ms <= 30.0, "{cost:?}");
 }
 
-/// The writers of all shards are replaced in the middle of a busy minute. Their successors know
-/// none of its records. Calls wait a little and run.
+/// The only node restarts during a minute with many claims, and its new writers have read none of
+/// the records. Guards against calls that wait for a long chain to be read record by record.
 #[test]
 fn a_new_writer_reads_a_long_chain_in_a_few_rounds() {
-    let mut world = World::with_settings(1, 1, ClaimSettings::default());
-    let keys: Vec<_> = (0..12_000).map(|_| world.key()).collect();
+    let mut sim = Simulation::with_settings(1, 1, ClaimSettings::default());
+    let keys: Vec<_> = (0..12_000).map(|_| sim.key()).collect();
     for key in &keys {
-        world.begin(0, key, 0);
-        world.run_for(Duration::from_micros(2_500));
+        sim.begin(0, key, 0);
+        sim.run_for(Duration::from_micros(2_500));
     }
-    world.run_for(Duration::from_secs(2));
-    world.restart(0);
-    world.claim_waits.clear();
-    let reads = world.store_reads;
-    let late = world.key_issued(world.wall() - (world.elapsed - Duration::from_secs(1)));
-    world.begin(0, &late, 0);
-    world.run_for(Duration::from_secs(1));
-    let (reads, wait) = (world.store_reads - reads, world.claim_waits[0]);
-    let records = world.store.len();
+    sim.run_for(Duration::from_secs(2));
+    sim.restart(0);
+    sim.claim_waits.clear();
+    let reads = sim.store_reads;
+    let late = sim.key_issued_at(sim.wall() - (sim.elapsed - Duration::from_secs(1)));
+    sim.begin(0, &late, 0);
+    sim.run_for(Duration::from_secs(1));
+    let (reads, wait) = (sim.store_reads - reads, sim.claim_waits[0]);
+    let records = sim.store.len();
     println!(
         "{records} records of {} claims, {reads} reads, {wait:?}",
         keys.len()
--- a/crates/idempotency/tests/key.rs
+++ b/crates/idempotency/tests/key.rs
@@ -1,4 +1,4 @@
-//! What counts as a key, and when a key is too old or too new.
+//! Which keys are valid, and when a key is too old or from the future.
 
 use std::time::{Duration, SystemTime};
 
@@ -15,23 +15,26 @@
 #[case::no_hyphens("018bcfe568007000800000000000000100000", KeyError::Malformed)]
 #[case::braces("{018bcfe5-6800-7000-8000-00000000000}", KeyError::Malformed)]
 #[case::ticket_without_node("ticket..7.018bcfe5-6800-7000-8000-000000000001", KeyError::Malformed)]
-#[case::ticket_without_run("ticket.n.018bcfe5-6800-7000-8000-000000000001", KeyError::Malformed)]
-#[case::ticket_of_two_spellings(
+#[case::ticket_without_incarnation(
+    "ticket.n.018bcfe5-6800-7000-8000-000000000001",
+    KeyError::Malformed
+)]
+#[case::ticket_with_leading_zero(
     "ticket.n.07.018bcfe5-6800-7000-8000-000000000001",
     KeyError::Malformed
 )]
-fn what_is_not_a_key_is_refused(#[case] text: &str, #[case] error: KeyError) {
+fn invalid_keys_are_rejected(#[case] text: &str, #[case] error: KeyError) {
     assert_eq!(IdempotencyKey::parse(text), Err(error));
 }
 
 #[test]
-fn spellings_of_one_key_are_one_key() {
+fn upper_and_lower_case_are_the_same_key() {
     let upper = UUID.to_uppercase();
     assert_eq!(IdempotencyKey::parse(&upper), IdempotencyKey::parse(UUID));
 }
 
 #[test]
-fn a_node_name_may_hold_dots() {
+fn ticket_node_names_may_contain_dots() {
     let text = format!("ticket.vm-3.negril.12.{UUID}");
     let key = IdempotencyKey::parse(&text).unwrap();
     assert_eq!(key.ticket().unwrap().node.as_str(), "vm-3.negril");
@@ -44,7 +47,10 @@
 #[case::past_retention(3601, Err(KeyError::TooOld))]
 #[case::ahead_within_skew(-30, Ok(()))]
 #[case::too_far_ahead(-31, Err(KeyError::FromFuture))]
-fn age_is_bounded_on_both_sides(#[case] age_s: i64, #[case] verdict: Result<(), KeyError>) {
+fn keys_too_old_or_from_the_future_are_rejected(
+    #[case] age_s: i64,
+    #[case] verdict: Result<(), KeyError>,
+) {
     let key = IdempotencyKey::parse(UUID).unwrap();
     let issued = SystemTime::UNIX_EPOCH + Duration::from_millis(key.issued_unix_ms());
     let wall = if age_s < 0 {
--- a/crates/idempotency/tests/world/mod.rs
+++ b/crates/idempotency/tests/simulation/mod.rs
@@ -1,9 +1,12 @@
-//! A few nodes, a store and an upstream in one thread, on a clock that moves only when told to.
+//! Simulates nodes, a store and an upstream in one thread with a manual clock.
 //!
-//! Every run is a function of its seed. The world checks the promises to callers at each step.
-#![allow(dead_code, reason = "each test file uses another part of the world")]
+//! Each run depends only on its seed. The guarantees to callers are checked at each step.
+#![allow(
+    dead_code,
+    reason = "each test file uses a different part of the simulation"
+)]
 #![allow(clippy::unwrap_used, reason = "test code outside of test functions")]
-#![allow(clippy::needless_pass_by_value, reason = "messages are handed over")]
+#![allow(clippy::needless_pass_by_value, reason = "messages are consumed")]
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant, SystemTime};
@@ -16,18 +19,18 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng as _, SeedableRng as _};
 
-/// What becomes of a write.
+/// How the store handles a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SwapFate {
     Done,
     NotDone,
-    /// The answer is lost; the write takes effect at once, later, or never.
+    /// The answer is lost. The write takes effect after this time, or never.
     Lost {
         takes_effect_after: Option<Duration>,
     },
 }
 
-/// What becomes of a call at the upstream.
+/// How a call ends at the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFate {
     Answered,
@@ -35,20 +38,20 @@
     Refused,
 }
 
-/// How often things go wrong, in percent.
+/// The rates of random faults, in percent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     pub swap_not_done: u64,
     pub swap_lost: u64,
     pub read_fails: u64,
     pub message_lost: u64,
-    pub message_twice: u64,
-    pub message_late: u64,
+    pub message_duplicated: u64,
+    pub message_delayed: u64,
     pub call_broken: u64,
     pub call_refused: u64,
 }
 
-/// How long things take.
+/// How long calls and messages take.
 #[derive(Clone, Copy, Debug)]
 pub struct Delays {
     pub store: Duration,
@@ -96,13 +99,13 @@
     pub incarnation: u64,
     pub claims: Claims,
     pub paused_until: Duration,
-    pub is_cut: bool,
+    pub is_partitioned: bool,
     pub domain: usize,
     pub clock_error_s: i64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum Response {
     Answer(RecordedAnswer),
     Refused(ResultCode, RunState),
     Ran(CallFate),
@@ -111,12 +114,12 @@
 struct Attempt {
     key: IdempotencyKey,
     body: u8,
-    begun: Duration,
-    /// The attempt at another node that this one was passed on for.
-    passed_on_from: Option<RequestId>,
+    begun_at: Duration,
+    /// The attempt at another node from which this one was forwarded.
+    forwarded_from: Option<RequestId>,
 }
 
-pub struct World {
+pub struct Simulation {
     pub clock: ManualClock,
     pub elapsed: Duration,
     pub settings: ClaimSettings,
@@ -126,17 +129,17 @@
     pub store_down: bool,
     pub faults: Faults,
     pub delays: Delays,
-    /// Fates of the next writes and calls, before chance decides.
+    /// The fates of the next writes and calls; once they are used up, fates are random.
     pub next_swaps: Vec<SwapFate>,
     pub next_calls: Vec<CallFate>,
-    pub told: BTreeMap<RequestId, Told>,
+    pub responses: BTreeMap<RequestId, Response>,
     pub ran: HashMap<IdempotencyKey, Vec<RequestId>>,
-    pub let_run: HashSet<RequestId>,
+    pub allowed_runs: HashSet<RequestId>,
     pub claim_waits: Vec<Duration>,
     pub store_writes: u64,
     pub store_reads: u64,
     pub written_bytes: u64,
-    pub asked_bytes: u64,
+    pub message_bytes: u64,
     attempts: HashMap<RequestId, Attempt>,
     queue: BTreeMap<(Duration, u64), Item>,
     queued: u64,
@@ -145,7 +148,7 @@
     wakes: HashMap<usize, Duration>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(nodes: usize, seed: u64) -> Self {
         let settings = ClaimSettings {
             retention: Duration::from_secs(3600),
@@ -157,7 +160,7 @@
 
     pub fn with_settings(nodes: usize, seed: u64, settings: ClaimSettings) -> Self {
         let nodes = (0..nodes).map(|at| Node::new(at, 1, &settings)).collect();
-        let mut world = Self {
+        let mut sim = Self {
             clock: ManualClock::default(),
             elapsed: Duration::ZERO,
             settings,
@@ -169,14 +172,14 @@
             delays: Delays::default(),
             next_swaps: Vec::new(),
             next_calls: Vec::new(),
-            told: BTreeMap::new(),
+            responses: BTreeMap::new(),
             ran: HashMap::new(),
-            let_run: HashSet::new(),
+            allowed_runs: HashSet::new(),
             claim_waits: Vec::new(),
             store_writes: 0,
             store_reads: 0,
             written_bytes: 0,
-            asked_bytes: 0,
+            message_bytes: 0,
             attempts: HashMap::new(),
             queue: BTreeMap::new(),
             queued: 0,
@@ -184,17 +187,17 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             wakes: HashMap::new(),
         };
-        world.spread_live_nodes();
-        world
+        sim.announce_live_nodes();
+        sim
     }
 
-    /// A key issued now, by the true time.
+    /// Creates a key issued now, by the true time.
     pub fn key(&mut self) -> IdempotencyKey {
         let at = self.wall();
-        self.key_issued(at)
+        self.key_issued_at(at)
     }
 
-    pub fn key_issued(&mut self, at: SystemTime) -> IdempotencyKey {
+    pub fn key_issued_at(&mut self, at: SystemTime) -> IdempotencyKey {
         let text = self.uuid(at).to_string();
         IdempotencyKey::parse(&text).unwrap()
     }
@@ -219,14 +222,14 @@
         uuid::Builder::from_unix_timestamp_millis(ms, &random).into_uuid()
     }
 
-    /// The node that writes for the key's shard, and one that does not.
+    /// The writer of the key's shard, and another node.
     pub fn writer_and_other(&self, key: &IdempotencyKey) -> (usize, usize) {
         let writer = self.writer(ChainPlace::of(key).shard);
         (writer, (writer + 1) % self.nodes.len())
     }
 
-    /// The node that removes old records.
-    pub fn collector(&self) -> usize {
+    /// The node that deletes old records.
+    pub fn garbage_collector(&self) -> usize {
         self.writer(0)
     }
 
@@ -237,7 +240,7 @@
         nodes.position(|node| node.id == *writer).unwrap()
     }
 
-    /// How many dispatches of `key` may have reached the upstream.
+    /// The number of dispatches of `key` that the upstream may have run.
     pub fn runs(&self, key: &IdempotencyKey) -> usize {
         self.ran.get(key).map_or(0, Vec::len)
     }
@@ -246,7 +249,7 @@
         self.clock.wall()
     }
 
-    /// A caller sends a call to `node`.
+    /// Sends a caller's call to `node`.
     pub fn begin(&mut self, node: usize, key: &IdempotencyKey, body: u8) -> RequestId {
         self.begin_for(node, key, body, None)
     }
@@ -256,15 +259,15 @@
         node: usize,
         key: &IdempotencyKey,
         body: u8,
-        passed_on_from: Option<RequestId>,
+        forwarded_from: Option<RequestId>,
     ) -> RequestId {
         self.requests += 1;
         let request = RequestId::from(format!("r{}", self.requests));
         let attempt = Attempt {
             key: key.clone(),
             body,
-            begun: self.elapsed,
-            passed_on_from,
+            begun_at: self.elapsed,
+            forwarded_from,
         };
         self.attempts.insert(request.clone(), attempt);
         let digest = RequestDigest::of("POST", "/bookings", &"spa-desk".into(), &[body]);
@@ -274,7 +277,7 @@
             digest,
         };
         let incarnation = self.nodes[node].incarnation;
-        self.put(
+        self.schedule(
             Duration::ZERO,
             Item::Event {
                 node,
@@ -296,17 +299,19 @@
         let incarnation = self.nodes[node].incarnation + 1;
         let fresh = Node::new(node, incarnation, &self.settings);
         let old = std::mem::replace(&mut self.nodes[node], fresh);
-        self.nodes[node].is_cut = old.is_cut;
+        self.nodes[node].is_partitioned = old.is_partitioned;
         self.nodes[node].domain = old.domain;
         self.nodes[node].clock_error_s = old.clock_error_s;
-        self.spread_live_nodes();
+        self.announce_live_nodes();
     }
 
-    /// Tells every node which others it can reach.
-    pub fn spread_live_nodes(&mut self) {
+    /// Sends every node the candidates for writers and the live nodes that it can reach.
+    pub fn announce_live_nodes(&mut self) {
         for to in 0..self.nodes.len() {
             let own = &self.nodes[to];
-            let reachable = |from: &Node| from.is_cut == own.is_cut && from.domain == own.domain;
+            let reachable = |from: &Node| {
+                from.is_partitioned == own.is_partitioned && from.domain == own.domain
+            };
             let nodes = self.nodes.iter().filter(|from| reachable(from));
             let nodes = nodes
                 .map(|node| LiveNode {
@@ -322,9 +327,9 @@
                 incarnation,
                 event,
             };
-            self.put(Duration::ZERO, candidates);
+            self.schedule(Duration::ZERO, candidates);
             let event = ClaimEvent::LiveNodes { nodes };
-            self.put(
+            self.schedule(
                 Duration::ZERO,
                 Item::Event {
                     node: to,
@@ -344,7 +349,7 @@
             } else {
                 ClaimEvent::StoreUp
             };
-            self.put(
+            self.schedule(
                 Duration::ZERO,
                 Item::Event {
                     node,
@@ -355,7 +360,7 @@
         }
     }
 
-    /// Lets `by` pass, with all that happens meanwhile.
+    /// Advances the clock by `by` and processes everything that is scheduled until then.
     pub fn run_for(&mut self, by: Duration) {
         let end = self.elapsed + by;
         while let Some((&(at, number), _)) = self.queue.first_key_value() {
@@ -374,7 +379,7 @@
         self.elapsed = at;
     }
 
-    fn put(&mut self, after: Duration, item: Item) {
+    fn schedule(&mut self, after: Duration, item: Item) {
         self.queued += 1;
         self.queue.insert((self.elapsed + after, self.queued), item);
     }
@@ -398,18 +403,18 @@
             node, incarnation, ..
         }
         | Item::Wake { node, incarnation }) = item;
-        // The store carries out calls of paused and of dead nodes, too.
+        // The store also carries out the calls of paused and dead nodes.
         let needs_node = !matches!(item, Item::StoreCall { .. });
         if needs_node && self.nodes[node].incarnation != incarnation {
             return;
         }
         if needs_node && self.nodes[node].paused_until > self.elapsed {
             let wait = self.nodes[node].paused_until - self.elapsed;
-            self.put(wait, item);
+            self.schedule(wait, item);
             return;
         }
         match item {
-            Item::Event { node, event, .. } => self.tell_node(node, event),
+            Item::Event { node, event, .. } => self.handle_event(node, event),
             Item::StoreCall {
                 node,
                 incarnation,
@@ -419,7 +424,7 @@
                 let answer = self.execute(call);
                 if is_answered {
                     let half = self.delays.store / 2;
-                    self.put(
+                    self.schedule(
                         half,
                         Item::Event {
                             node,
@@ -431,26 +436,26 @@
             }
             Item::Dispatch { node, request, .. } => self.dispatch(node, request),
             Item::Wake { node, .. } => {
-                // An earlier wake was planned after this one: that one has done the work.
+                // If an earlier wake was scheduled after this one, it has done the work already.
                 if self.wakes.get(&node).is_some_and(|at| *at <= self.elapsed) {
                     self.wakes.remove(&node);
-                    self.tell_node(node, ClaimEvent::Tick);
+                    self.handle_event(node, ClaimEvent::Tick);
                 }
             }
         }
     }
 
-    /// Lets a node handle an event at once.
-    pub fn tell_node(&mut self, node: usize, event: ClaimEvent) {
+    /// Has a node handle an event immediately.
+    pub fn handle_event(&mut self, node: usize, event: ClaimEvent) {
         let mut actions = Vec::new();
         let (now, wall) = (self.clock.now(), self.node_wall(node));
         self.nodes[node]
             .claims
             .handle(event, now, wall, &mut actions);
         for action in actions {
-            self.carry_out(node, action);
+            self.perform(node, action);
         }
-        self.plan_wake(node, now);
+        self.schedule_wake(node, now);
     }
 
     fn node_wall(&self, node: usize) -> SystemTime {
@@ -463,7 +468,7 @@
         }
     }
 
-    fn plan_wake(&mut self, node: usize, now: Instant) {
+    fn schedule_wake(&mut self, node: usize, now: Instant) {
         let Some(at) = self.nodes[node].claims.next_wake() else {
             return;
         };
@@ -474,21 +479,23 @@
         if self.wakes.get(&node).is_none_or(|planned| *planned > at) {
             self.wakes.insert(node, at);
             let incarnation = self.nodes[node].incarnation;
-            self.put(after, Item::Wake { node, incarnation });
+            self.schedule(after, Item::Wake { node, incarnation });
         }
     }
 
-    fn carry_out(&mut self, node: usize, action: ClaimAction) {
+    fn perform(&mut self, node: usize, action: ClaimAction) {
         match action {
-            ClaimAction::Run { request } => self.let_run(node, request),
-            ClaimAction::Answer { request, recorded } => self.tell(request, Told::Answer(recorded)),
+            ClaimAction::Run { request } => self.allow_run(node, request),
+            ClaimAction::Answer { request, recorded } => {
+                self.respond(request, Response::Answer(recorded));
+            }
             ClaimAction::Refuse {
                 request,
                 code,
                 run_state,
                 ..
             } => {
-                self.tell(request, Told::Refused(code, run_state));
+                self.respond(request, Response::Refused(code, run_state));
             }
             ClaimAction::Forward {
                 request,
@@ -508,7 +515,7 @@
                 self.store.remove(&*key);
             }
             ClaimAction::AskWriter { to, token, entries } => {
-                self.asked_bytes += postcard::to_allocvec(&entries).unwrap().len() as u64;
+                self.message_bytes += postcard::to_allocvec(&entries).unwrap().len() as u64;
                 let from = self.nodes[node].id.clone();
                 self.send(
                     node,
@@ -521,7 +528,7 @@
                 );
             }
             ClaimAction::AnswerAsked { to, token, results } => {
-                self.asked_bytes += postcard::to_allocvec(&results).unwrap().len() as u64;
+                self.message_bytes += postcard::to_allocvec(&results).unwrap().len() as u64;
                 self.send(node, &to, ClaimEvent::WriterAnswered { token, results });
             }
             call @ (ClaimAction::Read { .. }
@@ -534,18 +541,18 @@
 
     fn send(&mut self, from: usize, to: &NodeId, event: ClaimEvent) {
         let to = self.nodes.iter().position(|node| node.id == *to).unwrap();
-        let is_cut = self.nodes[from].is_cut != self.nodes[to].is_cut;
-        if is_cut || self.chance(self.faults.message_lost) {
+        let is_partitioned = self.nodes[from].is_partitioned != self.nodes[to].is_partitioned;
+        if is_partitioned || self.chance(self.faults.message_lost) {
             return;
         }
-        // A message finds whatever incarnation runs there when it arrives.
-        let copies = if self.chance(self.faults.message_twice) {
+        // The message goes to the incarnation that is running now; a later one drops it.
+        let copies = if self.chance(self.faults.message_duplicated) {
             2
         } else {
             1
         };
         for _ in 0..copies {
-            let is_late = self.chance(self.faults.message_late);
+            let is_late = self.chance(self.faults.message_delayed);
             let after = self.delays.hop
                 + if is_late {
                     self.random_ms(6000)
@@ -553,7 +560,7 @@
                     Duration::ZERO
                 };
             let incarnation = self.nodes[to].incarnation;
-            self.put(
+            self.schedule(
                 after,
                 Item::Event {
                     node: to,
@@ -568,13 +575,13 @@
         let to = self.nodes.iter().position(|node| node.id == *to).unwrap();
         let Attempt { key, body, .. } = &self.attempts[&request];
         let (key, body) = (key.clone(), *body);
-        if self.nodes[from].is_cut != self.nodes[to].is_cut {
+        if self.nodes[from].is_partitioned != self.nodes[to].is_partitioned {
             let incarnation = self.nodes[from].incarnation;
             let event = ClaimEvent::Forwarded {
                 request,
                 result: ForwardResult::NotSent,
             };
-            self.put(
+            self.schedule(
                 self.delays.hop,
                 Item::Event {
                     node: from,
@@ -606,7 +613,7 @@
                     },
                     _ => unreachable!("only reads come here"),
                 };
-                self.put(
+                self.schedule(
                     half,
                     Item::Event {
                         node,
@@ -615,7 +622,7 @@
                     },
                 );
             } else {
-                self.put(
+                self.schedule(
                     half,
                     Item::StoreCall {
                         node,
@@ -630,7 +637,7 @@
         self.store_writes += 1;
         let fault = match self.draw_swap_fate() {
             SwapFate::Done => {
-                self.put(
+                self.schedule(
                     half,
                     Item::StoreCall {
                         node,
@@ -650,7 +657,7 @@
                         call,
                         is_answered: false,
                     };
-                    self.put(after, late);
+                    self.schedule(after, late);
                 }
                 SwapFault::Ambiguous
             }
@@ -664,7 +671,7 @@
             token,
             result: Err(fault),
         };
-        self.put(
+        self.schedule(
             after,
             Item::Event {
                 node,
@@ -739,20 +746,20 @@
         })
     }
 
-    fn let_run(&mut self, node: usize, request: RequestId) {
+    fn allow_run(&mut self, node: usize, request: RequestId) {
         assert!(
-            self.let_run.insert(request.clone()),
-            "{request} was let run twice"
+            self.allowed_runs.insert(request.clone()),
+            "{request} was allowed to run twice"
         );
         assert!(
-            !self.told.contains_key(&request),
-            "{request} was told its end and then let run"
+            !self.responses.contains_key(&request),
+            "{request} was answered and then allowed to run"
         );
         let attempt = &self.attempts[&request];
-        self.claim_waits.push(self.elapsed - attempt.begun);
+        self.claim_waits.push(self.elapsed - attempt.begun_at);
         let incarnation = self.nodes[node].incarnation;
         let after = Duration::from_micros(100);
-        self.put(
+        self.schedule(
             after,
             Item::Dispatch {
                 node,
@@ -763,7 +770,7 @@
     }
 
     fn dispatch(&mut self, node: usize, request: RequestId) {
-        self.tell_node(
+        self.handle_event(
             node,
             ClaimEvent::Dispatched {
                 request: request.clone(),
@@ -788,7 +795,7 @@
             request: request.clone(),
             outcome,
         };
-        self.put(
+        self.schedule(
             self.delays.call,
             Item::Event {
                 node,
@@ -796,7 +803,7 @@
                 event,
             },
         );
-        self.tell(request, Told::Ran(fate));
+        self.respond(request, Response::Ran(fate));
     }
 
     fn draw_call_fate(&mut self) -> CallFate {
@@ -812,28 +819,30 @@
         CallFate::Answered
     }
 
-    /// Checks and keeps what a caller is told.
-    fn tell(&mut self, request: RequestId, told: Told) {
+    /// Checks and records the response to a caller.
+    fn respond(&mut self, request: RequestId, response: Response) {
         let attempt = &self.attempts[&request];
-        if let Told::Answer(answer) = &told {
+        if let Response::Answer(answer) = &response {
             assert!(
                 self.ran.contains_key(&attempt.key),
-                "an answer to a call that never ran"
+                "answered, but the call never ran"
             );
             assert_eq!(*answer.body, [b'a' + attempt.body], "another call's answer");
         }
-        if let Told::Refused(_, RunState::NotRun) = told {
+        if let Response::Refused(_, RunState::NotRun) = response {
             assert!(
-                !self.let_run.contains(&request),
-                "{request} ran and was told it did not"
+                !self.allowed_runs.contains(&request),
+                "{request} was allowed to run but refused as not run"
             );
         }
-        let passed_on_from = attempt.passed_on_from.clone();
-        if let Some(origin) = passed_on_from {
-            self.told.entry(origin).or_insert_with(|| told.clone());
+        let forwarded_from = attempt.forwarded_from.clone();
+        if let Some(origin) = forwarded_from {
+            self.responses
+                .entry(origin)
+                .or_insert_with(|| response.clone());
         }
-        let before = self.told.insert(request.clone(), told);
-        assert!(before.is_none(), "{request} was told its end twice");
+        let before = self.responses.insert(request.clone(), response);
+        assert!(before.is_none(), "{request} was answered twice");
     }
 }
 
@@ -845,7 +854,7 @@
             id,
             incarnation,
             paused_until: Duration::ZERO,
-            is_cut: false,
+            is_partitioned: false,
             domain: 0,
             clock_error_s: 0,
         }
--- a/crates/idempotency/tests/tiny_model.rs
+++ b/crates/idempotency/tests/tiny_model.rs
@@ -1,8 +1,9 @@
-//! Every order of events in a tiny model: two nodes, one key, a store whose answers may be lost
-//! and whose writes may come late, a lost and a doubled message, a restart, passing time.
+//! Explores every order of events in a small model: two nodes, one key, a store whose answers may
+//! be lost and whose writes may be delayed, lost and duplicated messages, a restart, and passing
+//! time.
 //!
-//! A pause needs no event of its own: in some orders a node hears nothing for as long as there is
-//! anything else to happen.
+//! A paused node needs no event of its own: in some orders a node receives nothing until everything
+//! else has happened.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::time::{Duration, Instant, SystemTime};
@@ -14,7 +15,7 @@
 
 const STEP: Duration = Duration::from_millis(300);
 
-/// How often each kind of fault may happen on one path.
+/// How often each kind of event and fault may still occur on a path.
 #[derive(Clone, Copy, Debug, Default)]
 struct Budget {
     begins: [u8; 2],
@@ -23,7 +24,7 @@
     lost_messages: u8,
     doubled_messages: u8,
     restarts: u8,
-    steps_of_time: u8,
+    time_steps: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,13 +48,13 @@
 
 #[derive(Clone, Debug)]
 enum Pending {
-    /// For one incarnation: an answer of the store.
+    /// An answer of the store, for one incarnation.
     Answer {
         node: usize,
         incarnation: u64,
         event: ClaimEvent,
     },
-    /// For whoever runs at the node: a message.
+    /// A message, for any incarnation of the node.
     Message {
         node: usize,
         event: ClaimEvent,
@@ -63,7 +64,7 @@
         incarnation: u64,
         action: ClaimAction,
     },
-    /// A write whose answer has been lost. It may come to pass at any time, or never.
+    /// A write whose answer was lost. It may take effect at any time, or never.
     LateSwap {
         action: ClaimAction,
     },
@@ -84,9 +85,9 @@
     pending: Vec<Pending>,
     budget: Budget,
     requests: u32,
-    let_run: Vec<RequestId>,
+    allowed_runs: Vec<RequestId>,
     runs: u32,
-    finals: Vec<RequestId>,
+    answered: Vec<RequestId>,
 }
 
 impl Model {
@@ -103,22 +104,22 @@
             pending: Vec::new(),
             budget,
             requests: 0,
-            let_run: Vec::new(),
+            allowed_runs: Vec::new(),
             runs: 0,
-            finals: Vec::new(),
+            answered: Vec::new(),
         };
-        model.spread_live_nodes();
+        model.announce_live_nodes();
         model
     }
 
-    fn spread_live_nodes(&mut self) {
+    fn announce_live_nodes(&mut self) {
         let live = |node: usize| LiveNode {
             node: node_id(node),
             incarnation: Incarnation(self.incarnations[node]),
         };
         let nodes = vec![live(0), live(1)];
         for node in 0..2 {
-            self.tell(
+            self.handle_event(
                 node,
                 ClaimEvent::LiveNodes {
                     nodes: nodes.clone(),
@@ -127,37 +128,38 @@
         }
     }
 
-    fn tell(&mut self, node: usize, event: ClaimEvent) {
+    fn handle_event(&mut self, node: usize, event: ClaimEvent) {
         let mut actions = Vec::new();
         let wall = SystemTime::UNIX_EPOCH + Duration::from_millis(self.key.issued_unix_ms());
         let now = self.start + self.elapsed;
         self.nodes[node].handle(event, now, wall + self.elapsed, &mut actions);
         for action in actions {
-            self.carry_out(node, action);
+            self.perform(node, action);
         }
     }
 
-    fn carry_out(&mut self, node: usize, action: ClaimAction) {
+    fn perform(&mut self, node: usize, action: ClaimAction) {
         let incarnation = self.incarnations[node];
         match action {
             ClaimAction::Run { request } => {
                 assert!(
-                    !self.finals.contains(&request),
-                    "told its end, then let run"
+                    !self.answered.contains(&request),
+                    "answered, then allowed to run"
                 );
-                self.let_run.push(request.clone());
+                self.allowed_runs.push(request.clone());
                 self.pending.push(Pending::Dispatch { node, request });
             }
             ClaimAction::Answer { request, .. } => {
                 assert!(self.runs > 0, "an answer of a call that never ran");
-                self.finals.push(request);
+                self.answered.push(request);
             }
             ClaimAction::Refuse {
                 request, run_state, ..
             } => {
-                let is_denied = run_state == RunState::NotRun && self.let_run.contains(&request);
-                assert!(!is_denied, "ran, and was told that it did not");
-                self.finals.push(request);
+                let is_wrongly_denied =
+                    run_state == RunState::NotRun && self.allowed_runs.contains(&request);
+                assert!(!is_wrongly_denied, "allowed to run, but refused as not run");
+                self.answered.push(request);
             }
             ClaimAction::AskWriter { to, token, entries } => {
                 let event = ClaimEvent::WriterAsked {
@@ -199,7 +201,7 @@
         if self.budget.restarts > 0 {
             choices.push(Choice::Restart);
         }
-        if self.budget.steps_of_time > 0 {
+        if self.budget.time_steps > 0 {
             choices.push(Choice::PassTime);
         }
         for (at, pending) in self.pending.iter().enumerate() {
@@ -231,7 +233,7 @@
         fates
     }
 
-    fn choose(&mut self, choice: Choice) {
+    fn apply(&mut self, choice: Choice) {
         match choice {
             Choice::Begin { node } => {
                 self.budget.begins[node] -= 1;
@@ -239,7 +241,7 @@
                 let request = RequestId::from(format!("r{}", self.requests));
                 let key = self.key.clone();
                 let digest = RequestDigest::of("POST", "/bookings", &"spa-desk".into(), b"");
-                self.tell(
+                self.handle_event(
                     node,
                     ClaimEvent::Begin {
                         request,
@@ -256,23 +258,24 @@
                     Pending::Answer { node, .. } | Pending::Dispatch { node, .. } => *node != 0,
                     _ => true,
                 });
-                self.spread_live_nodes();
+                self.announce_live_nodes();
             }
             Choice::PassTime => {
-                self.budget.steps_of_time -= 1;
+                self.budget.time_steps -= 1;
                 self.elapsed += STEP;
             }
-            Choice::Tick { node } => self.tell(node, ClaimEvent::Tick),
+            Choice::Tick { node } => self.handle_event(node, ClaimEvent::Tick),
             Choice::Pending { at, fate } => {
                 let pending = self.pending.remove(at);
-                self.happen(pending, fate);
+                self.process(pending, fate);
             }
         }
-        self.forget_dead_writes();
+        self.drop_failed_writes();
     }
 
-    /// Revisions only rise, so a late write whose condition fails now fails for ever.
-    fn forget_dead_writes(&mut self) {
+    /// Drops delayed writes whose condition fails. Revisions only increase, so it can never hold
+    /// again.
+    fn drop_failed_writes(&mut self) {
         let store = &self.store;
         self.pending.retain(|pending| match pending {
             Pending::LateSwap {
@@ -290,7 +293,7 @@
         });
     }
 
-    fn happen(&mut self, pending: Pending, fate: Fate) {
+    fn process(&mut self, pending: Pending, fate: Fate) {
         match pending {
             Pending::Answer {
                 node,
@@ -298,7 +301,7 @@
                 event,
             } => {
                 if self.incarnations[node] == incarnation {
-                    self.tell(node, event);
+                    self.handle_event(node, event);
                 }
             }
             Pending::Message { node, event } => self.deliver(node, event, fate),
@@ -323,14 +326,14 @@
                 self.budget.doubled_messages -= 1;
                 let copy = event.clone();
                 self.pending.push(Pending::Message { node, event: copy });
-                self.tell(node, event);
+                self.handle_event(node, event);
             }
-            _ => self.tell(node, event),
+            _ => self.handle_event(node, event),
         }
     }
 
     fn dispatch(&mut self, node: usize, request: RequestId, fate: Fate) {
-        self.tell(
+        self.handle_event(
             node,
             ClaimEvent::Dispatched {
                 request: request.clone(),
@@ -343,7 +346,7 @@
         };
         self.runs += u32::from(fate != Fate::Refused);
         assert!(self.runs <= 1, "the call ran twice");
-        self.tell(node, ClaimEvent::Finished { request, outcome });
+        self.handle_event(node, ClaimEvent::Finished { request, outcome });
     }
 
     fn call_store(&mut self, node: usize, incarnation: u64, action: ClaimAction, fate: Fate) {
@@ -418,7 +421,7 @@
         })
     }
 
-    /// All that the future depends on.
+    /// A hash of everything that later events depend on.
     fn fingerprint(&self) -> u128 {
         let text = format!(
             "{:?}{:?}{:?}{:?}{:?}{:?}{:?}{}",
@@ -428,7 +431,7 @@
             self.store,
             self.pending,
             self.budget,
-            self.let_run,
+            self.allowed_runs,
             self.runs,
         );
         xxhash_rust::xxh3::xxh3_128(text.as_bytes())
@@ -457,9 +460,10 @@
     Claims::new(settings, node_id(node), Incarnation(incarnation))
 }
 
-/// Walks every path. A state is reached by replaying its choices, since claims can't be copied:
-/// a copy of a right to dispatch would be a second right.
-fn walk(budget: Budget) -> (usize, usize) {
+/// Explores every path and returns the number of states and of those in which the call has run.
+/// Each state is reached by replaying its choices, since `Claims` cannot be cloned: that would
+/// duplicate rights to dispatch.
+fn explore(budget: Budget) -> (usize, usize) {
     let start = Instant::now();
     let mut seen = HashSet::new();
     let mut ran = 0;
@@ -467,7 +471,7 @@
     while let Some(path) = paths.pop_back() {
         let mut model = Model::new(start, budget);
         for choice in &path {
-            model.choose(*choice);
+            model.apply(*choice);
         }
         if !seen.insert(model.fingerprint()) {
             continue;
@@ -486,26 +490,29 @@
 #[case::two_callers([1, 1], Budget::default())]
 #[case::lost_answer([1, 1], Budget { lost_answers: 1, ..Budget::default() })]
 #[case::lost_answers([1, 0], Budget { lost_answers: 2, ..Budget::default() })]
-#[case::lost_answer_and_time([1, 0], Budget { lost_answers: 1, steps_of_time: 1, ..Budget::default() })]
+#[case::lost_answer_and_time([1, 0], Budget { lost_answers: 1, time_steps: 1, ..Budget::default() })]
 #[case::failed_write([1, 1], Budget { not_done: 1, ..Budget::default() })]
-#[case::lost_message([1, 0], Budget { lost_messages: 1, steps_of_time: 1, ..Budget::default() })]
-#[case::lost_message_of_the_other([0, 1], Budget { lost_messages: 1, steps_of_time: 1, ..Budget::default() })]
+#[case::lost_message([1, 0], Budget { lost_messages: 1, time_steps: 1, ..Budget::default() })]
+#[case::lost_message_of_the_other([0, 1], Budget { lost_messages: 1, time_steps: 1, ..Budget::default() })]
 #[case::doubled_message([1, 1], Budget { doubled_messages: 1, ..Budget::default() })]
 #[case::restart([1, 1], Budget { restarts: 1, ..Budget::default() })]
 #[case::restart_and_lost_answer([2, 0], Budget { restarts: 1, lost_answers: 1, ..Budget::default() })]
 fn no_order_of_events_runs_the_call_twice(#[case] begins: [u8; 2], #[case] faults: Budget) {
     let budget = Budget { begins, ..faults };
-    let (states, ran) = walk(budget);
+    let (states, ran) = explore(budget);
     println!("{budget:?}: {states} states, in {ran} of them the call has run");
     assert!(ran > 0);
 }
 
-/// The larger walks: half a minute in release, so they are left to long runs.
+/// Larger models. They take half a minute in a release build, so they are left to long runs.
 #[rstest]
-#[case::lost_answer_and_more_time([1, 0], Budget { lost_answers: 1, steps_of_time: 2, ..Budget::default() })]
-#[case::lost_message([1, 1], Budget { lost_messages: 1, steps_of_time: 1, ..Budget::default() })]
-#[case::restart_and_time([1, 1], Budget { restarts: 1, steps_of_time: 1, ..Budget::default() })]
+#[case::lost_answer_and_more_time([1, 0], Budget { lost_answers: 1, time_steps: 2, ..Budget::default() })]
+#[case::lost_message([1, 1], Budget { lost_messages: 1, time_steps: 1, ..Budget::default() })]
+#[case::restart_and_time([1, 1], Budget { restarts: 1, time_steps: 1, ..Budget::default() })]
 #[ignore = "for long runs: cargo test --release -- --ignored"]
-fn no_longer_order_of_events_runs_the_call_twice(#[case] begins: [u8; 2], #[case] faults: Budget) {
+fn no_order_of_events_in_larger_models_runs_the_call_twice(
+    #[case] begins: [u8; 2],
+    #[case] faults: Budget,
+) {
     no_order_of_events_runs_the_call_twice(begins, faults);
 }
