--- a/crates/membership/src/action.rs
+++ b/crates/membership/src/action.rs
@@ -1,4 +1,4 @@
-//! What the membership core wants done.
+//! The actions that the membership core returns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use crate::{DomainSummary, Heartbeat};
 
-/// What the membership core wants done.
+/// An action that the caller of [`Membership::handle`](crate::Membership::handle) must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipAction {
     /// Send a heartbeat to each address.
@@ -17,49 +17,50 @@
         /// The heartbeat.
         heartbeat: Heartbeat,
     },
-    /// Send this failure domain's account of itself to each address.
+    /// Send a summary of the own failure domain to each address.
     SendSummary {
         /// The addresses.
         to: Vec<Arc<str>>,
-        /// The account.
+        /// The summary.
         summary: DomainSummary,
     },
-    /// Drop the connection to an address; a later message dials it anew.
+    /// Close the connection to an address. A later message to it connects again.
     Disconnect {
         /// The address.
         address: Arc<str>,
     },
     /// The nodes of the own failure domain that may own engines have changed.
     LiveNodesChanged {
-        /// All of them, this node among them if it is ready, in order of their names.
+        /// All of them, sorted by name, including this node if it is ready.
         nodes: Vec<LiveNode>,
     },
-    /// Read the platform's VM list.
+    /// Read the platform's VM list and pass it in as
+    /// [`VmListRead`](crate::MembershipEvent::VmListRead).
     AskVmList,
-    /// An upstream is leaving: no new work for it.
+    /// An upstream is leaving and must get no new work.
     UpstreamLeaving {
         /// The upstream.
         upstream: UpstreamId,
         /// The incarnation that is leaving, if known.
         incarnation: Option<Incarnation>,
     },
-    /// An upstream that was leaving is not, or nothing was heard of it for a long time.
+    /// An upstream is no longer leaving, or its notice has expired.
     UpstreamStaying {
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// Another node runs a newer generation of the operators' text.
+    /// Another node runs a newer generation of the operators' text than this one.
     GenerationSeen {
         /// The node.
         peer: NodeId,
-        /// Where it is asked for the text.
+        /// The address to fetch the text from.
         address: Arc<str>,
         /// The generation.
         generation: u64,
         /// Its digest.
         digest: Arc<str>,
     },
-    /// Something that operators may want to read in the log.
+    /// Log a note for operators.
     Report(MembershipNote),
 }
 
@@ -74,36 +75,36 @@
     pub address: Arc<str>,
 }
 
-/// Something that operators may want to read in the log.
+/// A change in membership that is logged for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipNote {
-    /// A node was heard of for the first time.
+    /// A node became known for the first time.
     PeerJoined(NodeId),
-    /// A node has been silent for too long.
+    /// No new heartbeat of a node was received for `unreachable_after_ms`.
     PeerUnreachable(NodeId),
-    /// An unreachable node was heard of again.
+    /// An unreachable node is reachable again.
     PeerReturned(NodeId),
-    /// An unreachable node was given up.
+    /// A node was removed after being unreachable for `removed_after_ms`.
     PeerRemoved(NodeId),
-    /// A node runs as a new incarnation.
+    /// A node's process was replaced by a new incarnation.
     PeerRestarted(NodeId),
     /// A node is shutting down.
     PeerLeaving(NodeId),
-    /// Most nodes vanished at once; they go on counting as live for a while.
+    /// Most nodes became unreachable at once. They still count as live for `mass_hold_ms`.
     RemovalHeld {
-        /// How many nodes vanished.
+        /// How many nodes are silent.
         nodes: usize,
     },
-    /// A failure domain has been silent for too long.
+    /// No new summary of a failure domain was received for `domain_unreachable_after_ms`.
     DomainUnreachable(FailureDomain),
-    /// A silent failure domain was heard again.
+    /// An unreachable failure domain is reachable again.
     DomainReturned(FailureDomain),
-    /// This node did not run for a while.
+    /// This node's process was paused.
     OwnPause {
         /// For how long.
         paused: Duration,
     },
-    /// The platform is about to take this node's own VM away.
+    /// The VM list marks this node's own VM as leaving.
     OwnVmLeaving,
     /// Another process uses this node's name.
     NameTaken {
--- a/crates/membership/src/digest_codec.rs
+++ b/crates/membership/src/digest_codec.rs
@@ -1,4 +1,6 @@
-//! A SHA-256 in hexadecimal as 32 bytes on the wire: heartbeats carry one each.
+//! Serializes a hexadecimal SHA-256 digest as its 32 raw bytes, since every heartbeat carries one.
+//!
+//! A tag in the first byte tells whether raw bytes or other text, unchanged, follow.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,8 +8,8 @@
 use serde::de::{Error, Visitor};
 use serde::{Deserializer, Serializer};
 
-const HEX: u8 = b'x';
-const TEXT: u8 = b't';
+const HEX_TAG: u8 = b'x';
+const TEXT_TAG: u8 = b't';
 
 pub(crate) fn serialize<S: Serializer>(digest: &str, serializer: S) -> Result<S::Ok, S::Error> {
     let is_hex = digest
@@ -16,11 +18,11 @@
     let mut bytes = Vec::with_capacity(33);
     match hex::decode(digest) {
         Ok(raw) if is_hex => {
-            bytes.push(HEX);
+            bytes.push(HEX_TAG);
             bytes.extend_from_slice(&raw);
         }
         _ => {
-            bytes.push(TEXT);
+            bytes.push(TEXT_TAG);
             bytes.extend_from_slice(digest.as_bytes());
         }
     }
@@ -44,12 +46,12 @@
 
     fn visit_bytes<E: Error>(self, bytes: &[u8]) -> Result<Arc<str>, E> {
         match bytes.split_first() {
-            Some((&HEX, raw)) => Ok(hex::encode(raw).into()),
-            Some((&TEXT, text)) => {
+            Some((&HEX_TAG, raw)) => Ok(hex::encode(raw).into()),
+            Some((&TEXT_TAG, text)) => {
                 let text = std::str::from_utf8(text).map_err(E::custom)?;
                 Ok(text.into())
             }
-            _ => Err(E::custom("a digest starts with x or t")),
+            _ => Err(E::custom("a digest must start with the tag x or t")),
         }
     }
 }
--- a/crates/membership/src/domains.rs
+++ b/crates/membership/src/domains.rs
@@ -1,4 +1,4 @@
-//! The other failure domains.
+//! What this node knows of the other failure domains.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,47 +9,47 @@
 
 use crate::{Contact, DomainSummary, MembershipAction, MembershipNote, MembershipSettings};
 
-/// Contacts kept for each other failure domain.
-const CONTACTS: usize = 64;
-/// How many contacts that a domain named last are preferred.
-const RECENT_CONTACTS: usize = 4;
-/// How many accounts of other domains go with a heartbeat.
-const RELAYED: usize = 8;
-/// How much newer an account must look to replace the one known. Relayed copies of one account
-/// look newer by the time they were under way.
-const NEWER_BY: Duration = Duration::from_millis(100);
-/// After how many accounts a delegate turns to another contact.
+/// Limits the contacts kept for each failure domain.
+const MAX_CONTACTS: usize = 64;
+/// Limits the contacts that are kept from a domain's latest summaries and preferred as targets.
+const MAX_RECENT_CONTACTS: usize = 4;
+/// Limits the summaries of other domains in one heartbeat.
+const MAX_RELAYED_SUMMARIES: usize = 8;
+/// A summary replaces the known one only if it is newer by this much. Network delay is not counted
+/// in `age_ms`, so relayed copies of one summary appear slightly newer than the original.
+const SUMMARY_TIME_TOLERANCE: Duration = Duration::from_millis(100);
+/// A delegate changes to another contact after this many summaries.
 const SENDS_PER_CONTACT: u32 = 5;
 
 #[derive(Clone, Debug, Default)]
 struct OtherDomain {
-    account: Option<Account>,
+    latest: Option<ReceivedSummary>,
     contacts: BTreeMap<NodeId, Arc<str>>,
     is_unreachable: bool,
-    talking_to: Option<TalkingTo>,
+    current_contact: Option<CurrentContact>,
 }
 
 #[derive(Clone, Debug)]
-struct Account {
+struct ReceivedSummary {
     summary: DomainSummary,
     made_at: Instant,
 }
 
 #[derive(Clone, Debug)]
-struct TalkingTo {
+struct CurrentContact {
     address: Arc<str>,
     sends_left: u32,
 }
 
-/// The other failure domains.
+/// The other failure domains by name.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OtherDomains {
     domains: BTreeMap<FailureDomain, OtherDomain>,
 }
 
 impl OtherDomains {
-    /// Takes in an account of another domain.
-    pub(crate) fn take_in(&mut self, summary: &DomainSummary, now: Instant) {
+    /// Adds the contacts of a received summary and stores the summary if it is newer.
+    pub(crate) fn merge_summary(&mut self, summary: &DomainSummary, now: Instant) {
         let domain = self.entry(&summary.failure_domain);
         for contact in &summary.contacts {
             domain.add_contact(contact);
@@ -58,31 +58,38 @@
         let Some(made_at) = now.checked_sub(age) else {
             return;
         };
-        let known = domain.account.as_ref();
-        if known.is_some_and(|known| made_at < known.made_at + NEWER_BY) {
+        let known = domain.latest.as_ref();
+        if known.is_some_and(|known| made_at < known.made_at + SUMMARY_TIME_TOLERANCE) {
             return;
         }
         let mut summary = DomainSummary {
             upstreams: Vec::new(),
             ..summary.clone()
         };
-        if let Some(known) = domain.account.take() {
+        if let Some(known) = domain.latest.take() {
             summary.contacts.extend(known.summary.contacts);
-            summary.contacts.truncate(RECENT_CONTACTS);
+            summary.contacts.truncate(MAX_RECENT_CONTACTS);
         }
-        domain.account = Some(Account { summary, made_at });
+        domain.latest = Some(ReceivedSummary { summary, made_at });
     }
 
-    /// Notes that a node of another domain spoke to this one.
+    /// Adds a contact in another domain.
     pub(crate) fn add_contact(&mut self, failure_domain: &FailureDomain, contact: &Contact) {
         self.entry(failure_domain).add_contact(contact);
     }
 
-    /// Takes in the VM list's nodes of other domains, and forgets contacts that nobody names.
-    pub(crate) fn list(&mut self, listed: &BTreeMap<FailureDomain, BTreeMap<NodeId, Arc<str>>>) {
+    /// Adds the nodes of other domains in the VM list. For each domain in the list, removes
+    /// contacts that neither the list nor the domain's latest summaries name.
+    pub(crate) fn merge_vm_list(
+        &mut self,
+        listed: &BTreeMap<FailureDomain, BTreeMap<NodeId, Arc<str>>>,
+    ) {
         for (failure_domain, nodes) in listed {
             let domain = self.entry(failure_domain);
-            let recent = domain.account.as_ref().map(|a| a.summary.contacts.clone());
+            let recent = domain
+                .latest
+                .as_ref()
+                .map(|latest| latest.summary.contacts.clone());
             let recent = recent.unwrap_or_default();
             domain.contacts.retain(|node, _| {
                 nodes.contains_key(node) || recent.iter().any(|contact| contact.node == *node)
@@ -96,15 +103,16 @@
         }
     }
 
-    /// Adds time during which this node did not run to every domain's account.
-    pub(crate) fn absorb_pause(&mut self, paused: Duration, now: Instant) {
-        let accounts = self.domains.values_mut().filter_map(|d| d.account.as_mut());
-        for account in accounts {
-            account.made_at = (account.made_at + paused).min(now);
+    /// Excludes a pause of this node from the age of every domain's latest summary.
+    pub(crate) fn exclude_pause(&mut self, paused: Duration, now: Instant) {
+        let received = self.domains.values_mut().filter_map(|d| d.latest.as_mut());
+        for latest in received {
+            latest.made_at = (latest.made_at + paused).min(now);
         }
     }
 
-    /// Lets time pass: silent domains become unreachable, heard ones return.
+    /// Updates which domains are unreachable by the age of their latest summaries, and returns a
+    /// note for each change.
     pub(crate) fn advance(
         &mut self,
         now: Instant,
@@ -113,10 +121,10 @@
         let limit = Duration::from_millis(settings.domain_unreachable_after_ms);
         let mut notes = Vec::new();
         for (failure_domain, domain) in &mut self.domains {
-            let Some(account) = &domain.account else {
+            let Some(latest) = &domain.latest else {
                 continue;
             };
-            let is_unreachable = now.duration_since(account.made_at) >= limit;
+            let is_unreachable = now.duration_since(latest.made_at) >= limit;
             if is_unreachable == domain.is_unreachable {
                 continue;
             }
@@ -130,10 +138,10 @@
         notes
     }
 
-    /// One address in each other domain to send the own domain's account to.
+    /// Returns one address in each other domain to send the own domain's summary to.
     ///
-    /// A delegate stays with a contact for a few accounts, so that it keeps one connection a
-    /// domain and not one a node.
+    /// A delegate uses the same contact for several summaries, so that it keeps one connection per
+    /// domain instead of one per node.
     pub(crate) fn targets(
         &mut self,
         rng: &mut dyn rand::Rng,
@@ -143,48 +151,57 @@
         domains.filter_map(|d| d.target(rng, actions)).collect()
     }
 
-    /// Drops the connections that a delegate had, once it is none any more.
-    pub(crate) fn stop_talking(&mut self, actions: &mut Vec<MembershipAction>) {
-        let talking = self
+    /// Closes the connections to the current contacts when this node is no longer a delegate.
+    pub(crate) fn release_contacts(&mut self, actions: &mut Vec<MembershipAction>) {
+        let current = self
             .domains
             .values_mut()
-            .filter_map(|d| d.talking_to.take());
-        actions.extend(talking.map(|t| MembershipAction::Disconnect { address: t.address }));
+            .filter_map(|d| d.current_contact.take());
+        actions.extend(current.map(|contact| MembershipAction::Disconnect {
+            address: contact.address,
+        }));
     }
 
-    /// The accounts of all domains, small enough to go with every heartbeat.
+    /// Returns the latest summaries of reachable domains, shortened to fit into every heartbeat.
     ///
-    /// One of them by chance names a contact: a node that becomes a delegate while the VM list is
-    /// out needs somebody to write to.
-    pub(crate) fn relayed(&self, now: Instant, rng: &mut dyn rand::Rng) -> Vec<DomainSummary> {
+    /// One summary, chosen at random, names a contact. A node that becomes a delegate while the VM
+    /// list is unavailable has no other source of addresses in other domains.
+    pub(crate) fn relayed_summaries(
+        &self,
+        now: Instant,
+        rng: &mut dyn rand::Rng,
+    ) -> Vec<DomainSummary> {
         let reachable = self.domains.values().filter(|d| !d.is_unreachable);
-        let accounts = reachable.filter_map(|d| d.account.as_ref());
-        let mut summaries: Vec<_> = accounts.take(RELAYED).map(|a| a.relayed(now)).collect();
-        let introduced = summaries.choose_mut(rng);
-        if let Some(summary) = introduced {
-            summary.contacts = self.some_contact(&summary.failure_domain, rng);
+        let received = reachable.filter_map(|d| d.latest.as_ref());
+        let mut summaries: Vec<_> = received
+            .take(MAX_RELAYED_SUMMARIES)
+            .map(|latest| latest.to_relayed(now))
+            .collect();
+        let chosen = summaries.choose_mut(rng);
+        if let Some(summary) = chosen {
+            summary.contacts = self.random_contact(&summary.failure_domain, rng);
         }
         summaries
     }
 
-    fn some_contact(
+    fn random_contact(
         &self,
         failure_domain: &FailureDomain,
         rng: &mut dyn rand::Rng,
     ) -> Vec<Contact> {
         let domain = self.domains.get(failure_domain);
-        let account = domain.and_then(|domain| domain.account.as_ref());
-        let contact = account.and_then(|a| a.summary.contacts.choose(rng));
+        let latest = domain.and_then(|domain| domain.latest.as_ref());
+        let contact = latest.and_then(|latest| latest.summary.contacts.choose(rng));
         contact.cloned().into_iter().collect()
     }
 
-    /// Every other domain with its account, for the status report.
+    /// Returns every other domain with its latest summary, for the status report.
     pub(crate) fn statuses(&self) -> impl Iterator<Item = OtherDomainStatus<'_>> {
         self.domains
             .iter()
             .map(|(failure_domain, domain)| OtherDomainStatus {
                 failure_domain,
-                summary: domain.account.as_ref().map(|a| &a.summary),
+                summary: domain.latest.as_ref().map(|latest| &latest.summary),
                 is_unreachable: domain.is_unreachable,
                 contacts: &domain.contacts,
             })
@@ -195,7 +212,7 @@
     }
 }
 
-/// What is known of another failure domain.
+/// A failure domain as shown in the status report.
 pub(crate) struct OtherDomainStatus<'a> {
     pub(crate) failure_domain: &'a FailureDomain,
     pub(crate) summary: Option<&'a DomainSummary>,
@@ -206,7 +223,7 @@
 impl OtherDomain {
     fn add_contact(&mut self, contact: &Contact) {
         let is_known = self.contacts.contains_key(&contact.node);
-        if !is_known && self.contacts.len() >= CONTACTS {
+        if !is_known && self.contacts.len() >= MAX_CONTACTS {
             self.contacts.pop_first();
         }
         let address = Arc::clone(&contact.address);
@@ -218,29 +235,30 @@
         rng: &mut dyn rand::Rng,
         actions: &mut Vec<MembershipAction>,
     ) -> Option<Arc<str>> {
-        if let Some(talking) = &mut self.talking_to
-            && talking.sends_left > 0
+        if let Some(current) = &mut self.current_contact
+            && current.sends_left > 0
             && !self.is_unreachable
         {
-            talking.sends_left -= 1;
-            return Some(Arc::clone(&talking.address));
+            current.sends_left -= 1;
+            return Some(Arc::clone(&current.address));
         }
-        if let Some(former) = self.talking_to.take() {
+        if let Some(former) = self.current_contact.take() {
             let address = former.address;
             actions.push(MembershipAction::Disconnect { address });
         }
         let address = self.choose_contact(rng)?;
-        self.talking_to = Some(TalkingTo {
+        self.current_contact = Some(CurrentContact {
             address: Arc::clone(&address),
             sends_left: SENDS_PER_CONTACT - 1,
         });
         Some(address)
     }
 
-    /// A contact that the domain itself named a short while ago, or else any that was ever known.
+    /// Chooses at random one of the contacts that the domain named recently, or any known contact
+    /// if it named none or is unreachable.
     fn choose_contact(&self, rng: &mut dyn rand::Rng) -> Option<Arc<str>> {
-        let named = self.account.as_ref().filter(|_| !self.is_unreachable);
-        let named = named.and_then(|a| a.summary.contacts.choose(rng));
+        let named = self.latest.as_ref().filter(|_| !self.is_unreachable);
+        let named = named.and_then(|latest| latest.summary.contacts.choose(rng));
         match named {
             Some(contact) => Some(Arc::clone(&contact.address)),
             None => self.contacts.values().choose(rng).cloned(),
@@ -248,8 +266,8 @@
     }
 }
 
-impl Account {
-    fn relayed(&self, now: Instant) -> DomainSummary {
+impl ReceivedSummary {
+    fn to_relayed(&self, now: Instant) -> DomainSummary {
         let age = now.duration_since(self.made_at).as_millis();
         DomainSummary {
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,4 +1,4 @@
-//! What the membership core is told.
+//! The events that the membership core handles.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,45 +8,45 @@
 
 use crate::{DomainSummary, Heartbeat};
 
-/// What the membership core is told.
+/// An event for [`Membership::handle`](crate::Membership::handle).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
     /// A heartbeat arrived.
     Heard {
-        /// Who sent it.
+        /// The sender.
         from: NodeId,
         /// The sender's incarnation.
         incarnation: Incarnation,
         /// The heartbeat.
         heartbeat: Heartbeat,
     },
-    /// Another failure domain's account of itself arrived.
+    /// A summary of another failure domain arrived.
     SummaryHeard {
-        /// Who sent it.
+        /// The sender.
         from: NodeId,
-        /// The account.
+        /// The summary.
         summary: DomainSummary,
     },
-    /// The platform's list was read. Only entry VMs belong here.
+    /// The platform's VM list was read.
     VmListRead {
-        /// The entry VMs of the list.
+        /// The entry VMs in the list; other VMs must be left out.
         vms: Vec<VmHint>,
     },
-    /// Addresses of nodes that the settings name.
+    /// The node addresses in the settings.
     Seeds {
         /// Each a `host:port`.
         addresses: Vec<Arc<str>>,
     },
-    /// This node saw that an upstream is leaving.
+    /// This node observed that an upstream is leaving.
     UpstreamLeaving {
         /// The upstream.
         upstream: UpstreamId,
         /// Its incarnation, if known.
         incarnation: Option<Incarnation>,
-        /// How this node saw it.
+        /// The source of the observation.
         source: LeavingSource,
     },
-    /// This node saw by an upstream's own report that it is not leaving.
+    /// An upstream's own report to this node says that it is not leaving.
     UpstreamStaying {
         /// The upstream.
         upstream: UpstreamId,
@@ -67,38 +67,38 @@
         /// Whether it is shutting down.
         is_leaving: bool,
     },
-    /// This node did not run for a while. The core also notices by itself.
+    /// This node's process was paused. The core also detects pauses by itself.
     Resumed {
-        /// For how long.
+        /// The length of the pause.
         paused: Duration,
     },
-    /// The heartbeat interval is over.
+    /// A heartbeat interval has passed.
     Tick,
 }
 
-/// An entry VM of the platform's list. The list lags behind reality.
+/// An entry VM in the platform's VM list, which lags behind the actual state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmHint {
     /// The node on the VM.
     pub id: NodeId,
     /// Its `host:port` for other nodes.
     pub address: Arc<str>,
-    /// Where it stands.
+    /// The VM's failure domain.
     pub failure_domain: FailureDomain,
-    /// Whether the platform is about to take the VM away.
+    /// Whether the platform is about to remove the VM.
     pub is_leaving: bool,
 }
 
-/// How a node saw that an upstream is leaving.
+/// The source from which a node learned that an upstream is leaving.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 #[display(rename_all = "snake_case")]
 pub enum LeavingSource {
-    /// By the platform's VM list.
+    /// The platform's VM list.
     VmList,
-    /// By the upstream's own report.
+    /// The upstream's own report.
     Report,
-    /// By a refusal.
+    /// A refusal by the upstream.
     Refusal,
-    /// By an operator's order.
+    /// An operator's order.
     Operator,
 }
--- a/crates/membership/src/heartbeat.rs
+++ b/crates/membership/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other about nodes, failure domains and upstreams.
+//! The messages by which nodes exchange the state of nodes, failure domains and upstreams.
 
 use std::sync::Arc;
 
@@ -7,33 +7,33 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A node's sign of life to another node, with what it knows of third ones.
+/// A periodic message that shows the sender is alive and carries what it knows of other nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender's failure domain.
     pub failure_domain: FailureDomain,
     /// The sender's `host:port` for other nodes.
     pub address: Arc<str>,
-    /// How often the sender's own clock has ticked in this incarnation. It only rises.
+    /// A counter that the sender increments for each heartbeat of this incarnation.
     pub beat: u64,
-    /// How far the sender's process is in its life.
+    /// The state of the sender's process.
     pub state: NodeState,
-    /// Whether the sender knows too little yet and wants the whole list of its domain back.
+    /// Whether the sender asks for the full list of nodes in its domain.
     pub wants_roster: bool,
-    /// Whether `introductions` is that whole list.
+    /// Whether `introductions` is that full list.
     pub is_roster: bool,
     /// The generation of the operators' text in force on the sender; 0 for none.
     pub generation: u64,
     /// The digest of that text; empty for none.
     #[serde(with = "crate::digest_codec")]
     pub digest: Arc<str>,
-    /// Nodes of its failure domain that the receiver may not know.
+    /// Nodes of the sender's failure domain that the receiver may not know.
     pub introductions: Vec<PeerBeat>,
-    /// What the sender knows of other nodes of its failure domain, a bounded choice.
+    /// The latest beats of some known nodes in the sender's failure domain, limited in number.
     pub beats: Vec<KeyedBeat>,
-    /// What the sender knows of other failure domains, a bounded choice.
+    /// The latest summaries of some other failure domains, limited in number.
     pub summaries: Vec<DomainSummary>,
-    /// What the sender heard of upstreams a short while ago, bounded.
+    /// Recent notices about upstreams, limited in number except in a full list.
     pub upstreams: Vec<UpstreamNotice>,
 }
 
@@ -50,16 +50,16 @@
     }
 }
 
-/// What one node says of another one in its failure domain.
+/// The latest beat and state of a node, as reported by itself or by another node of its domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerBeat {
     /// The node.
     pub node: NodeId,
-    /// Its incarnation; a later one is larger.
+    /// Its incarnation. Later incarnations have larger numbers.
     pub incarnation: Incarnation,
-    /// The highest beat known.
+    /// The highest known beat.
     pub beat: u64,
-    /// How far its process is in its life.
+    /// The state of its process.
     pub state: NodeState,
     /// Its generation as of that beat.
     pub generation: u64,
@@ -67,20 +67,20 @@
     pub address: Option<Arc<str>>,
 }
 
-/// The same in a third of the bytes, for a receiver that knows the node.
+/// A [`PeerBeat`] in a third of its size, for receivers that already know the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyedBeat {
-    /// Stands for the node and its incarnation.
+    /// Identifies the node and its incarnation.
     pub key: BeatKey,
-    /// The highest beat known.
+    /// The highest known beat.
     pub beat: u64,
-    /// How far the node's process is in its life.
+    /// The state of the node's process.
     pub state: NodeState,
     /// Its generation as of that beat.
     pub generation: u64,
 }
 
-/// How far a node's process is in its life.
+/// The state of a node's process.
 #[derive(
     Clone,
     Copy,
@@ -106,15 +106,16 @@
     Leaving,
 }
 
-/// A hash that stands for a node and its incarnation among the few dozen of a failure domain.
+/// A short hash that identifies a node and its incarnation within a failure domain of a few dozen
+/// nodes.
 ///
-/// Two nodes with one key are told apart by sending neither by its key.
+/// If the keys of two nodes collide, both are sent as [`PeerBeat`] instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct BeatKey([u8; 4]);
 
 impl BeatKey {
-    /// The key of a node and its incarnation.
+    /// Computes the key of a node and its incarnation.
     ///
     /// ```
     /// use nutmegsail_base::Incarnation;
@@ -130,27 +131,27 @@
     }
 }
 
-/// What a failure domain tells the others about itself.
+/// The state of a failure domain, as its delegates send it to the other domains.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DomainSummary {
     /// The failure domain.
     pub failure_domain: FailureDomain,
     /// How long ago the summary was made, in milliseconds.
     pub age_ms: u32,
-    /// How many nodes the domain has, those out of reach among them.
+    /// The number of nodes in the domain, including unreachable ones.
     pub nodes: u32,
-    /// How many nodes run each generation, the highest generations first, bounded.
+    /// How many nodes run each generation, limited to the highest generations, highest first.
     pub at_generation: Vec<GenerationCount>,
-    /// Nodes out of reach, bounded.
+    /// Unreachable nodes, limited in number.
     pub unreachable: Vec<NodeId>,
-    /// The digest of the highest generation that the node which made the summary runs.
+    /// The digest of the generation in force on the author of the summary.
     #[serde(with = "crate::digest_codec")]
     pub digest: Arc<str>,
     /// The generation of that digest.
     pub generation: u64,
-    /// Nodes of the domain that may be written to, bounded; the one that made the summary first.
+    /// Nodes of the domain that accept messages, limited in number. The author comes first.
     pub contacts: Vec<Contact>,
-    /// What the domain heard of upstreams a short while ago, bounded.
+    /// Recent notices about upstreams, limited in number.
     pub upstreams: Vec<UpstreamNotice>,
 }
 
@@ -163,7 +164,7 @@
     pub nodes: u32,
 }
 
-/// A node and where it is reached.
+/// A node and its address.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Contact {
     /// The node.
@@ -172,7 +173,7 @@
     pub address: Arc<str>,
 }
 
-/// That an upstream is leaving, or that it is not.
+/// A notice that an upstream is leaving or that it is staying.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamNotice {
     /// The upstream.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,21 +1,21 @@
-//! Which nodes and upstreams are there, by failure domain.
+//! Tracks the nodes of every failure domain and the upstreams that are leaving.
 //!
-//! Within a failure domain nodes tell each other signs of life; between domains a few delegates
-//! exchange short accounts. This crate is told what arrives and what the platform's lagging VM list
-//! shows, and decides which nodes count as live, which upstreams are leaving, and who must be told.
-//! It never sends, reads no clock, and nothing that must always hold rests on it: two nodes may
-//! disagree on who is live at any time. Start at [`Membership`].
+//! Nodes of one failure domain exchange heartbeats; a few delegates of each domain exchange
+//! summaries with the other domains. From received messages and the platform's VM list, which
+//! lags, this crate decides which nodes are live, which upstreams are leaving, and what to send to
+//! whom. It does no I/O and reads no clock. Two nodes may disagree on the live nodes at any time,
+//! so no safety property may depend on this view. Start at [`Membership`].
 
 mod action;
+mod delegates;
 mod digest_codec;
 mod domains;
 mod event;
 mod heartbeat;
 mod membership;
-mod own_account;
+mod own_state;
 mod peer;
 mod peers;
-mod ranking;
 mod settings;
 mod status;
 mod upstream_notices;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,27 +1,27 @@
 //! The membership core.
 
-mod hearing;
-mod telling;
+mod receiving;
+mod sending;
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::{FailureDomain, Incarnation, NodeId, UpstreamId};
 
+use crate::delegates::is_delegate;
 use crate::domains::OtherDomains;
-use crate::own_account::{OwnState, own_status};
+use crate::own_state::{OwnState, own_status};
 use crate::peers::Peers;
-use crate::ranking::is_delegate;
 use crate::upstream_notices::UpstreamNotices;
 use crate::{
     LiveNode, MembershipAction, MembershipEvent, MembershipNote, MembershipSettings, NodeState,
     StatusReport,
 };
 
-/// Which nodes and upstreams are there.
+/// The view that one node has of the other nodes and of upstreams that are leaving.
 ///
-/// It is told what arrives and when, and answers with what to send and what has changed. It reads
-/// no clock and sends nothing itself.
+/// It handles events that carry their time, and returns what to send and what has changed as
+/// [`MembershipAction`]s. It reads no clock and does no I/O.
 ///
 /// ```
 /// use std::time::Instant;
@@ -58,14 +58,14 @@
     is_delegate: bool,
     last_handled: Option<Instant>,
     last_summary: Option<Instant>,
-    last_vm_ask: Option<Instant>,
+    last_vm_list_request: Option<Instant>,
 }
 
 impl Membership {
-    /// The state of a node that has just started and knows nobody.
+    /// Creates the state of a node that has just started and knows no other node.
     ///
-    /// `incarnation` must be higher than that of the node's former runs; the time of day in
-    /// milliseconds will do.
+    /// `incarnation` must be higher than in the node's earlier runs, such as the Unix time in
+    /// milliseconds.
     pub fn new(
         settings: MembershipSettings,
         me: NodeId,
@@ -84,11 +84,11 @@
             is_delegate: false,
             last_handled: None,
             last_summary: None,
-            last_vm_ask: None,
+            last_vm_list_request: None,
         }
     }
 
-    /// Takes in one event and adds what follows from it to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         event: MembershipEvent,
@@ -96,46 +96,48 @@
         rng: &mut dyn rand::Rng,
         actions: &mut Vec<MembershipAction>,
     ) {
-        self.notice_pause(now, actions);
-        // Most events are heartbeats that change nothing about the live nodes.
+        self.detect_pause(now, actions);
+        // Most events are heartbeats, which rarely change the live nodes. After a heartbeat the
+        // list is recomputed only if the change counter has moved.
         let may_change_live = !matches!(event, MembershipEvent::Heard { .. });
-        let changes = self.peers.changes();
+        let change_count = self.peers.change_count();
         match event {
             MembershipEvent::Heard {
                 from,
                 incarnation,
                 heartbeat,
-            } => self.heard(from, incarnation, heartbeat, now, rng, actions),
+            } => self.receive_heartbeat(from, incarnation, heartbeat, now, rng, actions),
             MembershipEvent::SummaryHeard { from, summary } => {
-                self.summary_heard(from, &summary, now, rng, actions);
+                self.receive_summary(from, &summary, now, rng, actions);
             }
-            MembershipEvent::VmListRead { vms } => self.vm_list_read(vms, actions),
+            MembershipEvent::VmListRead { vms } => self.apply_vm_list(vms, actions),
             MembershipEvent::Seeds { addresses } => self.peers.add_seeds(addresses),
             MembershipEvent::UpstreamLeaving {
                 upstream,
                 incarnation,
                 source: _,
-            } => self.observe(upstream, incarnation, true, now, rng, actions),
+            } => self.observe_upstream(upstream, incarnation, true, now, rng, actions),
             MembershipEvent::UpstreamStaying {
                 upstream,
                 incarnation,
-            } => self.observe(upstream, Some(incarnation), false, now, rng, actions),
+            } => self.observe_upstream(upstream, Some(incarnation), false, now, rng, actions),
             MembershipEvent::OwnGeneration { generation, digest } => {
-                self.own_generation(generation, digest, now, rng, actions);
+                self.set_own_generation(generation, digest, now, rng, actions);
             }
             MembershipEvent::OwnState {
                 is_ready,
                 is_leaving,
-            } => self.own_state(is_ready, is_leaving, now, rng, actions),
-            MembershipEvent::Resumed { paused } => self.resumed(paused, now, actions),
+            } => self.set_own_state(is_ready, is_leaving, now, rng, actions),
+            MembershipEvent::Resumed { paused } => self.record_pause(paused, now, actions),
             MembershipEvent::Tick => self.tick(now, rng, actions),
         }
-        if may_change_live || changes != self.peers.changes() {
-            self.announce_live(now, actions);
+        if may_change_live || change_count != self.peers.change_count() {
+            self.announce_live_nodes(now, actions);
         }
     }
 
-    /// The nodes of the own failure domain that may own engines, as last announced.
+    /// The nodes of the own failure domain that may own engines, as in the last
+    /// [`MembershipAction::LiveNodesChanged`].
     pub fn live_nodes(&self) -> &[LiveNode] {
         &self.live
     }
@@ -155,24 +157,31 @@
         own_status(&self.own, &self.peers, &self.domains)
     }
 
-    /// A node that did not run cannot have heard anybody: that time must not count as the others'
-    /// silence, or it would wake up, give up every peer at once, and take over all their engines.
-    fn notice_pause(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
+    /// Detects a pause of this process by the time since the last event.
+    ///
+    /// A paused node receives nothing, so the pause must not count as silence of its peers.
+    /// Otherwise it would resume, mark every peer as unreachable and take over all their engines.
+    fn detect_pause(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
         let last = self.last_handled.replace(now).unwrap_or(now);
         let paused = now.duration_since(last);
         if paused > Duration::from_millis(self.settings.pause_after_ms) {
-            self.resumed(paused, now, actions);
+            self.record_pause(paused, now, actions);
         }
     }
 
-    fn resumed(&mut self, paused: Duration, now: Instant, actions: &mut Vec<MembershipAction>) {
-        self.peers.absorb_pause(paused, now);
-        self.domains.absorb_pause(paused, now);
+    fn record_pause(
+        &mut self,
+        paused: Duration,
+        now: Instant,
+        actions: &mut Vec<MembershipAction>,
+    ) {
+        self.peers.exclude_pause(paused, now);
+        self.domains.exclude_pause(paused, now);
         self.wants_roster = true;
         report(actions, MembershipNote::OwnPause { paused });
     }
 
-    fn own_generation(
+    fn set_own_generation(
         &mut self,
         generation: u64,
         digest: Arc<str>,
@@ -185,10 +194,10 @@
         }
         self.own.generation = generation;
         self.own.digest = digest;
-        self.spread_at_once(now, rng, actions);
+        self.spread_urgently(now, rng, actions);
     }
 
-    fn own_state(
+    fn set_own_state(
         &mut self,
         is_ready: bool,
         is_leaving: bool,
@@ -205,25 +214,26 @@
             return;
         }
         self.own.state = state;
-        // To everybody: who leaves must own nothing by the time its process ends.
-        self.tell_some(usize::MAX, now, rng, actions);
+        // All peers must know that this node is leaving, so that it owns no engine when its process
+        // ends.
+        self.send_heartbeat_now(usize::MAX, now, rng, actions);
     }
 
     fn tick(&mut self, now: Instant, rng: &mut dyn rand::Rng, actions: &mut Vec<MembershipAction>) {
         self.peers.advance(now, &self.settings, actions);
         self.upstreams.advance(now, &self.settings, actions);
         self.advance_domains(now, actions);
-        self.choose_delegates(actions);
-        self.ask_vm_list(now, actions);
+        self.update_delegate_role(actions);
+        self.request_vm_list(now, actions);
         self.send_heartbeats(now, rng, actions);
-        self.probe(now, actions);
+        self.send_probe(now, actions);
         let summary_interval = Duration::from_millis(self.settings.summary_interval_ms);
         if self.is_delegate && is_due(self.last_summary, summary_interval, now) {
             self.send_summaries(now, rng, actions);
         }
     }
 
-    fn choose_delegates(&mut self, actions: &mut Vec<MembershipAction>) {
+    fn update_delegate_role(&mut self, actions: &mut Vec<MembershipAction>) {
         let was_delegate = self.is_delegate;
         self.is_delegate = is_delegate(
             &self.own.node,
@@ -232,21 +242,21 @@
             self.settings.delegates,
         );
         if was_delegate && !self.is_delegate {
-            self.domains.stop_talking(actions);
+            self.domains.release_contacts(actions);
         }
     }
 
-    /// The list's reads must not grow with the fleet, so only the delegates read it. A node that
-    /// knows nobody counts itself among them.
-    fn ask_vm_list(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
+    /// Only delegates read the VM list, so that the number of reads does not grow with the fleet. A
+    /// node that knows no peers is a delegate.
+    fn request_vm_list(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
         let interval = Duration::from_millis(self.settings.vm_list_interval_ms);
-        if self.is_delegate && is_due(self.last_vm_ask, interval, now) {
-            self.last_vm_ask = Some(now);
+        if self.is_delegate && is_due(self.last_vm_list_request, interval, now) {
+            self.last_vm_list_request = Some(now);
             actions.push(MembershipAction::AskVmList);
         }
     }
 
-    fn announce_live(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
+    fn announce_live_nodes(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
         let own = self.own.live_node();
         let mut live: Vec<_> = self.peers.live(now).chain(own).collect();
         live.sort();
--- a/crates/membership/src/membership/hearing.rs
+++ b/crates/membership/src/membership/receiving.rs
@@ -1,4 +1,4 @@
-//! What other nodes, the VM list and this node's own sight of upstreams tell.
+//! Handling of received messages, the VM list and this node's own observations of upstreams.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use nutmegsail_base::{FailureDomain, Incarnation, NodeId, UpstreamId};
 
 use super::{Membership, report};
-use crate::peer::Sighting;
+use crate::peer::PeerUpdate;
 use crate::peers::ListedPeer;
 use crate::upstream_notices::Observation;
 use crate::{
@@ -16,7 +16,7 @@
 };
 
 impl Membership {
-    pub(super) fn heard(
+    pub(super) fn receive_heartbeat(
         &mut self,
         from: NodeId,
         incarnation: Incarnation,
@@ -32,21 +32,21 @@
             }
             return;
         }
-        self.generation_seen(&from, &heartbeat, actions);
-        self.notices_heard(&heartbeat.upstreams, now, rng, actions);
+        self.report_newer_generation(&from, &heartbeat, actions);
+        self.merge_notices(&heartbeat.upstreams, now, rng, actions);
         if heartbeat.failure_domain != self.own.failure_domain {
-            self.heard_from_other_domain(from, &heartbeat, now, actions);
+            self.receive_from_other_domain(from, &heartbeat, now, actions);
             return;
         }
         let sender_address = Arc::clone(&heartbeat.address);
         let wants_roster = heartbeat.wants_roster;
-        self.sight_all(from, incarnation, heartbeat, now, actions);
+        self.merge_heartbeat(from, incarnation, heartbeat, now, actions);
         if wants_roster {
             self.send_roster(sender_address, now, actions);
         }
     }
 
-    pub(super) fn sight_all(
+    pub(super) fn merge_heartbeat(
         &mut self,
         from: NodeId,
         incarnation: Incarnation,
@@ -58,22 +58,22 @@
             self.wants_roster = false;
         }
         for summary in &heartbeat.summaries {
-            self.take_in_summary(summary, now, actions);
+            self.merge_summary(summary, now, actions);
         }
         let direct = heartbeat.sender_beat(from, incarnation);
-        self.sight(direct, true, now, actions);
+        self.record_peer(direct, true, now, actions);
         for beat in heartbeat.introductions {
-            self.sight(beat, false, now, actions);
+            self.record_peer(beat, false, now, actions);
         }
         for keyed in heartbeat.beats {
             match self.peers.resolve(keyed) {
-                Some(beat) => self.sight(beat, false, now, actions),
+                Some(beat) => self.record_peer(beat, false, now, actions),
                 None => self.wants_roster |= !self.own.is_key(keyed.key),
             }
         }
     }
 
-    pub(super) fn sight(
+    pub(super) fn record_peer(
         &mut self,
         beat: PeerBeat,
         is_direct: bool,
@@ -83,16 +83,16 @@
         if beat.node == self.own.node {
             return;
         }
-        let Some(note) = self.peers.sight(Sighting { beat, is_direct }, now) else {
+        let Some(note) = self.peers.apply_update(PeerUpdate { beat, is_direct }, now) else {
             return;
         };
         if matches!(note, MembershipNote::PeerReturned(_)) {
-            self.upstreams.spread_again(now, &self.settings);
+            self.upstreams.restart_spreading(now, &self.settings);
         }
         report(actions, note);
     }
 
-    pub(super) fn heard_from_other_domain(
+    pub(super) fn receive_from_other_domain(
         &mut self,
         from: NodeId,
         heartbeat: &Heartbeat,
@@ -107,12 +107,12 @@
             .add_contact(&heartbeat.failure_domain, &contact);
         if heartbeat.wants_roster {
             let to = vec![contact.address];
-            let summary = self.summary(now);
+            let summary = self.current_summary(now);
             actions.push(MembershipAction::SendSummary { to, summary });
         }
     }
 
-    pub(super) fn generation_seen(
+    pub(super) fn report_newer_generation(
         &mut self,
         from: &NodeId,
         heartbeat: &Heartbeat,
@@ -128,7 +128,7 @@
         }
     }
 
-    pub(super) fn summary_heard(
+    pub(super) fn receive_summary(
         &mut self,
         from: NodeId,
         summary: &DomainSummary,
@@ -139,29 +139,29 @@
         if summary.failure_domain == self.own.failure_domain {
             return;
         }
-        self.take_in_summary(summary, now, actions);
-        self.notices_heard(&summary.upstreams, now, rng, actions);
-        let maker = summary.contacts.iter().find(|contact| contact.node == from);
-        if let Some(maker) = maker
+        self.merge_summary(summary, now, actions);
+        self.merge_notices(&summary.upstreams, now, rng, actions);
+        let author = summary.contacts.iter().find(|contact| contact.node == from);
+        if let Some(author) = author
             && summary.generation > self.own.generation
         {
             actions.push(MembershipAction::GenerationSeen {
                 peer: from,
-                address: Arc::clone(&maker.address),
+                address: Arc::clone(&author.address),
                 generation: summary.generation,
                 digest: Arc::clone(&summary.digest),
             });
         }
     }
 
-    pub(super) fn take_in_summary(
+    pub(super) fn merge_summary(
         &mut self,
         summary: &DomainSummary,
         now: Instant,
         actions: &mut Vec<MembershipAction>,
     ) {
         if summary.failure_domain != self.own.failure_domain {
-            self.domains.take_in(summary, now);
+            self.domains.merge_summary(summary, now);
             self.advance_domains(now, actions);
         }
     }
@@ -169,38 +169,38 @@
     pub(super) fn advance_domains(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
         for note in self.domains.advance(now, &self.settings) {
             if matches!(note, MembershipNote::DomainReturned(_)) {
-                self.upstreams.spread_again(now, &self.settings);
+                self.upstreams.restart_spreading(now, &self.settings);
             }
             report(actions, note);
         }
     }
 
-    pub(super) fn notices_heard(
+    pub(super) fn merge_notices(
         &mut self,
         notices: &[UpstreamNotice],
         now: Instant,
         rng: &mut dyn rand::Rng,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let mut has_news = false;
+        let mut has_changes = false;
         for notice in notices {
             let age = Duration::from_millis(notice.age_ms.into());
-            let seen = Observation {
+            let observation = Observation {
                 upstream: notice.upstream.clone(),
                 incarnation: notice.incarnation,
                 is_leaving: notice.is_leaving,
                 observed_at: now.checked_sub(age).unwrap_or(now),
             };
-            let change = self.upstreams.observe(seen, now, &self.settings);
-            has_news |= change.is_some();
+            let change = self.upstreams.observe(observation, now, &self.settings);
+            has_changes |= change.is_some();
             actions.extend(change);
         }
-        if has_news {
-            self.spread_at_once(now, rng, actions);
+        if has_changes {
+            self.spread_urgently(now, rng, actions);
         }
     }
 
-    pub(super) fn observe(
+    pub(super) fn observe_upstream(
         &mut self,
         upstream: UpstreamId,
         incarnation: Option<Incarnation>,
@@ -209,24 +209,24 @@
         rng: &mut dyn rand::Rng,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let seen = Observation {
+        let observation = Observation {
             upstream,
             incarnation,
             is_leaving,
             observed_at: now,
         };
-        if let Some(change) = self.upstreams.observe(seen, now, &self.settings) {
+        if let Some(change) = self.upstreams.observe(observation, now, &self.settings) {
             actions.push(change);
-            self.spread_at_once(now, rng, actions);
+            self.spread_urgently(now, rng, actions);
         }
     }
 
-    pub(super) fn vm_list_read(&mut self, vms: Vec<VmHint>, actions: &mut Vec<MembershipAction>) {
+    pub(super) fn apply_vm_list(&mut self, vms: Vec<VmHint>, actions: &mut Vec<MembershipAction>) {
         let mut own_domain = BTreeMap::new();
         let mut others: BTreeMap<FailureDomain, BTreeMap<NodeId, Arc<str>>> = BTreeMap::new();
         for vm in vms {
             if vm.id == self.own.node {
-                self.own_vm_listed(vm.is_leaving, actions);
+                self.record_own_vm(vm.is_leaving, actions);
             } else if vm.failure_domain == self.own.failure_domain {
                 let listed = ListedPeer {
                     address: vm.address,
@@ -238,11 +238,11 @@
                 nodes.insert(vm.id, vm.address);
             }
         }
-        self.peers.list(&own_domain, actions);
-        self.domains.list(&others);
+        self.peers.merge_vm_list(&own_domain, actions);
+        self.domains.merge_vm_list(&others);
     }
 
-    pub(super) fn own_vm_listed(&mut self, is_leaving: bool, actions: &mut Vec<MembershipAction>) {
+    pub(super) fn record_own_vm(&mut self, is_leaving: bool, actions: &mut Vec<MembershipAction>) {
         if is_leaving && !self.own.is_listed_leaving {
             report(actions, MembershipNote::OwnVmLeaving);
         }
--- a/crates/membership/src/membership/telling.rs
+++ b/crates/membership/src/membership/sending.rs
@@ -1,10 +1,10 @@
-//! What this node tells other nodes.
+//! Heartbeats and summaries that this node sends.
 
 use std::sync::Arc;
 use std::time::Instant;
 
 use super::Membership;
-use crate::own_account::own_summary;
+use crate::own_state::own_summary;
 use crate::{DomainSummary, Heartbeat, MembershipAction};
 
 impl Membership {
@@ -18,23 +18,23 @@
         if to.is_empty() {
             return;
         }
-        let mut heartbeat = self.heartbeat(now);
+        let mut heartbeat = self.next_heartbeat(now);
         let count = self.settings.peers_per_heartbeat;
         heartbeat.introductions = self.peers.introductions(now);
         heartbeat.beats = self.peers.freshest_beats(count, rng);
-        heartbeat.summaries = self.domains.relayed(now, rng);
+        heartbeat.summaries = self.domains.relayed_summaries(now, rng);
         actions.push(MembershipAction::SendHeartbeat { to, heartbeat });
     }
 
-    pub(super) fn probe(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
-        let Some(address) = self.peers.probe() else {
+    pub(super) fn send_probe(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
+        let Some(address) = self.peers.next_probe_address() else {
             return;
         };
         actions.push(MembershipAction::Disconnect {
             address: Arc::clone(&address),
         });
         let to = vec![address];
-        let heartbeat = self.heartbeat(now);
+        let heartbeat = self.next_heartbeat(now);
         actions.push(MembershipAction::SendHeartbeat { to, heartbeat });
     }
 
@@ -47,30 +47,31 @@
         self.last_summary = Some(now);
         let to = self.domains.targets(rng, actions);
         if !to.is_empty() {
-            let mut summary = self.summary(now);
-            let others = self.peers.some_contacts(rng);
+            let mut summary = self.current_summary(now);
+            let others = self.peers.random_contacts(rng);
             summary.contacts.extend(others);
             actions.push(MembershipAction::SendSummary { to, summary });
         }
     }
 
-    /// Tells some nodes of a change without waiting for the next interval. Each of them does the
-    /// same when it learns of it, so a change is everywhere after a few hops.
-    pub(super) fn spread_at_once(
+    /// Sends a change to some nodes without waiting for the next interval. Each receiver does the
+    /// same, so the change reaches all nodes after a few hops.
+    pub(super) fn spread_urgently(
         &mut self,
         now: Instant,
         rng: &mut dyn rand::Rng,
         actions: &mut Vec<MembershipAction>,
     ) {
-        self.tell_some(self.settings.urgent_fan_out, now, rng, actions);
+        self.send_heartbeat_now(self.settings.urgent_fan_out, now, rng, actions);
         if self.is_delegate {
             self.send_summaries(now, rng, actions);
-            // Once more with the next interval: these few messages are a domain's only news.
+            // Send the summary again at the next tick: another domain gets it only from the few
+            // delegates, and their messages may be lost.
             self.last_summary = None;
         }
     }
 
-    pub(super) fn tell_some(
+    pub(super) fn send_heartbeat_now(
         &mut self,
         count: usize,
         now: Instant,
@@ -79,7 +80,7 @@
     ) {
         let to = self.peers.targets(count, rng);
         if !to.is_empty() {
-            let heartbeat = self.heartbeat(now);
+            let heartbeat = self.next_heartbeat(now);
             actions.push(MembershipAction::SendHeartbeat { to, heartbeat });
         }
     }
@@ -90,7 +91,7 @@
         now: Instant,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let mut heartbeat = self.heartbeat(now);
+        let mut heartbeat = self.next_heartbeat(now);
         heartbeat.is_roster = true;
         heartbeat.introductions = self.peers.roster();
         heartbeat.upstreams = self.upstreams.all(now);
@@ -98,7 +99,7 @@
         actions.push(MembershipAction::SendHeartbeat { to, heartbeat });
     }
 
-    pub(super) fn heartbeat(&mut self, now: Instant) -> Heartbeat {
+    pub(super) fn next_heartbeat(&mut self, now: Instant) -> Heartbeat {
         self.own.beat += 1;
         Heartbeat {
             failure_domain: self.own.failure_domain.clone(),
@@ -112,12 +113,12 @@
             introductions: Vec::new(),
             beats: Vec::new(),
             summaries: Vec::new(),
-            upstreams: self.upstreams.to_spread(now, &self.settings),
+            upstreams: self.upstreams.spreading_notices(now, &self.settings),
         }
     }
 
-    pub(super) fn summary(&self, now: Instant) -> DomainSummary {
-        let upstreams = self.upstreams.to_spread(now, &self.settings);
+    pub(super) fn current_summary(&self, now: Instant) -> DomainSummary {
+        let upstreams = self.upstreams.spreading_notices(now, &self.settings);
         own_summary(&self.own, &self.peers, upstreams)
     }
 }
--- a/crates/membership/src/own_account.rs
+++ b/crates/membership/src/own_state.rs
@@ -1,4 +1,4 @@
-//! This node's own state, and what it says of itself and of its failure domain.
+//! This node's own state, and the summary and status report derived from it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,12 +12,12 @@
     StatusReport, UpstreamNotice,
 };
 
-/// Generations that a domain's account counts.
-const COUNTED_GENERATIONS: usize = 4;
-/// Unreachable nodes that a domain's account names.
-const NAMED_UNREACHABLE: usize = 8;
+/// Limits the generations in a domain's summary.
+const MAX_COUNTED_GENERATIONS: usize = 4;
+/// Limits the unreachable nodes in a domain's summary.
+const MAX_NAMED_UNREACHABLE: usize = 8;
 
-/// This node's own state.
+/// The state of this node that it sends to others.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnState {
     pub(crate) node: NodeId,
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Whether `key` stands for this node.
+    /// Whether `key` identifies this node.
     pub(crate) fn is_key(&self, key: BeatKey) -> bool {
         key == BeatKey::new(&self.node, self.incarnation)
     }
 
-    /// This node among the live ones, if it may own engines.
+    /// Returns this node as a live node if it may own engines.
     pub(crate) fn live_node(&self) -> Option<LiveNode> {
         let is_live = self.state == NodeState::Ready && !self.is_listed_leaving;
         is_live.then(|| LiveNode {
@@ -67,15 +67,15 @@
     }
 }
 
-/// The own failure domain's account for the others.
+/// Creates the summary of the own failure domain for the other domains.
 pub(crate) fn own_summary(
     own: &OwnState,
     peers: &Peers,
     upstreams: Vec<UpstreamNotice>,
 ) -> DomainSummary {
     let counts = generation_counts(own, peers);
-    let highest = counts.into_iter().rev().take(COUNTED_GENERATIONS);
-    let unreachable = peers.unreachable_nodes().take(NAMED_UNREACHABLE);
+    let highest = counts.into_iter().rev().take(MAX_COUNTED_GENERATIONS);
+    let unreachable = peers.unreachable_nodes().take(MAX_NAMED_UNREACHABLE);
     DomainSummary {
         failure_domain: own.failure_domain.clone(),
         age_ms: 0,
@@ -94,7 +94,7 @@
     }
 }
 
-/// This node's view of the deployment.
+/// Creates the status report with this node's view of the deployment.
 pub(crate) fn own_status(own: &OwnState, peers: &Peers, domains: &OtherDomains) -> StatusReport {
     let own_domain = DomainStatus {
         failure_domain: own.failure_domain.clone(),
@@ -118,8 +118,8 @@
 
 fn other_status(other: &OtherDomainStatus<'_>) -> DomainStatus {
     let failure_domain = other.failure_domain.clone();
-    let heard = other.summary.filter(|_| !other.is_unreachable);
-    if let Some(summary) = heard {
+    let reachable_summary = other.summary.filter(|_| !other.is_unreachable);
+    if let Some(summary) = reachable_summary {
         let counts = summary.at_generation.iter();
         return DomainStatus {
             failure_domain,
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -1,4 +1,4 @@
-//! One node of the own failure domain.
+//! The state of one other node of the own failure domain.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,45 +7,46 @@
 
 use crate::{BeatKey, KeyedBeat, MembershipNote, NodeState, PeerBeat};
 
-/// How long a node that came back stays out of the live nodes; doubles with each return.
-const RETURN_WAIT: Duration = Duration::from_millis(500);
-const RETURN_WAIT_MAX: Duration = Duration::from_secs(30);
+/// How long a node that is reachable again is not counted as live. Doubles with each return.
+const RETURN_DELAY: Duration = Duration::from_millis(500);
+const MAX_RETURN_DELAY: Duration = Duration::from_secs(30);
 
-/// What was learned of a node, by itself or through another one.
-pub(crate) struct Sighting {
+/// A received beat of a node.
+pub(crate) struct PeerUpdate {
     pub(crate) beat: PeerBeat,
+    /// Whether the node itself sent it, rather than another node.
     pub(crate) is_direct: bool,
 }
 
-/// One node of the own failure domain.
+/// Another node of the own failure domain.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub(crate) incarnation: Incarnation,
     pub(crate) beat: u64,
-    /// When the highest beat was learned of.
-    pub(crate) heard_at: Instant,
-    /// Since when this incarnation is known.
+    /// When the highest known beat was received, from the node itself or from another.
+    pub(crate) last_contact: Instant,
+    /// When this incarnation became known.
     pub(crate) known_since: Instant,
     pub(crate) state: NodeState,
     pub(crate) is_listed_leaving: bool,
     pub(crate) generation: u64,
     pub(crate) address: Option<Arc<str>>,
-    pub(crate) reach: Reach,
-    pub(crate) returns: u32,
+    pub(crate) reachability: Reachability,
+    pub(crate) return_count: u32,
     pub(crate) live_from: Instant,
 }
 
-/// Whether a node is heard.
+/// Whether new beats of a node are received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reach {
+pub(crate) enum Reachability {
     Reachable,
     Unreachable {
         since: Instant,
-        /// Set while a mass loss is held: the node still counts as live until then.
+        /// Set if the node was lost together with most others: it counts as live until then.
         live_until: Option<Instant>,
     },
-    /// Given up. Remembered, so that a late message does not bring it back.
-    Gone {
+    /// Removed from the view. Kept for a while, so that a late message does not add it again.
+    Removed {
         since: Instant,
     },
 }
@@ -55,84 +56,89 @@
         Self {
             incarnation: beat.incarnation,
             beat: beat.beat,
-            heard_at: now,
+            last_contact: now,
             known_since: now,
             state: beat.state,
             is_listed_leaving: false,
             generation: beat.generation,
             address: beat.address,
-            reach: Reach::Reachable,
-            returns: 0,
+            reachability: Reachability::Reachable,
+            return_count: 0,
             live_from: now,
         }
     }
 
     pub(crate) fn is_live(&self, now: Instant) -> bool {
-        let counts = match self.reach {
-            Reach::Reachable => now >= self.live_from,
-            Reach::Unreachable { live_until, .. } => live_until.is_some_and(|until| now < until),
-            Reach::Gone { .. } => false,
+        let counts = match self.reachability {
+            Reachability::Reachable => now >= self.live_from,
+            Reachability::Unreachable { live_until, .. } => {
+                live_until.is_some_and(|until| now < until)
+            }
+            Reachability::Removed { .. } => false,
         };
         counts && self.state == NodeState::Ready && !self.is_listed_leaving
     }
 
-    /// Whether a sighting is newer than what is known.
+    /// Whether an update is newer than the known state.
     ///
-    /// Incarnations of one node rise. The exception is a VM whose clock was set back: it is
-    /// believed if it speaks for itself while its former incarnation is silent.
-    pub(crate) fn is_news(&self, sighting: &Sighting) -> bool {
-        let seen = (sighting.beat.incarnation, sighting.beat.beat);
-        let is_set_back = sighting.is_direct && self.reach != Reach::Reachable;
+    /// Incarnations of a node normally increase. If a VM's clock was set back, its new incarnation
+    /// is lower; that is accepted only from the node itself, and only while the known incarnation
+    /// is not reachable.
+    pub(crate) fn is_newer(&self, update: &PeerUpdate) -> bool {
+        let seen = (update.beat.incarnation, update.beat.beat);
+        let may_be_clock_reset = update.is_direct && self.reachability != Reachability::Reachable;
         seen > (self.incarnation, self.beat)
-            || (is_set_back && sighting.beat.incarnation != self.incarnation)
+            || (may_be_clock_reset && update.beat.incarnation != self.incarnation)
     }
 
-    pub(crate) fn take_in(&mut self, beat: PeerBeat, now: Instant) -> Option<MembershipNote> {
-        let note = self.note_of(&beat);
+    pub(crate) fn apply(&mut self, beat: PeerBeat, now: Instant) -> Option<MembershipNote> {
+        let note = self.note_for(&beat);
         if beat.incarnation != self.incarnation {
             self.known_since = now;
         }
-        if self.reach != Reach::Reachable {
-            self.delay_return(now);
+        if self.reachability != Reachability::Reachable {
+            self.mark_reachable(now);
         }
         self.incarnation = beat.incarnation;
         self.beat = beat.beat;
-        self.heard_at = now;
+        self.last_contact = now;
         self.state = beat.state;
         self.generation = beat.generation;
         self.address = beat.address.or_else(|| self.address.take());
         note
     }
 
-    pub(crate) fn note_of(&self, beat: &PeerBeat) -> Option<MembershipNote> {
+    pub(crate) fn note_for(&self, beat: &PeerBeat) -> Option<MembershipNote> {
         let node = beat.node.clone();
         if beat.incarnation != self.incarnation {
             return Some(MembershipNote::PeerRestarted(node));
         }
-        if self.reach != Reach::Reachable {
+        if self.reachability != Reachability::Reachable {
             return Some(MembershipNote::PeerReturned(node));
         }
         let starts_leaving = beat.state == NodeState::Leaving && self.state != NodeState::Leaving;
         starts_leaving.then_some(MembershipNote::PeerLeaving(node))
     }
 
-    /// A node that comes and goes would move the ownership of engines with each flap, and every
-    /// move keeps evictions waiting for a pin's whole life. So each return counts later than the
-    /// one before.
-    pub(crate) fn delay_return(&mut self, now: Instant) {
-        if let Reach::Unreachable {
+    /// Marks the node as reachable, but delays when it counts as live, longer after each return.
+    ///
+    /// A flapping node would otherwise move engine ownership each time, and every move delays
+    /// evictions by the full lifetime of a pin. There is no delay while the node still counts as
+    /// live after a mass loss.
+    pub(crate) fn mark_reachable(&mut self, now: Instant) {
+        if let Reachability::Unreachable {
             live_until: Some(until),
             ..
-        } = self.reach
+        } = self.reachability
             && now < until
         {
-            self.reach = Reach::Reachable;
+            self.reachability = Reachability::Reachable;
             return;
         }
-        let wait = RETURN_WAIT * 2u32.saturating_pow(self.returns.min(8));
-        self.reach = Reach::Reachable;
-        self.returns += 1;
-        self.live_from = now + wait.min(RETURN_WAIT_MAX);
+        let wait = RETURN_DELAY * 2u32.saturating_pow(self.return_count.min(8));
+        self.reachability = Reachability::Reachable;
+        self.return_count += 1;
+        self.live_from = now + wait.min(MAX_RETURN_DELAY);
     }
 
     pub(crate) fn to_beat(&self, node: &NodeId) -> PeerBeat {
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -7,38 +7,38 @@
 use nutmegsail_base::NodeId;
 use rand::seq::{IndexedRandom, IteratorRandom, SliceRandom};
 
-use crate::peer::{Peer, Reach, Sighting};
+use crate::peer::{Peer, PeerUpdate, Reachability};
 use crate::{
     BeatKey, Contact, KeyedBeat, LiveNode, MembershipAction, MembershipNote, MembershipSettings,
     PeerBeat,
 };
 
-/// How many nodes must vanish at once for it to look like a fault of the path to them.
-const MASS_LOSS_NODES: usize = 3;
-/// How many nodes other domains are told of besides the one that writes to them.
-const CONTACTS_NAMED: usize = 3;
-/// How long a node is introduced to others after it was first heard of.
-const INTRODUCED_FOR: Duration = Duration::from_secs(10);
-/// How many introductions go with a heartbeat.
-const INTRODUCTIONS: usize = 16;
-/// How long a node must be reachable for its earlier returns to be forgotten.
-const RETURNS_FORGOTTEN: Duration = Duration::from_secs(60);
-/// How many times `removed_after_ms` a node that was given up is remembered.
-const GONE_KEPT: u32 = 10;
+/// The least number of nodes silent at once that is treated as a likely network fault.
+const MIN_MASS_LOSS_NODES: usize = 3;
+/// Limits the contacts in a summary besides its author.
+const MAX_NAMED_CONTACTS: usize = 3;
+/// How long heartbeats introduce a node after its incarnation became known.
+const INTRODUCTION_PERIOD: Duration = Duration::from_secs(10);
+/// Limits the introductions in one heartbeat.
+const MAX_INTRODUCTIONS: usize = 16;
+/// A reachable node's return count is reset this long after it began to count as live.
+const RETURN_COUNT_RESET_AFTER: Duration = Duration::from_secs(60);
+/// How long a removed node is remembered, as a multiple of `removed_after_ms`.
+const REMOVED_KEPT_FACTOR: u32 = 10;
 
 /// The other nodes of the own failure domain.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Peers {
     peers: BTreeMap<NodeId, Peer>,
-    /// Addresses that may belong to nodes not heard of yet.
+    /// Addresses that may belong to nodes that are not known yet.
     candidates: BTreeMap<Arc<str>, CandidateSource>,
-    /// The node of each key; none where two nodes share one.
+    /// The node of each key, or `None` if the keys of several nodes collide.
     keys: BTreeMap<BeatKey, Option<NodeId>>,
     next_probe: usize,
-    /// Since when most nodes have been silent at once.
+    /// When most nodes became silent at once, until enough of them are reachable again.
     mass_loss_since: Option<Instant>,
-    /// Rises with every change that may matter to the live nodes, but for those by time alone.
-    changes: u64,
+    /// See [`Peers::change_count`].
+    change_count: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,71 +48,79 @@
 }
 
 impl Peers {
-    /// Takes in what was learned of a node. Returns whether it was new, with a note if it matters.
-    pub(crate) fn sight(&mut self, sighting: Sighting, now: Instant) -> Option<MembershipNote> {
-        if let Some(address) = &sighting.beat.address {
+    /// Applies an update if it is newer than the known state. Returns a note if the node is new or
+    /// has restarted, returned or begun to leave.
+    pub(crate) fn apply_update(
+        &mut self,
+        update: PeerUpdate,
+        now: Instant,
+    ) -> Option<MembershipNote> {
+        if let Some(address) = &update.beat.address {
             self.candidates.remove(address);
         }
-        let Some(peer) = self.peers.get_mut(&sighting.beat.node) else {
-            let node = sighting.beat.node.clone();
-            let peer = Peer::new(sighting.beat, now);
+        let Some(peer) = self.peers.get_mut(&update.beat.node) else {
+            let node = update.beat.node.clone();
+            let peer = Peer::new(update.beat, now);
             self.peers.insert(node.clone(), peer);
-            self.index_keys();
-            self.changes += 1;
+            self.rebuild_key_index();
+            self.change_count += 1;
             return Some(MembershipNote::PeerJoined(node));
         };
-        if !peer.is_news(&sighting) {
+        if !peer.is_newer(&update) {
             return None;
         }
-        let had = (peer.state, peer.address.clone());
-        let note = peer.take_in(sighting.beat, now);
-        if note.is_some() || had != (peer.state, peer.address.clone()) {
-            self.changes += 1;
+        let before = (peer.state, peer.address.clone());
+        let note = peer.apply(update.beat, now);
+        if note.is_some() || before != (peer.state, peer.address.clone()) {
+            self.change_count += 1;
         }
         if matches!(note, Some(MembershipNote::PeerRestarted(_))) {
-            self.index_keys();
+            self.rebuild_key_index();
         }
         note
     }
 
-    /// Adds time during which this node did not run to every peer's account.
+    /// Excludes a pause of this node from the time since every peer's last contact.
     ///
-    /// A paused node wakes with every peer silent for as long as it slept, and would give them all
-    /// up at once. Silence counts only while this node runs to hear it.
-    pub(crate) fn absorb_pause(&mut self, paused: Duration, now: Instant) {
+    /// Otherwise all peers would appear silent for the length of the pause and be marked
+    /// unreachable at once.
+    pub(crate) fn exclude_pause(&mut self, paused: Duration, now: Instant) {
         for peer in self.peers.values_mut() {
-            peer.heard_at = (peer.heard_at + paused).min(now);
+            peer.last_contact = (peer.last_contact + paused).min(now);
         }
     }
 
-    /// Lets time pass: silent nodes become unreachable, unreachable ones are given up.
+    /// Marks silent nodes as unreachable, removes nodes that have been unreachable for too long,
+    /// and resets return counts.
     pub(crate) fn advance(
         &mut self,
         now: Instant,
         settings: &MembershipSettings,
         actions: &mut Vec<MembershipAction>,
     ) {
-        self.mark_silent(now, settings, actions);
+        self.mark_unreachable(now, settings, actions);
         self.hold_mass_loss(now, settings, actions);
-        self.give_up(now, settings, actions);
+        self.remove_unreachable(now, settings, actions);
         for peer in self.peers.values_mut() {
-            let calm_since = peer.live_from + RETURNS_FORGOTTEN;
-            if peer.reach == Reach::Reachable && now >= calm_since {
-                peer.returns = 0;
+            let reset_at = peer.live_from + RETURN_COUNT_RESET_AFTER;
+            if peer.reachability == Reachability::Reachable && now >= reset_at {
+                peer.return_count = 0;
             }
         }
     }
 
-    fn mark_silent(
+    fn mark_unreachable(
         &mut self,
         now: Instant,
         settings: &MembershipSettings,
         actions: &mut Vec<MembershipAction>,
     ) {
         for (node, peer) in &mut self.peers {
-            let silent = now.duration_since(peer.heard_at);
-            if peer.reach == Reach::Reachable && silent >= settings.unreachable_after() {
-                peer.reach = Reach::Unreachable {
+            let silent = now.duration_since(peer.last_contact);
+            if peer.reachability == Reachability::Reachable
+                && silent >= settings.unreachable_after()
+            {
+                peer.reachability = Reachability::Unreachable {
                     since: now,
                     live_until: None,
                 };
@@ -122,12 +130,14 @@
         }
     }
 
-    /// When most nodes vanish at once, the path to them is the likelier fault. Moving every engine
-    /// to the few that are left would cost a compare-and-swap for each engine at once, and the same
-    /// again a moment later. So they go on counting as live for a while, and then go together.
+    /// Keeps counting unreachable nodes as live until a common deadline if most nodes are silent.
     ///
-    /// Nodes cross the limit one after the other, as they were last heard at different times. So a
-    /// loss is already measured by those that have been silent for half the limit.
+    /// A network fault is then more likely than the failure of all these nodes. Moving all engines
+    /// to the remaining nodes would cost a compare-and-swap per engine at once, and the same again
+    /// when the others return.
+    ///
+    /// Last contacts differ, so nodes reach the limit one after another. To detect the loss in
+    /// time, nodes that have been silent for half the limit count as silent here.
     fn hold_mass_loss(
         &mut self,
         now: Instant,
@@ -135,14 +145,14 @@
         actions: &mut Vec<MembershipAction>,
     ) {
         let half = settings.unreachable_after() / 2;
-        let is_silent = |peer: &Peer| match peer.reach {
-            Reach::Reachable => now.duration_since(peer.heard_at) >= half,
-            Reach::Unreachable { .. } => true,
-            Reach::Gone { .. } => false,
+        let is_silent = |peer: &Peer| match peer.reachability {
+            Reachability::Reachable => now.duration_since(peer.last_contact) >= half,
+            Reachability::Unreachable { .. } => true,
+            Reachability::Removed { .. } => false,
         };
         let silent = self.peers.values().filter(|peer| is_silent(peer)).count();
         let heard = self.reachable().filter(|(_, p)| !is_silent(p)).count();
-        if silent < MASS_LOSS_NODES || silent <= heard {
+        if silent < MIN_MASS_LOSS_NODES || silent <= heard {
             self.mass_loss_since = None;
             return;
         }
@@ -153,7 +163,7 @@
         let since = *self.mass_loss_since.get_or_insert(now);
         let held_until = since + Duration::from_millis(settings.mass_hold_ms);
         for peer in self.peers.values_mut() {
-            if let Reach::Unreachable { since, live_until } = &mut peer.reach
+            if let Reachability::Unreachable { since, live_until } = &mut peer.reachability
                 && *since == now
             {
                 *live_until = Some(held_until);
@@ -161,7 +171,7 @@
         }
     }
 
-    fn give_up(
+    fn remove_unreachable(
         &mut self,
         now: Instant,
         settings: &MembershipSettings,
@@ -169,36 +179,36 @@
     ) {
         let removed_after = Duration::from_millis(settings.removed_after_ms);
         for (node, peer) in &mut self.peers {
-            let Reach::Unreachable { since, .. } = peer.reach else {
+            let Reachability::Unreachable { since, .. } = peer.reachability else {
                 continue;
             };
             if now.duration_since(since) < removed_after {
                 continue;
             }
-            peer.reach = Reach::Gone { since: now };
+            peer.reachability = Reachability::Removed { since: now };
             let note = MembershipNote::PeerRemoved(node.clone());
             actions.push(MembershipAction::Report(note));
             actions.extend(peer.address.clone().map(disconnect));
         }
-        let forgotten_after = removed_after * GONE_KEPT;
+        let forgotten_after = removed_after * REMOVED_KEPT_FACTOR;
         let known = self.peers.len();
-        self.peers.retain(|_, peer| match peer.reach {
-            Reach::Gone { since } => now.duration_since(since) < forgotten_after,
+        self.peers.retain(|_, peer| match peer.reachability {
+            Reachability::Removed { since } => now.duration_since(since) < forgotten_after,
             _ => true,
         });
         if self.peers.len() < known {
-            self.index_keys();
+            self.rebuild_key_index();
         }
     }
 
-    /// Takes in the VM list's view. It lags: it adds candidates and marks nodes as leaving, and it
-    /// never takes a node away that is heard.
-    pub(crate) fn list(
+    /// Adds candidate addresses from the VM list and marks nodes as leaving. The list lags, so it
+    /// never removes a node whose heartbeats are received.
+    pub(crate) fn merge_vm_list(
         &mut self,
         listed: &BTreeMap<NodeId, ListedPeer>,
         actions: &mut Vec<MembershipAction>,
     ) {
-        self.changes += 1;
+        self.change_count += 1;
         for (node, peer) in &mut self.peers {
             let is_leaving = listed.get(node).is_some_and(|vm| vm.is_leaving);
             peer.is_listed_leaving = is_leaving;
@@ -216,7 +226,7 @@
             let is_heard = self
                 .peers
                 .get(node)
-                .is_some_and(|peer| !matches!(peer.reach, Reach::Gone { .. }));
+                .is_some_and(|peer| !matches!(peer.reachability, Reachability::Removed { .. }));
             if !is_heard {
                 let address = Arc::clone(&vm.address);
                 let source = CandidateSource::VmList;
@@ -225,14 +235,14 @@
         }
     }
 
-    /// Adds addresses of the settings.
+    /// Adds candidate addresses from the settings.
     pub(crate) fn add_seeds(&mut self, addresses: Vec<Arc<str>>) {
         for address in addresses {
             self.candidates.insert(address, CandidateSource::Settings);
         }
     }
 
-    /// Some reachable nodes, by chance.
+    /// Chooses the addresses of up to `count` reachable nodes at random.
     pub(crate) fn targets(&self, count: usize, rng: &mut dyn rand::Rng) -> Vec<Arc<str>> {
         let reachable: Vec<_> = self
             .reachable()
@@ -241,23 +251,26 @@
         reachable.sample(rng, count).cloned().collect()
     }
 
-    /// A few reachable nodes for other domains to write to, by chance.
-    pub(crate) fn some_contacts(&self, rng: &mut dyn rand::Rng) -> Vec<Contact> {
+    /// Chooses a few reachable nodes at random, as contacts for other domains.
+    pub(crate) fn random_contacts(&self, rng: &mut dyn rand::Rng) -> Vec<Contact> {
         let contacts = self.reachable().filter_map(|(node, peer)| {
             Some(Contact {
                 node: node.clone(),
                 address: peer.address.clone()?,
             })
         });
-        contacts.sample(rng, CONTACTS_NAMED)
+        contacts.sample(rng, MAX_NAMED_CONTACTS)
     }
 
-    /// The next address to try that is not heard: an unreachable node's, or a candidate's.
-    pub(crate) fn probe(&mut self) -> Option<Arc<str>> {
-        let unreachable = self.peers.values().filter_map(|peer| match peer.reach {
-            Reach::Unreachable { .. } => peer.address.clone(),
-            _ => None,
-        });
+    /// Returns the next address to probe, in turn among unreachable nodes and candidates.
+    pub(crate) fn next_probe_address(&mut self) -> Option<Arc<str>> {
+        let unreachable = self
+            .peers
+            .values()
+            .filter_map(|peer| match peer.reachability {
+                Reachability::Unreachable { .. } => peer.address.clone(),
+                _ => None,
+            });
         let silent: Vec<_> = unreachable.chain(self.candidates.keys().cloned()).collect();
         if silent.is_empty() {
             return None;
@@ -266,7 +279,7 @@
         Some(Arc::clone(&silent[self.next_probe]))
     }
 
-    /// The node that a keyed beat is about, if it is known and no other one has its key.
+    /// Expands a keyed beat, if its key is known and identifies one node only.
     pub(crate) fn resolve(&self, keyed: KeyedBeat) -> Option<PeerBeat> {
         let node = self.keys.get(&keyed.key)?.as_ref()?;
         let peer = self.peers.get(node)?;
@@ -280,31 +293,35 @@
         })
     }
 
-    /// Nodes that others may not know: their incarnation is new, or their key is taken twice.
+    /// Returns full beats of nodes that cannot be sent by key alone: their incarnation is new to
+    /// others, or their key collides with another node's.
     pub(crate) fn introductions(&self, now: Instant) -> Vec<PeerBeat> {
         let unknown = self.reachable().filter(|(node, peer)| {
-            let is_new = now.duration_since(peer.known_since) < INTRODUCED_FOR;
+            let is_new = now.duration_since(peer.known_since) < INTRODUCTION_PERIOD;
             is_new || self.has_shared_key(node, peer)
         });
         unknown
-            .take(INTRODUCTIONS)
+            .take(MAX_INTRODUCTIONS)
             .map(|(node, peer)| peer.to_beat(node))
             .collect()
     }
 
-    /// Beats of the nodes that were heard most recently: they are news to most others.
+    /// Returns keyed beats of the nodes with the most recent contact, which most other nodes do not
+    /// have yet.
     pub(crate) fn freshest_beats(&self, count: usize, rng: &mut dyn rand::Rng) -> Vec<KeyedBeat> {
         let mut reachable: Vec<_> = self.reachable().collect();
         reachable.shuffle(rng);
-        reachable.sort_by_key(|(_, peer)| std::cmp::Reverse(peer.heard_at));
+        reachable.sort_by_key(|(_, peer)| std::cmp::Reverse(peer.last_contact));
         reachable.truncate(count);
-        let own_keys = reachable
+        let uniquely_keyed = reachable
             .into_iter()
             .filter(|(node, peer)| !self.has_shared_key(node, peer));
-        own_keys.map(|(node, peer)| peer.to_keyed(node)).collect()
+        uniquely_keyed
+            .map(|(node, peer)| peer.to_keyed(node))
+            .collect()
     }
 
-    /// Beats of all reachable nodes.
+    /// Returns full beats of all reachable nodes.
     pub(crate) fn roster(&self) -> Vec<PeerBeat> {
         let reachable = self.reachable();
         reachable.map(|(node, peer)| peer.to_beat(node)).collect()
@@ -315,7 +332,7 @@
         self.keys.get(&key).is_none_or(Option::is_none)
     }
 
-    fn index_keys(&mut self) {
+    fn rebuild_key_index(&mut self) {
         self.keys.clear();
         for (node, peer) in &self.peers {
             let key = BeatKey::new(node, peer.incarnation);
@@ -327,7 +344,7 @@
         }
     }
 
-    /// The nodes that may own engines.
+    /// The peers that may own engines.
     pub(crate) fn live(&self, now: Instant) -> impl Iterator<Item = LiveNode> {
         let live = self.peers.iter().filter(move |(_, peer)| peer.is_live(now));
         live.filter_map(|(node, peer)| {
@@ -339,10 +356,10 @@
         })
     }
 
-    /// A number that rises with every change that may matter to [`Peers::live`], but for those that
-    /// come with time alone.
-    pub(crate) fn changes(&self) -> u64 {
-        self.changes
+    /// A counter that increases with every change that may affect [`Peers::live`], except changes
+    /// caused only by the passing of time.
+    pub(crate) fn change_count(&self) -> u64 {
+        self.change_count
     }
 
     /// The names of the reachable nodes.
@@ -350,9 +367,10 @@
         self.reachable().map(|(node, _)| node)
     }
 
-    /// The names of the unreachable nodes that were not given up.
+    /// The names of the unreachable nodes that were not removed.
     pub(crate) fn unreachable_nodes(&self) -> impl Iterator<Item = &NodeId> {
-        let unreachable = |peer: &Peer| matches!(peer.reach, Reach::Unreachable { .. });
+        let unreachable =
+            |peer: &Peer| matches!(peer.reachability, Reachability::Unreachable { .. });
         let peers = self.peers.iter().filter(move |(_, peer)| unreachable(peer));
         peers.map(|(node, _)| node)
     }
@@ -367,18 +385,18 @@
         self.reachable().count()
     }
 
-    /// A reachable node's address.
+    /// The address of a node, if known.
     pub(crate) fn address(&self, node: &NodeId) -> Option<Arc<str>> {
         self.peers.get(node).and_then(|peer| peer.address.clone())
     }
 
     fn reachable(&self) -> impl Iterator<Item = (&NodeId, &Peer)> {
         let peers = self.peers.iter();
-        peers.filter(|(_, peer)| peer.reach == Reach::Reachable)
+        peers.filter(|(_, peer)| peer.reachability == Reachability::Reachable)
     }
 }
 
-/// A node of the own failure domain as the VM list shows it.
+/// An entry of the VM list for a node of the own failure domain.
 pub(crate) struct ListedPeer {
     pub(crate) address: Arc<str>,
     pub(crate) is_leaving: bool,
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,4 +1,4 @@
-//! How a node keeps track of other nodes.
+//! The membership settings.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// How a node keeps track of other nodes: the `[membership]` table of its settings.
+/// The `[membership]` table of a node's settings.
 ///
-/// The defaults are worked out for up to 60 nodes a failure domain in
-/// `docs/design/membership.md`.
+/// The defaults are for up to 60 nodes per failure domain; `docs/design/membership.md` derives
+/// them.
 ///
 /// ```
 /// use nutmegsail_membership::MembershipSettings;
@@ -20,35 +20,35 @@
 pub struct MembershipSettings {
     /// How often heartbeats are sent.
     pub interval_ms: u64,
-    /// How many peers get a heartbeat each interval.
+    /// How many peers are sent a heartbeat in each interval.
     pub fan_out: usize,
-    /// How many peers a heartbeat tells of.
+    /// How many other peers a heartbeat carries the beats of.
     pub peers_per_heartbeat: usize,
-    /// How many nodes are told at once of a change that cannot wait for the next interval.
+    /// How many nodes an urgent change is sent to without waiting for the next interval.
     pub urgent_fan_out: usize,
     /// How long a node may be silent before it counts as unreachable.
     pub unreachable_after_ms: u64,
-    /// How long a node may be unreachable before it is given up.
+    /// How long a node may be unreachable before it is removed.
     pub removed_after_ms: u64,
-    /// How long nodes that vanished most at once go on counting as live.
+    /// How long unreachable nodes still count as live if most nodes became silent at once.
     pub mass_hold_ms: u64,
-    /// How often the nodes that speak for a failure domain tell the others of it.
+    /// How often delegates send the summary of their failure domain to the other domains.
     pub summary_interval_ms: u64,
-    /// How many nodes speak for a failure domain and read the VM list.
+    /// How many nodes of a failure domain send its summaries and read the VM list.
     pub delegates: usize,
     /// How long a failure domain may be silent before it counts as unreachable.
     pub domain_unreachable_after_ms: u64,
     /// How often a delegate reads the VM list.
     pub vm_list_interval_ms: u64,
-    /// How long the node may not have run before its view counts as old.
+    /// A gap between events that is longer than this counts as a pause of the process.
     pub pause_after_ms: u64,
-    /// How many upstreams' notices are kept.
+    /// How many upstreams notices are kept for.
     pub upstream_notices: usize,
-    /// How many of them go into one message.
+    /// How many notices one message carries.
     pub upstream_notices_per_message: usize,
-    /// How long a notice goes into every heartbeat.
+    /// How long a new notice is put into heartbeats and summaries.
     pub upstream_spread_ms: u64,
-    /// How long a notice is kept after the last observation.
+    /// How long a notice is kept after its last observation.
     pub upstream_notice_ttl_ms: u64,
 }
 
@@ -75,44 +75,44 @@
     }
 }
 
-/// What is wrong with [`MembershipSettings`].
+/// An invalid field in [`MembershipSettings`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MembershipSettingsError {
-    /// A field that must be above zero is zero.
+    /// A field is zero but must be above zero.
     #[error("membership.{field} must be above 0")]
     Zero {
         /// The field.
         field: &'static str,
     },
-    /// Two fields contradict each other.
+    /// A field is too small in relation to another one.
     #[error("membership.{field} must be at least {least}")]
     TooSmall {
         /// The field.
         field: &'static str,
-        /// What it must be at least, in words.
+        /// The minimum, in words.
         least: &'static str,
     },
 }
 
 impl MembershipSettingsError {
-    /// The numbered result for operators.
+    /// The result code for operators.
     pub fn code(&self) -> ResultCode {
         ResultCode::SettingsInvalid
     }
 }
 
 impl MembershipSettings {
-    /// Checks the fields, and reports all faults at once.
+    /// Checks all fields.
     ///
     /// # Errors
     ///
-    /// Every fault, in order of the fields.
+    /// Returns every invalid field: those that are zero first, then those that are too small.
     pub fn validate(&self) -> Result<(), Vec<MembershipSettingsError>> {
         let mut faults = self.zeros();
         if self.unreachable_after_ms < 4 * self.interval_ms {
             faults.push(MembershipSettingsError::TooSmall {
                 field: "unreachable_after_ms",
-                least: "four times interval_ms, or a lost message looks like a lost node",
+                least: "four times interval_ms, to tolerate lost messages",
             });
         }
         if self.pause_after_ms < 2 * self.interval_ms {
--- a/crates/membership/src/status.rs
+++ b/crates/membership/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of nodes and failure domains.
+//! The status report for operators.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
     pub node: NodeId,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// The generation in force on it; 0 for none.
+    /// The generation in force on it, or 0 for none.
     pub generation: u64,
     /// The digest of that generation.
     pub digest: Arc<str>,
@@ -21,7 +21,7 @@
     pub is_ready: bool,
     /// Whether it is shutting down.
     pub is_leaving: bool,
-    /// Every failure domain that the node knows, in order of the names.
+    /// Every failure domain known to the node, sorted by name.
     pub domains: Vec<DomainStatus>,
 }
 
@@ -30,10 +30,10 @@
 pub struct DomainStatus {
     /// The failure domain.
     pub failure_domain: FailureDomain,
-    /// How many nodes it has, those out of reach among them.
+    /// The number of its nodes, including unreachable ones.
     pub nodes: u32,
     /// How many reachable nodes run each generation.
     pub at_generation: BTreeMap<u64, u32>,
-    /// The nodes out of reach. All that are known, if the domain itself is out of reach.
+    /// Its unreachable nodes. All known nodes if the domain itself is unreachable.
     pub unreachable: Vec<NodeId>,
 }
--- a/crates/membership/src/upstream_notices.rs
+++ b/crates/membership/src/upstream_notices.rs
@@ -1,4 +1,4 @@
-//! Which upstreams are leaving, as the nodes tell each other.
+//! The notices about leaving upstreams that nodes send each other.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,17 +7,18 @@
 
 use crate::{MembershipAction, MembershipSettings, UpstreamNotice};
 
-/// How much later than the last sight of it leaving an upstream must be seen staying.
+/// An observation of an upstream staying overrides one of it leaving only if it is later by this.
 ///
-/// The VM list lags and an upstream may not know that its VM is about to go, so two sources
-/// contradict each other for a while. New work on an upstream that leaves is the worse error.
-/// The time is well above what a new sight takes to reach a failure domain's nodes by heartbeats.
-const STAYING_AFTER: Duration = Duration::from_secs(10);
-/// How much later a sight must be to count as a new one. A relayed one looks later by the time it
-/// was under way, and would otherwise be passed on for ever.
-const SEEN_ANEW: Duration = Duration::from_millis(500);
-
-/// What a node saw of an upstream, or heard that another node saw.
+/// The VM list lags, and an upstream may not know that its VM is about to be removed, so sources
+/// can contradict each other for a while. Sending new work to a leaving upstream is the worse
+/// error. The delay is well above the time in which heartbeats bring a new observation to all nodes
+/// of a failure domain.
+const STAYING_OVERRIDE_DELAY: Duration = Duration::from_secs(10);
+/// An observation counts as new only if it is later than the known one by this. Relayed copies
+/// appear later by the network delay, and would otherwise be relayed forever.
+const NEW_OBSERVATION_AFTER: Duration = Duration::from_millis(500);
+
+/// An observation of an upstream, by this node or received from another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Observation {
     pub(crate) upstream: UpstreamId,
@@ -34,45 +35,45 @@
     spread_until: Instant,
 }
 
-/// Which upstreams are leaving, as the nodes tell each other.
+/// The latest notice for each upstream that is leaving or was leaving recently.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UpstreamNotices {
     notices: BTreeMap<UpstreamId, Notice>,
 }
 
 impl UpstreamNotices {
-    /// Takes in an observation. Returns what follows if it changes anything.
+    /// Applies an observation. Returns an action if whether the upstream is leaving has changed.
     pub(crate) fn observe(
         &mut self,
-        seen: Observation,
+        observation: Observation,
         now: Instant,
         settings: &MembershipSettings,
     ) -> Option<MembershipAction> {
         let spread_until = now + Duration::from_millis(settings.upstream_spread_ms);
-        let Some(notice) = self.notices.get_mut(&seen.upstream) else {
-            return self.add(seen, spread_until, settings);
+        let Some(notice) = self.notices.get_mut(&observation.upstream) else {
+            return self.add(observation, spread_until, settings);
         };
-        if seen.is_leaving == notice.is_leaving {
-            notice.refresh(&seen, spread_until);
+        if observation.is_leaving == notice.is_leaving {
+            notice.refresh(&observation, spread_until);
             return None;
         }
-        if !notice.is_overruled_by(&seen) {
+        if !notice.is_overridden_by(&observation) {
             return None;
         }
-        notice.incarnation = seen.incarnation;
-        notice.is_leaving = seen.is_leaving;
-        notice.observed_at = seen.observed_at;
+        notice.incarnation = observation.incarnation;
+        notice.is_leaving = observation.is_leaving;
+        notice.observed_at = observation.observed_at;
         notice.spread_until = spread_until;
-        Some(action_of(seen))
+        Some(action_for(observation))
     }
 
     fn add(
         &mut self,
-        seen: Observation,
+        observation: Observation,
         spread_until: Instant,
         settings: &MembershipSettings,
     ) -> Option<MembershipAction> {
-        if !seen.is_leaving {
+        if !observation.is_leaving {
             return None;
         }
         if self.notices.len() >= settings.upstream_notices {
@@ -84,16 +85,16 @@
             oldest.map(|upstream| self.notices.remove(&upstream));
         }
         let notice = Notice {
-            incarnation: seen.incarnation,
+            incarnation: observation.incarnation,
             is_leaving: true,
-            observed_at: seen.observed_at,
+            observed_at: observation.observed_at,
             spread_until,
         };
-        self.notices.insert(seen.upstream.clone(), notice);
-        Some(action_of(seen))
+        self.notices.insert(observation.upstream.clone(), notice);
+        Some(action_for(observation))
     }
 
-    /// Forgets what nobody has seen for long.
+    /// Removes notices whose last observation is older than `upstream_notice_ttl_ms`.
     pub(crate) fn advance(
         &mut self,
         now: Instant,
@@ -111,15 +112,15 @@
         });
     }
 
-    /// Puts everything into messages again, for nodes that were cut off when it was new.
-    pub(crate) fn spread_again(&mut self, now: Instant, settings: &MembershipSettings) {
+    /// Puts all notices into messages again, for nodes that were cut off when the notices were new.
+    pub(crate) fn restart_spreading(&mut self, now: Instant, settings: &MembershipSettings) {
         for notice in self.notices.values_mut() {
             notice.spread_until = now + Duration::from_millis(settings.upstream_spread_ms);
         }
     }
 
-    /// The notices to put into a message, the newest first.
-    pub(crate) fn to_spread(
+    /// Returns the notices to put into a message, the most recently changed first.
+    pub(crate) fn spreading_notices(
         &self,
         now: Instant,
         settings: &MembershipSettings,
@@ -135,7 +136,7 @@
             .collect()
     }
 
-    /// Every notice, for a node that knows none.
+    /// Returns every notice, for a node that has none yet.
     pub(crate) fn all(&self, now: Instant) -> Vec<UpstreamNotice> {
         let notices = self.notices.iter();
         notices
@@ -153,23 +154,27 @@
 }
 
 impl Notice {
-    /// The later sight stands; but leaving gives way only to a clearly later sight of staying.
-    fn is_overruled_by(&self, seen: &Observation) -> bool {
-        if seen.is_leaving {
-            seen.observed_at + STAYING_AFTER > self.observed_at
+    /// Whether an observation of the opposite state replaces this notice.
+    ///
+    /// The comparison favours leaving by [`STAYING_OVERRIDE_DELAY`] in both directions.
+    fn is_overridden_by(&self, observation: &Observation) -> bool {
+        if observation.is_leaving {
+            observation.observed_at + STAYING_OVERRIDE_DELAY > self.observed_at
         } else {
-            seen.observed_at >= self.observed_at + STAYING_AFTER
+            observation.observed_at >= self.observed_at + STAYING_OVERRIDE_DELAY
         }
     }
 
-    /// Seen leaving again: the nodes that do not see it themselves must hear of it, or they would
-    /// believe a source that says it stays.
-    fn refresh(&mut self, seen: &Observation, spread_until: Instant) {
-        if self.is_leaving && seen.observed_at >= self.observed_at + SEEN_ANEW {
-            self.observed_at = seen.observed_at;
+    /// Updates the notice with another observation of the same state.
+    ///
+    /// A new observation of a leaving upstream is sent to other nodes again. Otherwise nodes that
+    /// cannot observe it themselves would accept a source that says it is staying.
+    fn refresh(&mut self, observation: &Observation, spread_until: Instant) {
+        if self.is_leaving && observation.observed_at >= self.observed_at + NEW_OBSERVATION_AFTER {
+            self.observed_at = observation.observed_at;
             self.spread_until = spread_until;
         }
-        self.incarnation = seen.incarnation.or(self.incarnation);
+        self.incarnation = observation.incarnation.or(self.incarnation);
     }
 
     fn to_message(&self, upstream: &UpstreamId, now: Instant) -> UpstreamNotice {
@@ -183,12 +188,12 @@
     }
 }
 
-fn action_of(seen: Observation) -> MembershipAction {
-    let upstream = seen.upstream;
-    if seen.is_leaving {
+fn action_for(observation: Observation) -> MembershipAction {
+    let upstream = observation.upstream;
+    if observation.is_leaving {
         MembershipAction::UpstreamLeaving {
             upstream,
-            incarnation: seen.incarnation,
+            incarnation: observation.incarnation,
         }
     } else {
         MembershipAction::UpstreamStaying { upstream }
