--- a/crates/request/src/answer_handle.rs
+++ b/crates/request/src/answer_handle.rs
@@ -1,4 +1,4 @@
-//! The name of an answer, by which its caller resumes it.
+//! The handle by which a caller resumes an answer.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,13 +9,13 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 const MAX_TEXT_BYTES: usize = 2048;
-const CHECK_BYTES: usize = 4;
+const CHECKSUM_BYTES: usize = 4;
 
-/// Names an answer: which request, on which adapter, at which run of which engine.
+/// Identifies an answer by its request, adapter, engine and the incarnation of the engine.
 ///
-/// It names no node, so the caller can resume through any of them. Its text is hexadecimal and fits
-/// into a URL. It is not signed: a node must check that `upstream` is one of the adapter's service
-/// before it connects there.
+/// It contains no node, so the caller can resume the answer through any node. Its text form is
+/// hexadecimal and can be used in a URL. It is not signed: before connecting to `upstream`, a node
+/// must check that it belongs to the adapter's service.
 ///
 /// ```
 /// use nutmegsail_base::{AdapterRef, Incarnation};
@@ -32,21 +32,21 @@
 pub struct AnswerHandle {
     /// The request that the answer belongs to.
     pub request: RequestId,
-    /// The adapter that makes it.
+    /// The adapter that generates it.
     pub adapter: AdapterRef,
     /// The engine that holds it.
     pub upstream: UpstreamId,
-    /// The run of the engine's process. Another run never goes on with the answer.
+    /// The incarnation of the engine. A later incarnation cannot continue the answer.
     pub incarnation: Incarnation,
 }
 
-/// The text is not the handle of an answer.
+/// A text is not a valid answer handle.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Error)]
-#[error("the text is not the handle of an answer")]
+#[error("the text is not a valid answer handle")]
 pub struct AnswerHandleError;
 
 impl AnswerHandleError {
-    /// The numbered result for the caller.
+    /// The result code for the caller.
     pub fn code(self) -> ResultCode {
         ResultCode::UnknownAnswer
     }
@@ -55,8 +55,8 @@
 impl fmt::Display for AnswerHandle {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut bytes = postcard::to_stdvec(self).map_err(|_| fmt::Error)?;
-        let check = check_of(&bytes);
-        bytes.extend_from_slice(&check);
+        let checksum_bytes = checksum(&bytes);
+        bytes.extend_from_slice(&checksum_bytes);
         f.write_str(&hex::encode(bytes))
     }
 }
@@ -69,18 +69,18 @@
             return Err(AnswerHandleError);
         }
         let bytes = hex::decode(text).map_err(|_| AnswerHandleError)?;
-        let (fields, check) = bytes
-            .split_last_chunk::<CHECK_BYTES>()
+        let (fields, expected) = bytes
+            .split_last_chunk::<CHECKSUM_BYTES>()
             .ok_or(AnswerHandleError)?;
-        if check_of(fields) != *check {
+        if checksum(fields) != *expected {
             return Err(AnswerHandleError);
         }
         postcard::from_bytes(fields).map_err(|_| AnswerHandleError)
     }
 }
 
-/// A check against handles that were cut or mistyped; it is none against forgery.
-fn check_of(fields: &[u8]) -> [u8; CHECK_BYTES] {
+/// Detects truncated and mistyped handles. It gives no protection against forgery.
+fn checksum(fields: &[u8]) -> [u8; CHECKSUM_BYTES] {
     let [a, b, c, d, ..] = xxh3_64(fields).to_le_bytes();
     [a, b, c, d]
 }
--- a/crates/request/src/lib.rs
+++ b/crates/request/src/lib.rs
@@ -1,10 +1,10 @@
-//! The life of a request, from accepted to ended, and the words in which its caller is refused.
+//! The state machine of a request, and the refusals that are sent to callers.
 //!
-//! This crate decides when a caller may be told "not run": only a [`Request`] that was never sent,
-//! or that every upstream it was sent to refused for certain, gives the [`NotRunProof`] that
-//! [`Refusal::not_run`] takes. It is told what happened to the request, does no I/O and never
-//! chooses an upstream. [`PieceCount`] checks that an answer is whole, and [`AnswerHandle`] names
-//! an answer so that its caller can resume it through any node.
+//! This crate decides when a caller may be told "not run". That needs the [`NotRunProof`] of a
+//! [`Request`] that was never sent, or that certainly did not run at any upstream it was sent to;
+//! [`Refusal::not_run`] takes this proof. The crate only records what happened to the request: it
+//! does no I/O and chooses no upstream. [`PieceCount`] checks that an answer is complete, and
+//! [`AnswerHandle`] identifies an answer so that its caller can resume it through any node.
 //!
 //! Start at [`Request::accept`]:
 //!
@@ -17,7 +17,7 @@
 //! assert_eq!(refusal.run_state(), RunState::NotRun);
 //! ```
 //!
-//! Once a request has been dispatched, it can no longer be called "not run":
+//! A dispatched request gives no proof that it did not run:
 //!
 //! ```compile_fail,E0599
 //! # use nutmegsail_request::Request;
@@ -25,7 +25,7 @@
 //! let proof = request.not_run();
 //! ```
 //!
-//! Nor can a proof be made up:
+//! Other crates cannot construct a proof:
 //!
 //! ```compile_fail,E0451
 //! # use nutmegsail_request::NotRunProof;
@@ -40,7 +40,7 @@
 
 pub use answer_handle::{AnswerHandle, AnswerHandleError};
 pub use not_run_proof::NotRunProof;
-pub use piece_count::{PieceCount, PieceFault};
+pub use piece_count::{PieceCount, PieceError};
 pub use refusal::Refusal;
 pub use request::{
     Accepted, AfterFailure, Answering, Dispatched, Ended, Outcome, Queued, Request, Uncertain,
--- a/crates/request/src/not_run_proof.rs
+++ b/crates/request/src/not_run_proof.rs
@@ -1,11 +1,11 @@
-//! The witness that a request did not run.
+//! The proof that a request did not run.
 
 use nutmegsail_base::RequestId;
 
 /// Proof that a request did not run and never will.
 ///
-/// Only [`Request::not_run`](crate::Request::not_run) makes one. It takes the request away, so that
-/// a request that was called "not run" cannot be dispatched afterwards.
+/// Only [`Request::not_run`](crate::Request::not_run) creates one. It consumes the request, so that
+/// a request reported as "not run" cannot be dispatched afterwards.
 #[derive(Debug, PartialEq, Eq)]
 pub struct NotRunProof {
     request: RequestId,
--- a/crates/request/src/piece_count.rs
+++ b/crates/request/src/piece_count.rs
@@ -1,9 +1,9 @@
-//! The check that an answer is whole.
+//! The check that an answer is complete.
 
 use nutmegsail_base::ResultCode;
 use thiserror::Error;
 
-/// Counts the pieces of one answer and refuses any that is lost, doubled or out of order.
+/// Checks that the pieces of one answer arrive without gaps, duplicates or reordering.
 ///
 /// ```
 /// use nutmegsail_request::PieceCount;
@@ -12,83 +12,84 @@
 /// pieces.observe(2)?;
 /// assert!(pieces.observe(4).is_err());
 /// pieces.end(2)?;
-/// # Ok::<(), nutmegsail_request::PieceFault>(())
+/// # Ok::<(), nutmegsail_request::PieceError>(())
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PieceCount {
     last_id: u64,
 }
 
-/// How an answer is not whole.
+/// An answer is incomplete, or its pieces are out of sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum PieceFault {
-    /// A piece is missing, doubled or out of order.
-    #[error("piece {got} came where {expected} was due")]
+pub enum PieceError {
+    /// A piece is missing, duplicated or out of order.
+    #[error("received piece {got} but expected piece {expected}")]
     NotContiguous {
-        /// The id that was due.
+        /// The expected id.
         expected: u64,
-        /// The id that came.
+        /// The received id.
         got: u64,
     },
-    /// The end event counts more or fewer pieces than came.
-    #[error("the end counts {counted} pieces, but the last one was {last_id}")]
+    /// The count in the end event differs from the number of pieces received.
+    #[error("the end event counts {counted} pieces, but the last piece was {last_id}")]
     WrongCount {
-        /// The end event's count.
+        /// The count in the end event.
         counted: u64,
-        /// The last piece's id.
+        /// The id of the last piece.
         last_id: u64,
     },
 }
 
-impl PieceFault {
-    /// The numbered result for the caller.
+impl PieceError {
+    /// The result code for the caller.
     pub fn code(self) -> ResultCode {
         ResultCode::AnswerCut
     }
 }
 
 impl PieceCount {
-    /// Counts an answer from its first piece, which has the id 1.
+    /// Starts at the beginning of an answer. The first piece has the id 1.
     pub fn from_start() -> Self {
         Self::default()
     }
 
-    /// Counts the rest of an answer of which the caller has the pieces up to `last_id`.
+    /// Starts after the piece `last_id`, for an answer that the caller already has up to there.
     pub fn after(last_id: u64) -> Self {
         Self { last_id }
     }
 
-    /// The id of the last piece that was taken, or 0.
+    /// The id of the last accepted piece, or 0 if there is none.
     pub fn last_id(&self) -> u64 {
         self.last_id
     }
 
-    /// Takes the piece `id`. On a fault nothing changes, and the answer must end there.
+    /// Accepts the piece `id`. After an error the count is unchanged and the answer must be cut
+    /// off.
     ///
-    /// An engine that restarted, or a resume that went on at the wrong place, shows as text that
-    /// is missing or doubled. The ids give it away before the piece reaches the caller.
+    /// If an engine restarts, or resumes an answer at the wrong position, text would be missing or
+    /// duplicated. The ids reveal this before the piece reaches the caller.
     ///
     /// # Errors
-    /// The id is not the one that is due.
-    pub fn observe(&mut self, id: u64) -> Result<(), PieceFault> {
+    /// The id is not the next one.
+    pub fn observe(&mut self, id: u64) -> Result<(), PieceError> {
         let expected = self.last_id.saturating_add(1);
         if id != expected || id == u64::MAX {
-            return Err(PieceFault::NotContiguous { expected, got: id });
+            return Err(PieceError::NotContiguous { expected, got: id });
         }
         let before = self.last_id;
         self.last_id = id;
-        assert!(self.last_id == before + 1, "a piece was lost or doubled");
+        assert!(self.last_id == before + 1, "a piece was lost or duplicated");
         Ok(())
     }
 
-    /// Checks the count of the end event.
+    /// Checks the count in the end event.
     ///
     /// # Errors
-    /// Pieces are missing, or there are more than counted.
-    pub fn end(&self, counted: u64) -> Result<(), PieceFault> {
+    /// The count differs from the number of pieces received.
+    pub fn end(&self, counted: u64) -> Result<(), PieceError> {
         let last_id = self.last_id;
         if counted != last_id {
-            return Err(PieceFault::WrongCount { counted, last_id });
+            return Err(PieceError::WrongCount { counted, last_id });
         }
         Ok(())
     }
--- a/crates/request/src/refusal.rs
+++ b/crates/request/src/refusal.rs
@@ -1,4 +1,4 @@
-//! What a caller is told in place of an answer.
+//! The error that a caller gets instead of an answer.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 
 use crate::NotRunProof;
 
-/// What a caller is told in place of an answer, or in place of the rest of one.
+/// The error that a caller gets instead of an answer or of the rest of an answer.
 ///
-/// `run_state` is private: it can be set to "not run" only with a [`NotRunProof`].
+/// `run_state` is private, so that it can be "not run" only with a [`NotRunProof`].
 ///
 /// ```compile_fail,E0616
 /// # use nutmegsail_base::{ResultCode, RunState};
@@ -21,12 +21,12 @@
 #[error("{code} ({run_state}): {detail}")]
 #[must_use]
 pub struct Refusal {
-    /// The numbered result.
+    /// The result code.
     pub code: ResultCode,
     run_state: RunState,
-    /// When the caller should come back, if at all.
+    /// The time after which the caller may retry, if a retry can help.
     pub retry_after: Option<Duration>,
-    /// What happened to this request, for whoever reads the answer.
+    /// A description of what happened to this request, for people.
     pub detail: String,
 }
 
@@ -50,12 +50,12 @@
         Self::with_run_state(RunState::MayHaveRun, code, detail.into())
     }
 
-    /// Refuses the rest of an answer, or the answer of a request that ran.
+    /// Refuses the answer, or the rest of the answer, of a request that ran.
     pub fn ran(code: ResultCode, detail: impl Into<String>) -> Self {
         Self::with_run_state(RunState::Ran, code, detail.into())
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the time after which the caller may retry.
     ///
     /// ```
     /// use std::time::Duration;
@@ -70,7 +70,7 @@
         self
     }
 
-    /// Whether the request ran.
+    /// Whether the request ran, as far as is known.
     pub fn run_state(&self) -> RunState {
         self.run_state
     }
--- a/crates/request/src/request.rs
+++ b/crates/request/src/request.rs
@@ -1,16 +1,16 @@
-//! The states of a request.
+//! The state machine of a request.
 
 use nutmegsail_base::{Incarnation, RequestId, ResultCode, RunState, UpstreamId};
 use nutmegsail_upstream::UpstreamError;
 
-use crate::{NotRunProof, PieceCount, PieceFault, Refusal};
+use crate::{NotRunProof, PieceCount, PieceError, Refusal};
 
-/// A request in one state of its life.
+/// A request in one of its states.
 ///
-/// [`Accepted`] → [`Queued`] → [`Dispatched`] → [`Answering`] → [`Ended`]. Each step takes the
-/// request and returns it in its next state. A dispatched request that the upstream refused for
-/// certain is [`Queued`] again; one whose fate is unknown is [`Uncertain`] and never comes back to
-/// a state that can be called "not run".
+/// [`Accepted`] → [`Queued`] → [`Dispatched`] → [`Answering`] → [`Ended`]. Each transition consumes
+/// the request and returns it in the next state. A dispatched request that certainly did not run
+/// becomes [`Queued`] again. One that may have run becomes [`Uncertain`] and never returns to a
+/// state in which it can be reported as "not run".
 ///
 /// ```
 /// use nutmegsail_base::Incarnation;
@@ -20,7 +20,7 @@
 /// request.piece(1)?;
 /// let request = request.end(1).expect("whole");
 /// assert_eq!(request.outcome(), &Outcome::Whole { pieces: 1 });
-/// # Ok::<(), nutmegsail_request::PieceFault>(())
+/// # Ok::<(), nutmegsail_request::PieceError>(())
 /// ```
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
@@ -33,7 +33,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Accepted(());
 
-/// The request waits for an upstream. Nothing that may have run it has been sent.
+/// The request waits for an upstream. No earlier send can have run it.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Queued(());
 
@@ -44,11 +44,11 @@
     may_have_run_before: bool,
 }
 
-/// An earlier send may have run the request. Only an idempotent one may be sent again.
+/// An earlier send may have run the request. It may be sent again only if it is idempotent.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Uncertain(());
 
-/// The upstream answers.
+/// The upstream has begun to answer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Answering {
     upstream: UpstreamId,
@@ -56,7 +56,7 @@
     pieces: PieceCount,
 }
 
-/// The caller has its final answer.
+/// The request has its final outcome.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Ended {
     outcome: Outcome,
@@ -65,22 +65,22 @@
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The caller got the whole answer.
+    /// The caller got the complete answer.
     Whole {
-        /// How many pieces the answer has in all.
+        /// The total number of pieces in the answer.
         pieces: u64,
     },
-    /// The caller got a refusal in place of the answer or of its rest.
+    /// The caller got a refusal instead of the answer or of the rest of it.
     Refused(Refusal),
 }
 
-/// What is left of a request after a send failed.
+/// The state of a request after a failed send.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub enum AfterFailure {
-    /// No send can have run it.
+    /// No send has run the request.
     NotRun(Request<Queued>),
-    /// This send or an earlier one may have run it.
+    /// This send or an earlier one may have run the request.
     MayHaveRun(Request<Uncertain>),
 }
 
@@ -96,9 +96,9 @@
 }
 
 impl Request<Accepted> {
-    /// Takes in a request that nothing has been sent for.
+    /// Accepts a new request that has not been sent anywhere.
     ///
-    /// `id` must be new: two requests with one id would be one run to an engine.
+    /// `id` must be unique, because an engine treats requests with the same id as one run.
     pub fn accept(id: RequestId) -> Self {
         Self {
             id,
@@ -111,19 +111,20 @@
         self.into_state(Queued(()))
     }
 
-    /// Gives the request up before it was queued.
+    /// Abandons the request before it is queued, with the proof that it did not run.
     pub fn not_run(self) -> NotRunProof {
         NotRunProof::new(self.id)
     }
 
-    /// Hands the request over to whoever accepts it next, such as the node behind the front.
+    /// Consumes the request and returns its id, for the component that accepts it next, such as the
+    /// node behind the front.
     pub fn hand_over(self) -> RequestId {
         self.id
     }
 }
 
 impl Request<Queued> {
-    /// Records that the request is about to be sent. Call this before the first byte is.
+    /// Records that the request is about to be sent. Call this before sending the first byte.
     pub fn dispatch(self, upstream: UpstreamId) -> Request<Dispatched> {
         self.into_state(Dispatched {
             upstream,
@@ -131,7 +132,7 @@
         })
     }
 
-    /// Gives the request up while nothing that may have run it has been sent.
+    /// Abandons the request, with the proof that it did not run.
     pub fn not_run(self) -> NotRunProof {
         NotRunProof::new(self.id)
     }
@@ -145,9 +146,9 @@
 
     /// Records that the send failed.
     ///
-    /// An upstream's certain "not run" speaks only for its own send. After an earlier send that
-    /// may have run, a later one that was refused proves nothing: a caller who was told "not run"
-    /// then would book a second time. So the earlier doubt stays with the request.
+    /// The error shows only whether this send ran the request. If an earlier send may have run it,
+    /// the request stays [`Uncertain`] even after a refusal: a caller who was told "not run" would
+    /// submit it again, and a booking, for example, could be made twice.
     ///
     /// ```
     /// use nutmegsail_request::{AfterFailure, Request};
@@ -160,15 +161,15 @@
     /// assert!(matches!(again.failed(&UpstreamError::Full), AfterFailure::MayHaveRun(_)));
     /// ```
     pub fn failed(self, error: &UpstreamError) -> AfterFailure {
-        self.after(error.run_state())
+        self.after_failure(error.run_state())
     }
 
-    /// Records what another node, to which the request was forwarded, said of it in a refusal.
+    /// Records the run state in a refusal by the node that the request was forwarded to.
     pub fn refused_by_node(self, run_state: RunState) -> AfterFailure {
-        self.after(run_state)
+        self.after_failure(run_state)
     }
 
-    /// Records that the upstream's answer begins.
+    /// Records that the upstream's answer has begun.
     pub fn answer(self, incarnation: Incarnation) -> Request<Answering> {
         let upstream = self.state.upstream.clone();
         self.into_state(Answering {
@@ -178,7 +179,7 @@
         })
     }
 
-    fn after(self, run_state: RunState) -> AfterFailure {
+    fn after_failure(self, run_state: RunState) -> AfterFailure {
         if run_state == RunState::NotRun && !self.state.may_have_run_before {
             return AfterFailure::NotRun(self.into_state(Queued(())));
         }
@@ -187,7 +188,8 @@
 }
 
 impl Request<Uncertain> {
-    /// Records that an idempotent request is about to be sent again.
+    /// Records that the request is about to be sent again. The caller of this method must check
+    /// that it is idempotent.
     pub fn dispatch_again(self, upstream: UpstreamId) -> Request<Dispatched> {
         self.into_state(Dispatched {
             upstream,
@@ -195,7 +197,7 @@
         })
     }
 
-    /// Ends the request with "may have run".
+    /// Ends the request with a refusal that says it may have run.
     pub fn give_up(self, code: ResultCode, detail: impl Into<String>) -> Request<Ended> {
         let refusal = Refusal::may_have_run(code, detail);
         self.into_state(Ended {
@@ -205,7 +207,7 @@
 }
 
 impl Request<Answering> {
-    /// Goes on with an answer of which the caller has the pieces up to `after`.
+    /// Resumes an answer that the caller already has up to the piece `after`.
     pub fn resume(
         id: RequestId,
         upstream: UpstreamId,
@@ -228,38 +230,38 @@
         &self.state.upstream
     }
 
-    /// The run of the upstream's process that answers.
+    /// The incarnation of the upstream that answers.
     pub fn incarnation(&self) -> Incarnation {
         self.state.incarnation
     }
 
-    /// The id of the last piece that was taken, or 0.
+    /// The id of the last accepted piece, or 0 if there is none.
     pub fn last_id(&self) -> u64 {
         self.state.pieces.last_id()
     }
 
-    /// Takes the piece `id` of the answer.
+    /// Accepts the piece `id` of the answer.
     ///
     /// # Errors
-    /// The id is not the one that is due; the answer must then be cut.
-    pub fn piece(&mut self, id: u64) -> Result<(), PieceFault> {
+    /// The id is not the next one. The answer must then be cut off.
+    pub fn piece(&mut self, id: u64) -> Result<(), PieceError> {
         self.state.pieces.observe(id)
     }
 
-    /// Ends the request with a whole answer, or with a visible cut if the count does not match.
+    /// Ends the request with a complete answer, or with a refusal if the count does not match.
     ///
-    /// # Errors
-    /// The request, ended with the refusal of the rest of its answer.
+    /// # Errors The count does not match. Returns the request, ended with a refusal of the rest of
+    /// its answer.
     pub fn end(self, counted: u64) -> Result<Request<Ended>, Request<Ended>> {
         match self.state.pieces.end(counted) {
             Ok(()) => Ok(self.into_state(Ended {
                 outcome: Outcome::Whole { pieces: counted },
             })),
-            Err(fault) => Err(self.cut(fault.code(), fault.to_string())),
+            Err(error) => Err(self.cut(error.code(), error.to_string())),
         }
     }
 
-    /// Ends the request with an answer that broke off.
+    /// Ends the request with a refusal of the rest of its answer, which was cut off.
     pub fn cut(self, code: ResultCode, detail: impl Into<String>) -> Request<Ended> {
         let refusal = Refusal::ran(code, detail);
         self.into_state(Ended {
