--- a/crates/membership/examples/membership_trial.rs
+++ b/crates/membership/examples/membership_trial.rs
@@ -1,4 +1,4 @@
-//! Measures control traffic and how fast news spreads, at three sizes of the fleet.
+//! Measures control traffic and how fast changes reach all nodes, for three fleet sizes.
 //!
 //! `cargo run --release -p nutmegsail-membership --example membership_trial`
 
@@ -51,10 +51,10 @@
 
     fleet.nodes[0].is_dead = true;
     let dead = fleet.run_until(LIMIT, Fleet::agrees_on_live);
-    fleet.tell(1, generation(2));
-    let spread = fleet.run_until(LIMIT, |f| f.running().all(|n| n.generation.0 == 2));
+    fleet.handle(1, generation(2));
+    let spread = fleet.run_until(LIMIT, |f| f.alive().all(|n| n.generation.0 == 2));
     let status = fleet.run_until(LIMIT, |f| {
-        f.running().all(|n| {
+        f.alive().all(|n| {
             n.membership
                 .status()
                 .domains
@@ -67,8 +67,8 @@
         incarnation: None,
         source: LeavingSource::Report,
     };
-    fleet.tell(1, leaving);
-    let known = fleet.run_until(LIMIT, |f| f.running().all(|n| !n.leaving.is_empty()));
+    fleet.handle(1, leaving);
+    let known = fleet.run_until(LIMIT, |f| f.alive().all(|n| !n.leaving.is_empty()));
     println!(
         "{:5} {domains:7} {seed:4} {:9} {:7} {:5.1} {:8} {false_unreachable:17} {:7} {:13} {:9} {:10}",
         domains * nodes,
--- a/crates/membership/tests/fleet/mod.rs
+++ b/crates/membership/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Many membership cores in memory, on a clock that moves only when told to.
+//! A simulated fleet of membership cores, with its own clock and network.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -14,13 +14,13 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What nng, TCP and IP add to a message and its acknowledgement.
+/// The bytes that nng, TCP and IP add to a message and its acknowledgement.
 const HEADER_BYTES: u64 = 8 + 52 + 52;
 const LATENCY: Duration = Duration::from_millis(1);
-/// How long a node takes to fetch a text that it heard of.
-const FETCH: Duration = Duration::from_millis(30);
+/// How long a node takes to fetch a new text from another node.
+const FETCH_TIME: Duration = Duration::from_millis(30);
 
-/// One node of the fleet and what was seen of it.
+/// One node of the fleet and the recorded results of its actions.
 #[derive(Clone)]
 pub struct Node {
     pub id: NodeId,
@@ -38,24 +38,24 @@
     pub sent_bytes: u64,
     pub sent_messages: u64,
     pub vm_list_reads: u64,
-    late: Vec<MembershipEvent>,
+    received_while_paused: Vec<MembershipEvent>,
 }
 
 impl Node {
-    /// Whether its process is there and not paused.
-    pub fn runs(&self) -> bool {
+    /// Whether its process is alive and not paused.
+    pub fn is_running(&self) -> bool {
         !self.is_dead && self.paused_until.is_none()
     }
 }
 
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Due {
+struct ScheduledEvent {
     at: Duration,
     seq: u64,
     to: usize,
 }
 
-/// The fleet with the network between its nodes.
+/// The nodes of the fleet and the network between them.
 #[derive(Clone)]
 pub struct Fleet {
     pub settings: MembershipSettings,
@@ -63,21 +63,21 @@
     pub now: Duration,
     pub loss: f64,
     pub vm_list: Vec<VmHint>,
-    pub is_vm_list_out: bool,
-    /// Whether a paused node's sockets lose what arrives meanwhile.
-    pub loses_while_paused: bool,
-    /// Whether a message from the first to the second node gets through.
-    pub passes: fn(&Node, &Node) -> bool,
+    pub is_vm_list_unavailable: bool,
+    /// Whether messages that arrive at a paused node are lost.
+    pub drops_while_paused: bool,
+    /// Whether a message from the first node can reach the second.
+    pub can_deliver: fn(&Node, &Node) -> bool,
     by_address: HashMap<Arc<str>, usize>,
     start: Instant,
     rng: ChaCha8Rng,
-    due: BinaryHeap<Reverse<Due>>,
+    schedule: BinaryHeap<Reverse<ScheduledEvent>>,
     events: BTreeMap<u64, MembershipEvent>,
     seq: u64,
 }
 
 impl Fleet {
-    /// Nodes of several domains, all ready at generation 1, that have just read the VM list.
+    /// Creates nodes in several domains, all ready at generation 1, and a VM list that names them.
     pub fn new(domains: usize, nodes_per_domain: usize, seed: u64) -> Self {
         let mut fleet = Self {
             settings: MembershipSettings::default(),
@@ -85,13 +85,13 @@
             now: Duration::ZERO,
             loss: 0.0,
             vm_list: Vec::new(),
-            is_vm_list_out: false,
-            loses_while_paused: false,
-            passes: |_, _| true,
+            is_vm_list_unavailable: false,
+            drops_while_paused: false,
+            can_deliver: |_, _| true,
             by_address: HashMap::new(),
             start: Instant::now(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            due: BinaryHeap::new(),
+            schedule: BinaryHeap::new(),
             events: BTreeMap::new(),
             seq: 0,
         };
@@ -103,19 +103,19 @@
         fleet
     }
 
-    /// The same fleet with other chances from now on.
+    /// Returns a copy of the fleet that continues with another random seed.
     pub fn reseeded(&self, seed: u64) -> Self {
         let mut fleet = self.clone();
         fleet.rng = ChaCha8Rng::seed_from_u64(seed);
         fleet
     }
 
-    /// Adds a node that starts now.
+    /// Adds a node and starts it.
     pub fn add_node(&mut self, domain: usize, number: usize) -> usize {
         let id = NodeId::from(format!("domain-{domain}-node-{number:02}"));
         let address: Arc<str> = format!("10.1.{domain}.{number}:7400").into();
-        let at = self.nodes.len();
-        self.by_address.insert(Arc::clone(&address), at);
+        let index = self.nodes.len();
+        self.by_address.insert(Arc::clone(&address), index);
         let incarnation = Incarnation(1_700_000_000_000 + self.now.as_millis() as u64);
         self.vm_list.push(VmHint {
             id: id.clone(),
@@ -124,7 +124,7 @@
             is_leaving: false,
         });
         self.nodes.push(Node {
-            membership: self.core(&id, &address, domain, incarnation),
+            membership: self.new_membership(&id, &address, domain, incarnation),
             id,
             address,
             domain,
@@ -139,29 +139,29 @@
             sent_bytes: 0,
             sent_messages: 0,
             vm_list_reads: 0,
-            late: Vec::new(),
+            received_while_paused: Vec::new(),
         });
-        self.boot(at);
-        at
+        self.start_node(index);
+        index
     }
 
-    /// Starts a node's process anew, which forgets everything.
-    pub fn restart(&mut self, at: usize) {
-        let node = &self.nodes[at];
+    /// Restarts a node's process, which loses all its state.
+    pub fn restart(&mut self, index: usize) {
+        let node = &self.nodes[index];
         let incarnation = Incarnation(1_700_000_000_000 + self.now.as_millis() as u64);
-        let core = self.core(&node.id, &node.address, node.domain, incarnation);
-        let node = &mut self.nodes[at];
-        node.membership = core;
+        let membership = self.new_membership(&node.id, &node.address, node.domain, incarnation);
+        let node = &mut self.nodes[index];
+        node.membership = membership;
         node.incarnation = incarnation;
         node.is_dead = false;
         node.paused_until = None;
-        node.late.clear();
+        node.received_while_paused.clear();
         node.live.clear();
         node.generation = (0, self.now);
-        self.boot(at);
+        self.start_node(index);
     }
 
-    fn core(
+    fn new_membership(
         &self,
         id: &NodeId,
         address: &Arc<str>,
@@ -179,22 +179,26 @@
         )
     }
 
-    fn boot(&mut self, at: usize) {
+    fn start_node(&mut self, index: usize) {
         let ready = MembershipEvent::OwnState {
             is_ready: true,
             is_leaving: false,
         };
-        self.tell(at, ready);
-        self.tell(at, generation(1));
+        self.handle(index, ready);
+        self.handle(index, generation(1));
         let first_tick = self.rng.random_range(0..self.settings.interval_ms);
-        self.push(at, Duration::from_millis(first_tick), MembershipEvent::Tick);
+        self.schedule_event(
+            index,
+            Duration::from_millis(first_tick),
+            MembershipEvent::Tick,
+        );
     }
 
-    /// Gives a node an event now.
-    pub fn tell(&mut self, at: usize, event: MembershipEvent) {
+    /// Lets a node handle an event at the current time.
+    pub fn handle(&mut self, index: usize, event: MembershipEvent) {
         let mut actions = Vec::new();
         let now = self.start + self.now;
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[index];
         if let MembershipEvent::OwnGeneration { generation, .. } = &event
             && *generation > node.generation.0
         {
@@ -203,15 +207,19 @@
         node.membership
             .handle(event, now, &mut self.rng, &mut actions);
         for action in actions {
-            self.carry_out(at, action);
+            self.apply_action(index, action);
         }
     }
 
-    /// Lets `by` pass.
-    pub fn run(&mut self, by: Duration) {
-        let end = self.now + by;
-        while self.due.peek().is_some_and(|Reverse(due)| due.at <= end) {
-            let Some(Reverse(due)) = self.due.pop() else {
+    /// Advances the clock by `duration` and delivers the events that are due.
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
+        while self
+            .schedule
+            .peek()
+            .is_some_and(|Reverse(due)| due.at <= end)
+        {
+            let Some(Reverse(due)) = self.schedule.pop() else {
                 break;
             };
             self.now = due.at;
@@ -222,7 +230,8 @@
         self.now = end;
     }
 
-    /// Lets time pass in small steps until `is_done`, and returns how much, or `limit`.
+    /// Runs in steps of 10 ms until `is_done` or until `limit` is reached, and returns the time
+    /// taken.
     pub fn run_until(&mut self, limit: Duration, is_done: impl Fn(&Self) -> bool) -> Duration {
         let start = self.now;
         while !is_done(self) && self.now < start + limit {
@@ -231,139 +240,145 @@
         self.now - start
     }
 
-    /// Stops a node from running for a while, without ending it.
-    pub fn pause(&mut self, at: usize, by: Duration) {
-        self.nodes[at].paused_until = Some(self.now + by);
+    /// Pauses a node's process.
+    pub fn pause(&mut self, index: usize, duration: Duration) {
+        self.nodes[index].paused_until = Some(self.now + duration);
     }
 
-    /// The running nodes.
-    pub fn running(&self) -> impl Iterator<Item = &Node> {
+    /// The nodes whose process is alive, including paused ones.
+    pub fn alive(&self) -> impl Iterator<Item = &Node> {
         self.nodes.iter().filter(|node| !node.is_dead)
     }
 
-    /// Whether every running node counts exactly the running nodes of its domain as live.
+    /// Whether the live nodes, in the view of each alive node, are the alive nodes of its domain.
     pub fn agrees_on_live(&self) -> bool {
-        self.running().all(|node| {
+        self.alive().all(|node| {
             let live = node.live.iter().map(|l| &l.node);
-            let mut running: Vec<_> = self
-                .running()
+            let mut alive: Vec<_> = self
+                .alive()
                 .filter(|other| other.domain == node.domain)
                 .map(|other| &other.id)
                 .collect();
-            running.sort();
-            running.iter().copied().eq(live)
+            alive.sort();
+            alive.iter().copied().eq(live)
         })
     }
 
-    fn deliver(&mut self, at: usize, event: MembershipEvent) {
-        let node = &mut self.nodes[at];
+    fn deliver(&mut self, index: usize, event: MembershipEvent) {
+        let node = &mut self.nodes[index];
         if node.is_dead {
             return;
         }
         if let Some(until) = node.paused_until {
-            self.deliver_late(at, event, until);
+            self.deliver_after_pause(index, event, until);
             return;
         }
         if event == MembershipEvent::Tick {
             let interval = self.settings.interval();
-            self.push(at, interval, MembershipEvent::Tick);
+            self.schedule_event(index, interval, MembershipEvent::Tick);
         }
-        self.tell(at, event);
+        self.handle(index, event);
     }
 
-    /// What arrives at a paused node waits in its socket; its tick comes when it wakes.
-    fn deliver_late(&mut self, at: usize, event: MembershipEvent, until: Duration) {
-        let node = &mut self.nodes[at];
+    /// Keeps messages for a paused node until it resumes, and delays its tick until then.
+    fn deliver_after_pause(&mut self, index: usize, event: MembershipEvent, until: Duration) {
+        let node = &mut self.nodes[index];
         if self.now < until {
             if event == MembershipEvent::Tick {
                 let left = until - self.now;
-                self.push(at, left, MembershipEvent::Tick);
-            } else if !self.loses_while_paused {
-                node.late.push(event);
+                self.schedule_event(index, left, MembershipEvent::Tick);
+            } else if !self.drops_while_paused {
+                node.received_while_paused.push(event);
             }
             return;
         }
         node.paused_until = None;
-        let late = std::mem::take(&mut node.late);
-        for event in late.into_iter().chain([event]) {
-            self.deliver(at, event);
+        let received_while_paused = std::mem::take(&mut node.received_while_paused);
+        for event in received_while_paused.into_iter().chain([event]) {
+            self.deliver(index, event);
         }
     }
 
-    fn carry_out(&mut self, at: usize, action: MembershipAction) {
+    fn apply_action(&mut self, index: usize, action: MembershipAction) {
         match action {
             MembershipAction::SendHeartbeat { to, heartbeat } => {
-                let from = self.nodes[at].id.clone();
-                let incarnation = self.nodes[at].incarnation;
+                let from = self.nodes[index].id.clone();
+                let incarnation = self.nodes[index].incarnation;
                 let event = MembershipEvent::Heard {
                     from,
                     incarnation,
                     heartbeat: heartbeat.clone(),
                 };
-                self.send(at, &to, NodeMessage::Heartbeat(heartbeat), &event);
+                self.send(index, &to, NodeMessage::Heartbeat(heartbeat), &event);
             }
             MembershipAction::SendSummary { to, summary } => {
-                let from = self.nodes[at].id.clone();
+                let from = self.nodes[index].id.clone();
                 let event = MembershipEvent::SummaryHeard {
                     from,
                     summary: summary.clone(),
                 };
-                self.send(at, &to, NodeMessage::Summary(summary), &event);
+                self.send(index, &to, NodeMessage::Summary(summary), &event);
             }
             MembershipAction::LiveNodesChanged { nodes } => {
-                self.nodes[at].live = nodes;
-                self.nodes[at].live_changes += 1;
+                self.nodes[index].live = nodes;
+                self.nodes[index].live_changes += 1;
             }
-            MembershipAction::AskVmList => self.read_vm_list(at),
+            MembershipAction::AskVmList => self.read_vm_list(index),
             MembershipAction::UpstreamLeaving { upstream, .. } => {
                 let now = self.now;
-                self.nodes[at].leaving.insert(upstream, now);
+                self.nodes[index].leaving.insert(upstream, now);
             }
             MembershipAction::UpstreamStaying { upstream } => {
-                self.nodes[at].leaving.remove(&upstream);
+                self.nodes[index].leaving.remove(&upstream);
             }
             MembershipAction::GenerationSeen {
                 generation: seen, ..
             } => {
                 if !self.is_lost() {
-                    self.push(at, FETCH, generation(seen));
+                    self.schedule_event(index, FETCH_TIME, generation(seen));
                 }
             }
             MembershipAction::Report(note) => {
                 let now = self.now;
-                self.nodes[at].notes.push((now, note));
+                self.nodes[index].notes.push((now, note));
             }
             MembershipAction::Disconnect { .. } => {}
         }
     }
 
-    fn read_vm_list(&mut self, at: usize) {
-        self.nodes[at].vm_list_reads += 1;
-        if !self.is_vm_list_out {
+    fn read_vm_list(&mut self, index: usize) {
+        self.nodes[index].vm_list_reads += 1;
+        if !self.is_vm_list_unavailable {
             let vms = self.vm_list.clone();
-            self.push(at, LATENCY, MembershipEvent::VmListRead { vms });
+            self.schedule_event(index, LATENCY, MembershipEvent::VmListRead { vms });
         }
     }
 
-    fn send(&mut self, at: usize, to: &[Arc<str>], message: NodeMessage, event: &MembershipEvent) {
-        let bytes = self.message_bytes(at, message);
+    fn send(
+        &mut self,
+        index: usize,
+        to: &[Arc<str>],
+        message: NodeMessage,
+        event: &MembershipEvent,
+    ) {
+        let bytes = self.message_bytes(index, message);
         for address in to {
-            self.nodes[at].sent_messages += 1;
-            self.nodes[at].sent_bytes += bytes;
+            self.nodes[index].sent_messages += 1;
+            self.nodes[index].sent_bytes += bytes;
             let Some(&receiver) = self.by_address.get(address) else {
                 continue;
             };
-            let passes = (self.passes)(&self.nodes[at], &self.nodes[receiver]);
-            if passes && !self.is_lost() {
-                self.push(receiver, LATENCY, event.clone());
+            let can_deliver = (self.can_deliver)(&self.nodes[index], &self.nodes[receiver]);
+            if can_deliver && !self.is_lost() {
+                self.schedule_event(receiver, LATENCY, event.clone());
             }
         }
     }
 
-    fn message_bytes(&self, at: usize, message: NodeMessage) -> u64 {
+    fn message_bytes(&self, index: usize, message: NodeMessage) -> u64 {
         let envelope = Envelope {
-            from: self.nodes[at].id.clone(),
-            incarnation: self.nodes[at].incarnation,
+            from: self.nodes[index].id.clone(),
+            incarnation: self.nodes[index].incarnation,
             message,
         };
         let bytes = envelope.to_bytes().expect("the message fits");
@@ -374,10 +389,10 @@
         self.loss > 0.0 && self.rng.random_bool(self.loss)
     }
 
-    fn push(&mut self, to: usize, after: Duration, event: MembershipEvent) {
+    fn schedule_event(&mut self, to: usize, after: Duration, event: MembershipEvent) {
         self.seq += 1;
         self.events.insert(self.seq, event);
-        self.due.push(Reverse(Due {
+        self.schedule.push(Reverse(ScheduledEvent {
             at: self.now + after,
             seq: self.seq,
             to,
--- a/crates/membership/tests/stories.rs
+++ b/crates/membership/tests/node_failures.rs
@@ -1,4 +1,4 @@
-//! Nodes that pause, vanish, return and restart.
+//! The live nodes while nodes pause, fail, return, restart and shut down.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// One failure domain of `nodes`, after a while without incident.
+/// Creates one failure domain in which all nodes agree on the live nodes.
 fn calm_domain(nodes: usize) -> Fleet {
     let mut fleet = Fleet::new(1, nodes, 7);
     fleet.run(20 * SECOND);
@@ -29,12 +29,14 @@
     node.notes.iter().any(|(_, note)| note == wanted)
 }
 
-// A VM is frozen for a minute by its host. When it wakes, every peer has been silent for a minute
-// by its clock. If it gave them all up it would take over every engine of its failure domain.
+// A VM is frozen for a minute. When it resumes, all its peers appear to have been silent for that
+// time. If it marked them unreachable, it would take over every engine of its failure domain.
 #[rstest]
-fn a_paused_node_wakes_without_giving_anybody_up(#[values(false, true)] loses: bool) {
+fn a_paused_node_does_not_mark_its_peers_unreachable(
+    #[values(false, true)] drops_while_paused: bool,
+) {
     let mut fleet = calm_domain(8);
-    fleet.loses_while_paused = loses;
+    fleet.drops_while_paused = drops_while_paused;
     let before = fleet.nodes[0].live_changes;
     fleet.pause(0, 60 * SECOND);
     fleet.run(120 * SECOND);
@@ -62,14 +64,14 @@
     assert!(fleet.agrees_on_live());
 }
 
-// All VMs of a failure domain stand on one host, which freezes for a minute and goes on. Each node
-// hears the others again only some time after it woke.
+// All VMs of a failure domain are frozen for a minute by their common host. After they resume, it
+// takes some time until each node receives heartbeats from the others again.
 #[test]
-fn a_domain_that_pauses_as_a_whole_changes_nothing() {
+fn a_pause_of_a_whole_domain_does_not_change_the_live_nodes() {
     let mut fleet = calm_domain(8);
     let before = live_changes(&fleet);
-    for at in 0..8 {
-        fleet.pause(at, 60 * SECOND);
+    for index in 0..8 {
+        fleet.pause(index, 60 * SECOND);
     }
     fleet.run(90 * SECOND);
     assert_eq!(live_changes(&fleet), before);
@@ -77,10 +79,10 @@
     assert!(!notes.any(|(_, n)| matches!(n, MembershipNote::PeerUnreachable(_))));
 }
 
-// A node's network card drops out every few seconds. Each time it comes back it would be handed
-// its engines again, and each takeover keeps evictions waiting for a pin's whole life.
+// A node's network fails every few seconds. If the node counted as live at once after each return,
+// its engines would move back each time, and each move delays evictions by the lifetime of a pin.
 #[test]
-fn a_flapping_node_moves_ownership_less_and_less() {
+fn a_flapping_node_is_counted_as_live_later_after_each_return() {
     let mut fleet = calm_domain(6);
     let before = fleet.nodes[1].live_changes;
     for _ in 0..10 {
@@ -93,13 +95,14 @@
     assert!(fleet.agrees_on_live());
 }
 
-// A switch inside a failure domain fails for nine seconds: five of eight nodes vanish for the
-// other three, and the other way about. Nobody died, so no engine should change its owner.
+// A switch fault of nine seconds separates five of eight nodes from the other three. All nodes are
+// alive, so no engine should change its owner.
 #[test]
-fn a_short_loss_of_most_nodes_moves_nothing() {
+fn a_short_loss_of_most_nodes_does_not_change_the_live_nodes() {
     let mut fleet = calm_domain(8);
     let before = fleet.nodes[0].live_changes;
-    fleet.passes = |a, b| (a.id.ends_with(['0', '1', '2'])) == (b.id.ends_with(['0', '1', '2']));
+    fleet.can_deliver =
+        |a, b| (a.id.ends_with(['0', '1', '2'])) == (b.id.ends_with(['0', '1', '2']));
     fleet.run(9 * SECOND);
     assert_eq!(
         fleet.nodes[0].membership.status().domains[0]
@@ -107,37 +110,38 @@
             .len(),
         5
     );
-    fleet.passes = |_, _| true;
+    fleet.can_deliver = |_, _| true;
     fleet.run(30 * SECOND);
     assert_eq!(fleet.nodes[0].live_changes, before);
     assert!(fleet.agrees_on_live());
 }
 
-// Five of eight VMs really are gone. After the hold their engines go to the others, all at once.
+// Five of eight VMs are lost for good. When `mass_hold_ms` has passed, all their engines must move
+// to the other nodes in one change.
 #[test]
-fn a_lasting_loss_of_most_nodes_moves_everything_once() {
+fn a_lasting_loss_of_most_nodes_changes_the_live_nodes_once() {
     let mut fleet = calm_domain(8);
     let before = fleet.nodes[0].live_changes;
-    for at in 3..8 {
-        fleet.nodes[at].is_dead = true;
+    for index in 3..8 {
+        fleet.nodes[index].is_dead = true;
     }
     fleet.run(30 * SECOND);
     assert!(fleet.agrees_on_live());
     assert_eq!(fleet.nodes[0].live_changes, before + 1);
 }
 
-// One of two VMs of a failure domain dies. That is half of them, and still the other one must
-// take its engines over soon.
+// One of the two VMs of a failure domain fails. This must not count as a loss of most nodes, which
+// would delay the takeover of its engines.
 #[test]
-fn a_single_dead_node_is_taken_out_soon_even_in_a_small_domain() {
+fn a_dead_node_leaves_the_live_nodes_within_seconds_in_a_domain_of_two() {
     let mut fleet = calm_domain(2);
     fleet.nodes[1].is_dead = true;
-    let taken = fleet.run_until(30 * SECOND, Fleet::agrees_on_live);
-    assert!(taken <= 6 * SECOND, "{taken:?}");
+    let elapsed = fleet.run_until(30 * SECOND, Fleet::agrees_on_live);
+    assert!(elapsed <= 6 * SECOND, "{elapsed:?}");
 }
 
-// A process is killed and started again before anybody missed it. Its pins and tickets are gone,
-// so the others must see a new incarnation and not the old node.
+// A process is restarted before its peers notice that it was down. Its pins and tickets are lost,
+// so the peers must learn that it is a new incarnation.
 #[test]
 fn a_restarted_node_is_seen_as_a_new_incarnation() {
     let mut fleet = calm_domain(6);
@@ -155,9 +159,9 @@
     assert!(fleet.agrees_on_live());
 }
 
-// The VM list lags: it has lost two nodes that run, and still shows one that died.
+// The VM list lags: two running nodes are missing from it, and it still contains a dead one.
 #[test]
-fn the_vm_list_never_takes_away_a_node_that_is_heard() {
+fn the_vm_list_never_removes_a_node_that_sends_heartbeats() {
     let mut fleet = calm_domain(6);
     let before = fleet.nodes[5].live_changes;
     fleet.vm_list.drain(0..2);
@@ -168,30 +172,29 @@
     assert!(fleet.agrees_on_live());
 }
 
-// A VM starts while the VM list is out. It knows two addresses from its settings, of which one is
-// of another failure domain and one of a node that is gone.
+// A VM starts while the VM list is unavailable. Its settings name two nodes, one of which is dead.
 #[test]
-fn a_node_finds_the_others_by_one_address_while_the_vm_list_is_out() {
+fn a_node_joins_by_one_seed_address_while_the_vm_list_is_unavailable() {
     let mut fleet = Fleet::new(2, 4, 3);
     fleet.run(10 * SECOND);
-    fleet.is_vm_list_out = true;
+    fleet.is_vm_list_unavailable = true;
     fleet.nodes[2].is_dead = true;
     fleet.run(10 * SECOND);
-    let at = fleet.add_node(0, 9);
+    let index = fleet.add_node(0, 9);
     let addresses = [2, 1].map(|known| fleet.nodes[known].address.clone());
     let seeds = MembershipEvent::Seeds {
         addresses: addresses.to_vec(),
     };
-    fleet.tell(at, seeds);
+    fleet.handle(index, seeds);
     fleet.run(10 * SECOND);
     assert!(fleet.agrees_on_live());
-    assert_eq!(fleet.nodes[at].membership.status().domains.len(), 2);
+    assert_eq!(fleet.nodes[index].membership.status().domains.len(), 2);
 }
 
-// The platform says that a VM will be taken away. The node still finishes its requests and is
-// heard, but it should own no engine when it goes.
+// The platform announces that a VM will be removed. The node finishes its requests and remains
+// reachable, but must own no engine when the VM is removed.
 #[test]
-fn a_node_whose_vm_is_leaving_owns_nothing_and_is_still_heard() {
+fn a_node_on_a_leaving_vm_is_not_live_but_stays_reachable() {
     let mut fleet = calm_domain(4);
     fleet.vm_list[0].is_leaving = true;
     fleet.run(10 * SECOND);
@@ -204,39 +207,39 @@
     }
 }
 
-// A node shuts down in order. Its engines must find new owners before its process ends.
+// When a node shuts down, its engines must get new owners before its process ends.
 #[test]
-fn a_node_that_shuts_down_is_out_of_the_live_nodes_at_once() {
+fn a_node_that_shuts_down_leaves_the_live_nodes_within_a_second() {
     let mut fleet = calm_domain(12);
     let leaving = fleet.nodes[4].id.clone();
     let state = MembershipEvent::OwnState {
         is_ready: false,
         is_leaving: true,
     };
-    fleet.tell(4, state);
-    let taken = fleet.run_until(30 * SECOND, |fleet| {
+    fleet.handle(4, state);
+    let elapsed = fleet.run_until(30 * SECOND, |fleet| {
         let mut nodes = fleet.nodes.iter();
         nodes.all(|node| node.live.iter().all(|live| live.node != leaving))
     });
-    assert!(taken <= SECOND, "{taken:?}");
+    assert!(elapsed <= SECOND, "{elapsed:?}");
 }
 
-// Failure domain 1 is cut off from 0 and 2 for ten minutes. Each goes on with its own nodes, the
-// operators see who is out of reach, and after the heal all see each other again within seconds.
+// A partition separates failure domain 1 from 0 and 2 for ten minutes. The live nodes of each must
+// not change, the status must show the unreachable nodes, and all must reconnect within seconds.
 #[test]
-fn domains_that_are_cut_off_go_on_and_find_each_other_again() {
+fn partitioned_domains_keep_their_live_nodes_and_reconnect() {
     let mut fleet = Fleet::new(3, 4, 5);
     fleet.run(20 * SECOND);
     let before = live_changes(&fleet);
-    fleet.passes = |a, b| (a.domain == 1) == (b.domain == 1);
+    fleet.can_deliver = |a, b| (a.domain == 1) == (b.domain == 1);
     fleet.run(600 * SECOND);
     assert_eq!(live_changes(&fleet), before);
     let status = fleet.nodes[0].membership.status();
     assert_eq!(status.domains[1].failure_domain, domain_name(1));
     assert_eq!(status.domains[1].unreachable.len(), 4);
     assert_eq!(status.domains[2].unreachable, []);
-    fleet.passes = |_, _| true;
-    let healed = fleet.run_until(60 * SECOND, |fleet| {
+    fleet.can_deliver = |_, _| true;
+    let reconnect_time = fleet.run_until(60 * SECOND, |fleet| {
         let mut nodes = fleet.nodes.iter();
         nodes.all(|n| {
             n.membership
@@ -246,6 +249,6 @@
                 .all(|d| d.unreachable.is_empty())
         })
     });
-    assert!(healed <= 10 * SECOND, "{healed:?}");
+    assert!(reconnect_time <= 10 * SECOND, "{reconnect_time:?}");
     assert_eq!(live_changes(&fleet), before);
 }
--- a/crates/membership/tests/news.rs
+++ b/crates/membership/tests/propagation.rs
@@ -1,4 +1,4 @@
-//! How news of upstreams and texts spreads.
+//! How notices about upstreams and new generations reach all nodes, and what it costs.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     nodes.filter(|node| !node.leaving.is_empty()).count()
 }
 
-/// The slowest of many seeded trials, run on a few threads that each start from one calm fleet.
+/// Runs one trial per seed and returns the longest time. Each thread reuses one steady fleet.
 fn slowest(trial: impl Fn(&mut Fleet) -> Duration + Sync) -> Duration {
     let trial = &trial;
     std::thread::scope(|scope| {
@@ -60,7 +60,7 @@
     })
 }
 
-/// A fleet of the two-year size, with a tenth of its messages lost.
+/// A fleet of the size expected in two years, which loses 10 % of its messages.
 fn large_fleet(seed: u64) -> Fleet {
     let mut fleet = Fleet::new(6, 60, seed);
     fleet.loss = LOSS;
@@ -68,91 +68,92 @@
     fleet
 }
 
-// An operator changes the text. 360 nodes in six failure domains must have it in force within
-// three seconds, although only one node has read it from the platform so far.
+// A new text that one node has read from the platform must be in force on all 360 nodes of six
+// failure domains within three seconds.
 #[test]
-fn a_new_generation_is_everywhere_within_three_seconds() {
+fn a_new_generation_reaches_all_nodes_within_three_seconds() {
     let slowest = slowest(|fleet| {
-        fleet.tell(7, generation(2));
+        fleet.handle(7, generation(2));
         fleet.run_until(10 * SECOND, |f| f.nodes.iter().all(|n| n.generation.0 == 2))
     });
     println!("slowest of {SEEDS} seeds: {slowest:?}");
     assert!(slowest <= 3 * SECOND, "{slowest:?}");
 }
 
-// An engine says that it is leaving, to the one node that asked it. Every node that may send it
-// work, in its own failure domain and in the others, must know within three seconds.
+// An engine reports that it is leaving to a single node. All nodes in all failure domains may send
+// it work, so all must know within three seconds.
 #[test]
-fn a_leaving_upstream_is_known_everywhere_within_three_seconds() {
+fn a_leaving_upstream_is_known_to_all_nodes_within_three_seconds() {
     let slowest = slowest(|fleet| {
-        fleet.tell(7, leaving());
+        fleet.handle(7, leaving());
         fleet.run_until(10 * SECOND, |f| count_leaving(f) == f.nodes.len())
     });
     println!("slowest of {SEEDS} seeds: {slowest:?}");
     assert!(slowest <= 3 * SECOND, "{slowest:?}");
 }
 
-// An upstream starts to leave while a failure domain is cut off. When the cut heals the news is
-// old, and still that domain must not go on sending it work.
+// An upstream begins to leave during a partition. When the partition ends, its notice is older than
+// `upstream_spread_ms`. Unless it is spread again, the other failure domain keeps sending it work.
 #[test]
-fn a_healed_domain_learns_which_upstreams_left_meanwhile() {
+fn a_domain_learns_of_leaving_upstreams_after_a_partition() {
     let mut fleet = Fleet::new(2, 4, 11);
     fleet.run(20 * SECOND);
-    fleet.passes = |a, b| a.domain == b.domain;
+    fleet.can_deliver = |a, b| a.domain == b.domain;
     fleet.run(30 * SECOND);
-    fleet.tell(0, leaving());
+    fleet.handle(0, leaving());
     fleet.run(120 * SECOND);
     assert_eq!(count_leaving(&fleet), 4);
-    fleet.passes = |_, _| true;
+    fleet.can_deliver = |_, _| true;
     fleet.run(12 * SECOND);
     assert_eq!(count_leaving(&fleet), 8);
 }
 
-// A node starts after the news was spread. It would send work to an upstream that is leaving.
+// A node that starts after the notice was last put into heartbeats would send work to a leaving
+// upstream.
 #[test]
 fn a_new_node_learns_which_upstreams_are_leaving() {
     let mut fleet = Fleet::new(1, 4, 11);
     fleet.run(10 * SECOND);
-    fleet.tell(0, leaving());
+    fleet.handle(0, leaving());
     fleet.run(60 * SECOND);
-    let at = fleet.add_node(0, 8);
+    let index = fleet.add_node(0, 8);
     fleet.run(5 * SECOND);
-    assert!(fleet.nodes[at].leaving.contains_key(&upstream()));
+    assert!(fleet.nodes[index].leaving.contains_key(&upstream()));
 }
 
-// The VM list says that an upstream's VM is leaving, the upstream itself does not know and says
-// that it stays. Work must stop as long as either says so, without flapping.
+// The VM list says that an upstream's VM is leaving, while the upstream reports that it is staying.
+// It must count as leaving as long as one source says so, without switching back and forth.
 #[test]
-fn leaving_wins_while_sources_contradict_each_other() {
+fn leaving_takes_precedence_while_sources_disagree() {
     let mut fleet = Fleet::new(1, 4, 11);
     fleet.run(10 * SECOND);
     for _ in 0..20 {
-        fleet.tell(0, leaving());
+        fleet.handle(0, leaving());
         fleet.run(SECOND / 2);
-        fleet.tell(1, staying(5));
+        fleet.handle(1, staying(5));
         fleet.run(SECOND / 2);
         assert_eq!(count_leaving(&fleet), 4);
     }
 }
 
-// An upstream's VM was replaced at the same address. Once nobody says any more that it is leaving,
-// it must get work again everywhere.
+// An upstream's VM is replaced at the same address. Once no source reports it as leaving any more,
+// all nodes must send it work again.
 #[test]
 fn a_replaced_upstream_gets_work_again() {
     let mut fleet = Fleet::new(2, 4, 11);
     fleet.run(10 * SECOND);
-    fleet.tell(0, leaving());
+    fleet.handle(0, leaving());
     fleet.run(SECOND);
     assert_eq!(count_leaving(&fleet), 8);
     for _ in 0..15 {
-        fleet.tell(1, staying(6));
+        fleet.handle(1, staying(6));
         fleet.run(SECOND);
     }
     assert_eq!(count_leaving(&fleet), 0);
 }
 
-// Every node that reads the platform's list counts against its rates, and so must not add up to
-// the size of the fleet.
+// The platform limits the rate of reads of its VM list, so the number of reads must not depend on
+// the number of nodes.
 #[test]
 fn reads_of_the_vm_list_do_not_grow_with_the_fleet() {
     let reads = [4, 16].map(|nodes| {
@@ -165,8 +166,8 @@
     assert_eq!(reads, [80, 80]);
 }
 
-// Control traffic has 8 KB/s a node in all, at 60 nodes a failure domain. Heartbeats and accounts
-// must leave room for pins, claims and texts.
+// The budget for control traffic is 8 KB/s per node at 60 nodes per failure domain. Heartbeats and
+// summaries must leave enough of it for pins, claims and texts.
 #[test]
 fn heartbeats_take_less_than_half_of_the_control_budget() {
     let mut fleet = large_fleet(1);
--- a/crates/membership/tests/random_runs.rs
+++ b/crates/membership/tests/random_failures.rs
@@ -1,4 +1,4 @@
-//! Long runs with random failures.
+//! Random failures of a fleet, and heartbeats with random contents.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -20,19 +20,19 @@
 
 const DOMAINS: usize = 2;
 const NODES: usize = DOMAINS * 5;
-const CALM: Duration = Duration::from_secs(120);
+const RECOVERY_TIME: Duration = Duration::from_secs(120);
 
-/// Something that goes wrong, or right again.
+/// A failure, a recovery or another event in a run.
 #[derive(Clone, Copy, Debug)]
 enum Incident {
     Wait { ms: u64 },
     Pause { node: usize, ms: u64 },
     Kill { node: usize },
     Restart { node: usize },
-    Cut,
+    CutBetweenDomains,
     CutWithinDomains,
     Heal,
-    VmListOut { is_out: bool },
+    VmListOutage { active: bool },
     Generation { node: usize, number: u64 },
     Leaving { node: usize, upstream: u8 },
 }
@@ -44,10 +44,10 @@
         2 => (node.clone(), 100..40_000u64).prop_map(|(node, ms)| Incident::Pause { node, ms }),
         1 => node.clone().prop_map(|node| Incident::Kill { node }),
         2 => node.clone().prop_map(|node| Incident::Restart { node }),
-        1 => Just(Incident::Cut),
+        1 => Just(Incident::CutBetweenDomains),
         1 => Just(Incident::CutWithinDomains),
         2 => Just(Incident::Heal),
-        1 => any::<bool>().prop_map(|is_out| Incident::VmListOut { is_out }),
+        1 => any::<bool>().prop_map(|active| Incident::VmListOutage { active }),
         1 => (node.clone(), 2..9u64).prop_map(|(node, number)| {
             Incident::Generation { node, number }
         }),
@@ -55,31 +55,31 @@
     ]
 }
 
-fn happen(fleet: &mut Fleet, incident: Incident) {
+fn apply_incident(fleet: &mut Fleet, incident: Incident) {
     match incident {
         Incident::Wait { ms } => fleet.run(Duration::from_millis(ms)),
         Incident::Pause { node, ms } => fleet.pause(node, Duration::from_millis(ms)),
         Incident::Kill { node } => fleet.nodes[node].is_dead = true,
         Incident::Restart { node } if fleet.nodes[node].is_dead => fleet.restart(node),
         Incident::Restart { .. } => {}
-        Incident::Cut => fleet.passes = |a, b| a.domain == b.domain,
+        Incident::CutBetweenDomains => fleet.can_deliver = |a, b| a.domain == b.domain,
         Incident::CutWithinDomains => {
-            fleet.passes = |a, b| a.id.ends_with(['0', '1']) == b.id.ends_with(['0', '1']);
+            fleet.can_deliver = |a, b| a.id.ends_with(['0', '1']) == b.id.ends_with(['0', '1']);
         }
-        Incident::Heal => fleet.passes = |_, _| true,
-        Incident::VmListOut { is_out } => fleet.is_vm_list_out = is_out,
-        Incident::Generation { node, number } if fleet.nodes[node].runs() => {
-            fleet.tell(node, generation(number));
+        Incident::Heal => fleet.can_deliver = |_, _| true,
+        Incident::VmListOutage { active } => fleet.is_vm_list_unavailable = active,
+        Incident::Generation { node, number } if fleet.nodes[node].is_running() => {
+            fleet.handle(node, generation(number));
         }
-        Incident::Leaving { node, upstream } if fleet.nodes[node].runs() => {
+        Incident::Leaving { node, upstream } if fleet.nodes[node].is_running() => {
             let leaving = MembershipEvent::UpstreamLeaving {
                 upstream: UpstreamId::from(format!("10.9.0.{upstream}:8000")),
                 incarnation: None,
                 source: LeavingSource::Refusal,
             };
-            fleet.tell(node, leaving);
+            fleet.handle(node, leaving);
         }
-        // A node that does not run learns nothing.
+        // A node that is not running receives no events.
         Incident::Generation { .. } | Incident::Leaving { .. } => {}
     }
 }
@@ -96,26 +96,26 @@
 proptest! {
     #![proptest_config(seeded(40))]
 
-    // Whatever happened, once the failures are over all running nodes agree on who is live and
-    // run the newest generation that any of them knew.
+    // After any sequence of failures, once the network and the VM list work again, all nodes that
+    // are alive must agree on the live nodes and on one generation.
     #[test]
-    fn after_any_failures_the_nodes_agree_again(
+    fn nodes_agree_again_after_any_failures(
         incidents in prop::collection::vec(incidents(), 1..40),
         seed in any::<u64>(),
     ) {
         let mut fleet = Fleet::new(DOMAINS, NODES / DOMAINS, seed);
         fleet.loss = 0.1;
         for incident in incidents {
-            happen(&mut fleet, incident);
+            apply_incident(&mut fleet, incident);
         }
-        fleet.passes = |_, _| true;
-        fleet.is_vm_list_out = false;
-        fleet.run(CALM);
+        fleet.can_deliver = |_, _| true;
+        fleet.is_vm_list_unavailable = false;
+        fleet.run(RECOVERY_TIME);
         prop_assert!(fleet.agrees_on_live());
-        let generations = fleet.running().map(|node| node.membership.status().generation);
+        let generations = fleet.alive().map(|node| node.membership.status().generation);
         let generations: BTreeSet<_> = generations.collect();
         prop_assert!(generations.len() <= 1, "{:?} are in force", generations);
-        for node in fleet.running() {
+        for node in fleet.alive() {
             let status = node.membership.status();
             prop_assert_eq!(status.domains.len(), DOMAINS);
         }
@@ -139,10 +139,10 @@
 proptest! {
     #![proptest_config(seeded(500))]
 
-    // Another node's process has a fault and sends heartbeats with any values in them. The core
-    // must not panic, and still counts itself.
+    // A faulty node sends heartbeats with arbitrary values. The core must not panic, and must still
+    // count its own node as live.
     #[test]
-    fn no_heartbeat_makes_the_core_panic(
+    fn no_heartbeat_causes_a_panic(
         beats in prop::collection::vec(any_beat(), 0..6),
         steps in prop::collection::vec((any_beat(), 0..100_000u64, any::<u32>()), 1..20),
     ) {
--- a/crates/request/tests/life_cycle.rs
+++ b/crates/request/tests/life_cycle.rs
@@ -1,4 +1,4 @@
-//! A request's life: when it may be called "not run", and when its answer is whole.
+//! Tests when a request may be reported as "not run" and when its answer is complete.
 
 use nutmegsail_base::{AdapterRef, Incarnation, ResultCode, RunState};
 use nutmegsail_request::{AfterFailure, AnswerHandle, Outcome, PieceCount, Refusal, Request};
@@ -26,7 +26,7 @@
 #[case::broken(UpstreamError::Broken, false)]
 #[case::failed(UpstreamError::Failed { status: 500 }, false)]
 #[case::malformed(UpstreamError::Malformed("x".into()), false)]
-fn only_a_certain_refusal_leaves_a_request_not_run(
+fn only_an_error_that_rules_out_a_run_leaves_a_request_not_run(
     #[case] error: UpstreamError,
     #[case] is_not_run: bool,
 ) {
@@ -48,10 +48,10 @@
     }
 }
 
-/// A lookup is sent and the connection breaks. It is sent again, and the second upstream is full.
-/// A clerk who is told "not run" now, because the last upstream said so, would be told a lie.
+/// An idempotent request is sent and the connection breaks, so it may have run. It is sent again
+/// and the second upstream refuses it. Reporting it as "not run" would then be wrong.
 #[test]
-fn a_refusal_after_a_broken_send_proves_nothing() {
+fn a_request_stays_uncertain_when_a_refusal_follows_a_broken_send() {
     let sent = Request::accept("r".into()).queue().dispatch("u:1".into());
     let AfterFailure::MayHaveRun(mut uncertain) = sent.failed(&UpstreamError::Broken) else {
         panic!("it may have run");
@@ -59,7 +59,7 @@
     for error in [UpstreamError::Full, UpstreamError::Unreachable] {
         let again = uncertain.dispatch_again("u:2".into()).failed(&error);
         let AfterFailure::MayHaveRun(still) = again else {
-            panic!("the doubt was forgotten");
+            panic!("it may still have run");
         };
         uncertain = still;
     }
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_wrong_count_ends_in_a_visible_cut() {
+fn a_wrong_piece_count_ends_in_a_refusal() {
     let mut request = Request::resume("r".into(), "u:1".into(), Incarnation(7), 4);
     request.piece(5).expect("contiguous");
     assert!(request.piece(5).is_err());
@@ -82,29 +82,32 @@
     assert_eq!(refusal.run_state(), RunState::Ran);
 }
 
-/// Pieces come late, doubled or not at all. What the caller has must always be the beginning of the
-/// answer, and it is whole only if nothing is missing.
+/// Pieces may be missing, duplicated or out of order. The caller must always have a prefix of the
+/// answer, and the answer may end as complete only if no piece is missing.
 #[test]
-fn what_is_taken_is_always_the_beginning_of_the_answer() {
+fn accepted_pieces_are_always_a_prefix_of_the_answer() {
     let ids = prop::collection::vec(0_u64..8, 0..20);
     let verdict = fixed_runner().run(&(ids, 0_u64..8), |(ids, counted)| {
         let mut pieces = PieceCount::from_start();
-        let mut taken = Vec::new();
+        let mut accepted = Vec::new();
         for id in ids {
             if pieces.observe(id).is_ok() {
-                taken.push(id);
+                accepted.push(id);
             }
         }
-        let beginning: Vec<u64> = (1..=taken.len() as u64).collect();
-        prop_assert_eq!(&taken, &beginning);
-        prop_assert_eq!(pieces.end(counted).is_ok(), counted == taken.len() as u64);
+        let prefix: Vec<u64> = (1..=accepted.len() as u64).collect();
+        prop_assert_eq!(&accepted, &prefix);
+        prop_assert_eq!(
+            pieces.end(counted).is_ok(),
+            counted == accepted.len() as u64
+        );
         Ok(())
     });
     verdict.expect("every case holds");
 }
 
 #[test]
-fn a_handle_survives_a_url_and_garbage_is_none() {
+fn a_handle_parses_from_its_own_text_and_not_from_a_damaged_one() {
     let parts = ("[ -~]{0,80}", "[a-z0-9-]{1,60}", any::<u32>(), any::<u64>());
     let damage = (any::<prop::sample::Index>(), any::<char>());
     let verdict = fixed_runner().run(&(parts, damage), |(parts, (at, other))| {
@@ -133,7 +136,7 @@
 #[case::short("00ff")]
 #[case::not_hex("zz")]
 #[case::long(&"00".repeat(100_000))]
-fn garbage_is_an_unknown_answer(#[case] text: &str) {
+fn an_invalid_handle_is_an_unknown_answer(#[case] text: &str) {
     let fault = text.parse::<AnswerHandle>().expect_err("garbage");
     assert_eq!(fault.code(), ResultCode::UnknownAnswer);
 }
