--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -7,7 +7,7 @@
 
 use crate::{BeatKey, KeyedBeat, MembershipNote, NodeState, PeerBeat};
 
-/// How long a node that is reachable again is not counted as live. Doubles with each return.
+/// How long a node does not count as live after its first return. Doubles with each further one.
 const RETURN_DELAY: Duration = Duration::from_millis(500);
 const MAX_RETURN_DELAY: Duration = Duration::from_secs(30);
 
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -13,7 +13,7 @@
     PeerBeat,
 };
 
-/// The least number of nodes silent at once that is treated as a likely network fault.
+/// The minimum number of silent nodes that can count as a mass loss, a likely network fault.
 const MIN_MASS_LOSS_NODES: usize = 3;
 /// Limits the contacts in a summary besides its author.
 const MAX_NAMED_CONTACTS: usize = 3;
@@ -151,8 +151,8 @@
             Reachability::Removed { .. } => false,
         };
         let silent = self.peers.values().filter(|peer| is_silent(peer)).count();
-        let heard = self.reachable().filter(|(_, p)| !is_silent(p)).count();
-        if silent < MIN_MASS_LOSS_NODES || silent <= heard {
+        let responsive = self.reachable().filter(|(_, p)| !is_silent(p)).count();
+        if silent < MIN_MASS_LOSS_NODES || silent <= responsive {
             self.mass_loss_since = None;
             return;
         }
@@ -223,11 +223,11 @@
             is_kept
         });
         for (node, vm) in listed {
-            let is_heard = self
+            let is_known = self
                 .peers
                 .get(node)
                 .is_some_and(|peer| !matches!(peer.reachability, Reachability::Removed { .. }));
-            if !is_heard {
+            if !is_known {
                 let address = Arc::clone(&vm.address);
                 let source = CandidateSource::VmList;
                 self.candidates.entry(address).or_insert(source);
--- a/crates/membership/src/upstream_notices.rs
+++ b/crates/membership/src/upstream_notices.rs
@@ -7,14 +7,14 @@
 
 use crate::{MembershipAction, MembershipSettings, UpstreamNotice};
 
-/// An observation of an upstream staying overrides one of it leaving only if it is later by this.
+/// How much later than a "leaving" observation a "staying" one must be to override it.
 ///
 /// The VM list lags, and an upstream may not know that its VM is about to be removed, so sources
 /// can contradict each other for a while. Sending new work to a leaving upstream is the worse
 /// error. The delay is well above the time in which heartbeats bring a new observation to all nodes
 /// of a failure domain.
 const STAYING_OVERRIDE_DELAY: Duration = Duration::from_secs(10);
-/// An observation counts as new only if it is later than the known one by this. Relayed copies
+/// How much later than the known observation another one must be to count as new. Relayed copies
 /// appear later by the network delay, and would otherwise be relayed forever.
 const NEW_OBSERVATION_AFTER: Duration = Duration::from_millis(500);
 
@@ -42,7 +42,7 @@
 }
 
 impl UpstreamNotices {
-    /// Applies an observation. Returns an action if whether the upstream is leaving has changed.
+    /// Applies an observation. Returns an action if it changes whether the upstream is leaving.
     pub(crate) fn observe(
         &mut self,
         observation: Observation,
--- a/crates/membership/tests/random_failures.rs
+++ b/crates/membership/tests/random_failures.rs
@@ -161,12 +161,12 @@
         core.handle(ready, now, &mut rng, &mut actions);
         for (sender, after_ms, age_ms) in steps {
             now += Duration::from_millis(after_ms);
-            let heard = MembershipEvent::Heard {
+            let received = MembershipEvent::Heard {
                 from: sender.node.clone(),
                 incarnation: sender.incarnation,
                 heartbeat: heartbeat(&sender, &beats, age_ms),
             };
-            core.handle(heard, now, &mut rng, &mut actions);
+            core.handle(received, now, &mut rng, &mut actions);
             core.handle(MembershipEvent::Tick, now, &mut rng, &mut actions);
             prop_assert!(core.live_nodes().iter().any(|live| live.node == me));
             let _ = core.status();
