--- a/crates/config/src/changes.rs
+++ b/crates/config/src/changes.rs
@@ -50,8 +50,8 @@
     pub adapters_removed: NameCount,
     /// Adapters whose versions differ.
     pub adapters_changed: NameCount,
-    /// Upstreams that only the newer text has. One that changed its failure domain is listed here and
-    /// in `upstreams_removed`.
+    /// Upstreams that only the newer text has. One that changed its failure domain is listed here
+    /// and in `upstreams_removed`.
     pub upstreams_added: Vec<UpstreamChange>,
     /// Upstreams that only the older text has.
     pub upstreams_removed: Vec<UpstreamChange>,
--- a/crates/config/src/derivation.rs
+++ b/crates/config/src/derivation.rs
@@ -26,8 +26,8 @@
     /// The intended time to first token or first byte.
     #[serde(rename = "target_ms", serialize_with = "millis::serialize")]
     pub target: Duration,
-    /// How long the request may wait if it and everything it depends on meet their targets. Queues are
-    /// ordered by it.
+    /// How long the request may wait if it and everything it depends on meet their targets. Queues
+    /// are ordered by it.
     #[serde(rename = "slack_ms", serialize_with = "millis::serialize")]
     pub slack: Duration,
 }
--- a/crates/config/src/head.rs
+++ b/crates/config/src/head.rs
@@ -12,8 +12,8 @@
 pub const HEAD_KEY: &str = "nutmegsail/text/head";
 /// The prefix of the keys of pieces.
 pub const PIECE_PREFIX: &str = "nutmegsail/text/piece/";
-/// The number of writers kept in the head. A publisher that lost an answer finds its write there unless
-/// this many other changes followed, which takes over half an hour at 1,200 changes a day.
+/// The number of writers kept in the head. A publisher that lost an answer finds its write there
+/// unless this many other changes followed, which takes over half an hour at 1,200 changes a day.
 pub const RECENT_WRITERS: usize = 32;
 
 /// Identifies a change by its publisher. Retries of the same change use the same id.
@@ -110,15 +110,16 @@
         found.map(|write| write.generation)
     }
 
-    /// Whether the head's history reaches back to `base`, so that it lists every change made after it.
+    /// Whether the head's history reaches back to `base`, so that it lists every change made after
+    /// it.
     pub fn covers_changes_since(&self, base: Option<Generation>) -> bool {
         let is_complete = self.recent.len() < RECENT_WRITERS;
         let oldest = self.recent.first().map(|write| write.generation);
         is_complete || oldest.is_some_and(|oldest| oldest <= base.unwrap_or_default())
     }
 
-    /// Whether this head may descend from `older`: `older` has a lower generation, and no generation in
-    /// both histories has two different writers.
+    /// Whether this head may descend from `older`: `older` has a lower generation, and no
+    /// generation in both histories has two different writers.
     pub fn may_descend_from(&self, older: &Self) -> bool {
         let is_other = |mine: &RecentWrite, theirs: &RecentWrite| {
             mine.generation == theirs.generation && mine.writer != theirs.writer
--- a/crates/config/src/inheritance.rs
+++ b/crates/config/src/inheritance.rs
@@ -1,10 +1,10 @@
 //! Inheritance of class and deadline along the dependency graph.
 //!
-//! A service's own class applies to calls that callers make directly. A call made on behalf of another
-//! service inherits along the chain from that service to the called one: its class is the most urgent
-//! of the chain, and its deadline is that of the chain's first service minus the targets of the
-//! services on the way. If several chains lead to the called service, the one with the largest sum of
-//! targets counts.
+//! A service's own class applies to calls that callers make directly. A call made on behalf of
+//! another service inherits along the chain from that service to the called one: its class is the
+//! most urgent of the chain, and its deadline is that of the chain's first service minus the
+//! targets of the services on the way. If several chains lead to the called service, the one with
+//! the largest sum of targets counts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -89,8 +89,8 @@
         })
     }
 
-    /// Explains how a call's class, deadline and slack are derived, and what it would inherit from each
-    /// service that depends on the called one.
+    /// Explains how a call's class, deadline and slack are derived, and what it would inherit from
+    /// each service that depends on the called one.
     ///
     /// # Errors
     /// The service or the call is unknown.
@@ -112,7 +112,8 @@
         Ok(derivation)
     }
 
-    /// Derives the class, deadline and slack of `call` on `service`, on behalf of `caller` if given.
+    /// Derives the class, deadline and slack of `call` on `service`, on behalf of `caller` if
+    /// given.
     ///
     /// # Errors
     /// A service or the call is unknown, or `caller` does not depend on `service`.
@@ -175,8 +176,8 @@
         Ok(())
     }
 
-    /// The services from `first` up to but not including `callee`, along the chain with the largest sum of
-    /// targets; `None` if no chain leads there.
+    /// The services from `first` up to but not including `callee`, along the chain with the largest
+    /// sum of targets; `None` if no chain leads there.
     fn costliest_chain_to<'d>(
         &'d self,
         first: &'d Service,
@@ -185,51 +186,53 @@
         let mut spent = BTreeMap::new();
         self.max_spent_before(first, callee, &mut spent)?;
         let mut chain = vec![first];
-        let mut at = first;
-        while !at.depends_on.contains(callee) || self.has_longer_path(at, callee, &spent) {
-            let next = at.depends_on.iter().filter(|name| *name != callee);
+        let mut current = first;
+        while !current.depends_on.contains(callee) || self.has_longer_path(current, callee, &spent)
+        {
+            let next = current.depends_on.iter().filter(|name| *name != callee);
             let next = next.max_by_key(|name| spent.get(*name).copied().flatten())?;
-            at = self.services.get(next)?;
-            chain.push(at);
+            current = self.services.get(next)?;
+            chain.push(current);
         }
         Some(chain)
     }
 
-    /// Whether another dependency of `at` leads to `callee` too. Such a path always has the larger sum.
+    /// Whether another dependency of `current` leads to `callee` too. Such a path always has the
+    /// larger sum.
     fn has_longer_path(
         &self,
-        at: &Service,
+        current: &Service,
         callee: &ServiceName,
         spent: &BTreeMap<ServiceName, Option<Duration>>,
     ) -> bool {
-        let others = at.depends_on.iter().filter(|name| *name != callee);
+        let others = current.depends_on.iter().filter(|name| *name != callee);
         others
             .filter_map(|name| spent.get(name))
             .any(Option::is_some)
     }
 
-    /// The largest sum of targets on a chain from `at` to just before `callee`; `None` if no chain leads
-    /// there. `spent` caches the results by service.
+    /// The largest sum of targets on a chain from `current` to just before `callee`; `None` if no
+    /// chain leads there. `spent` caches the results by service.
     fn max_spent_before(
         &self,
-        at: &Service,
+        current: &Service,
         callee: &ServiceName,
         spent: &mut BTreeMap<ServiceName, Option<Duration>>,
     ) -> Option<Duration> {
-        if let Some(known) = spent.get(&at.name) {
+        if let Some(known) = spent.get(&current.name) {
             return *known;
         }
         let mut most = None;
-        for name in &at.depends_on {
+        for name in &current.depends_on {
             let below = if name == callee {
                 Some(Duration::ZERO)
             } else {
                 let dependency = self.services.get(name);
                 dependency.and_then(|service| self.max_spent_before(service, callee, spent))
             };
-            most = most.max(below.map(|below| below + at.target));
+            most = most.max(below.map(|below| below + current.target));
         }
-        spent.insert(at.name.clone(), most);
+        spent.insert(current.name.clone(), most);
         most
     }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,12 +1,14 @@
 //! The operators' text, which configures a deployment: parsing, validation, comparison, publishing
 //! and distribution to the nodes.
 //!
-//! This crate decides what a text means, which text is accepted, and which generation is in force on
-//! a node. Its inputs are texts, answers of the key-value service and messages of peers. It handles
-//! no requests, reads no files and no clock, and its only I/O is calls to the key-value service.
+//! This crate decides what a text means, which text is accepted, and which generation is in force
+//! on a node. Its inputs are texts, answers of the key-value service and messages of peers. It
+//! handles no requests, reads no files and no clock, and its only I/O is calls to the key-value
+//! service.
 //!
-//! Start at [`Deployment::parse`] for parsing, [`Deployment::derive`] for a call's class and deadline,
-//! [`Publisher`] for how a text is accepted, and [`Spread`] for how it comes into force on a node.
+//! Start at [`Deployment::parse`] for parsing, [`Deployment::derive`] for a call's class and
+//! deadline, [`Publisher`] for how a text is accepted, and [`Spread`] for how it comes into force
+//! on a node.
 
 mod adapter_index;
 mod changes;
--- a/crates/config/src/operators_text.rs
+++ b/crates/config/src/operators_text.rs
@@ -10,8 +10,8 @@
 
 /// The maximum size of a text and its included files together, in bytes.
 ///
-/// The platform's values are limited to one megabyte. Half of that leaves space for the head and lets
-/// one transaction write a whole text.
+/// The platform's values are limited to one megabyte. Half of that leaves space for the head and
+/// lets one transaction write a whole text.
 pub const TEXT_BYTES_MAX: usize = 512 * 1024;
 
 /// A text and the files that it includes. The caller reads the files.
@@ -95,7 +95,8 @@
         Digest::of(&self.encode())
     }
 
-    /// Encodes all files as one string: a line of JSON with their names and lengths, then their contents.
+    /// Encodes all files as one string: a line of JSON with their names and lengths, then their
+    /// contents.
     pub(crate) fn encode(&self) -> String {
         let mut header = vec![(Arc::clone(&self.file), self.text.len())];
         let mut contents = self.text.to_string();
--- a/crates/config/src/piece.rs
+++ b/crates/config/src/piece.rs
@@ -1,8 +1,8 @@
 //! Splits a text into pieces that are identified by the digests of their contents.
 //!
 //! The cuts are content-defined: a piece ends after a line with a certain hash, not after a fixed
-//! number of bytes. An inserted line therefore changes only the pieces near it; all others keep their
-//! digests and are not transferred again.
+//! number of bytes. An inserted line therefore changes only the pieces near it; all others keep
+//! their digests and are not transferred again.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,8 +15,8 @@
 
 /// The minimum size of a piece of a small text, in bytes. The last piece may be smaller.
 const MIN_PIECE_BYTES: usize = 4 * 1024;
-/// A text has at most one piece more than this, so that one transaction of the platform can write all
-/// pieces of a text and remove all pieces of the text before it.
+/// A text has at most one piece more than this, so that one transaction of the platform can write
+/// all pieces of a text and remove all pieces of the text before it.
 const TARGET_PIECE_COUNT: usize = 12;
 /// One in this many lines, on average, may end a piece.
 const LINES_PER_CUT: u8 = 16;
--- a/crates/config/src/publisher.rs
+++ b/crates/config/src/publisher.rs
@@ -81,8 +81,8 @@
         .0.changes
     )]
     Conflict(Box<Conflict>),
-    /// The store holds an older text than the base, as when it was restored from an older copy. Nothing
-    /// was written. The operators can retry once the nodes have restored the newer text.
+    /// The store holds an older text than the base, as when it was restored from an older copy.
+    /// Nothing was written. The operators can retry once the nodes have restored the newer text.
     #[error("the store holds generation {stored}, older than generation {base} that is the base")]
     StoreBehind {
         /// The generation that the change is based on.
@@ -90,11 +90,13 @@
         /// The store's generation; 0 for none.
         stored: Generation,
     },
-    /// The store did not execute the write, or it could not be read. Nothing was or will be written.
+    /// The store did not execute the write, or it could not be read. Nothing was or will be
+    /// written.
     #[error("the text was not accepted: {0}")]
     NotAccepted(FetchError),
-    /// The answer to a write was lost and its outcome could not be determined. The text may be accepted,
-    /// even later; [`Publisher::resume`] with the same writer id determines whether it was.
+    /// The answer to a write was lost and its outcome could not be determined. The text may be
+    /// accepted, even later; [`Publisher::resume`] with the same writer id determines whether it
+    /// was.
     #[error("no answer came to the write; it may be accepted yet (writer id {writer})")]
     Undecided {
         /// The writer id to pass to [`Publisher::resume`].
@@ -133,8 +135,8 @@
     base: Option<Generation>,
     floor: Generation,
     writer: WriterId,
-    /// Whether a write with an unknown outcome was sent. It may take effect as long as its condition
-    /// holds.
+    /// Whether a write with an unknown outcome was sent. It may take effect as long as its
+    /// condition holds.
     has_unresolved_write: bool,
 }
 
@@ -166,9 +168,10 @@
         self.publish_above(text, base, Generation(0), writer).await
     }
 
-    /// Like [`Publisher::publish`], but with a generation above `floor`, the newest generation known to be
-    /// in force on a node. If the store was restored from an older copy, counting on from its older
-    /// generation would give one that is not above the nodes', and they would ignore the text.
+    /// Like [`Publisher::publish`], but with a generation above `floor`, the newest generation
+    /// known to be in force on a node. If the store was restored from an older copy, counting on
+    /// from its older generation would give one that is not above the nodes', and they would ignore
+    /// the text.
     ///
     /// # Errors
     /// As for [`Publisher::publish`].
@@ -220,10 +223,11 @@
 
     /// Repeats the same compare-and-swap until its outcome is known.
     ///
-    /// If an answer is lost, the write may have taken effect or may do so seconds later, so the operator
-    /// must not be told "not accepted". Repeating the write settles this: either the repetition takes
-    /// effect, after which the condition of the earlier write can never hold again, or it finds a newer
-    /// head, whose history shows whether this writer's change was accepted.
+    /// If an answer is lost, the write may have taken effect or may do so seconds later, so the
+    /// operator must not be told "not accepted". Repeating the write settles this: either the
+    /// repetition takes effect, after which the condition of the earlier write can never hold
+    /// again, or it finds a newer head, whose history shows whether this writer's change was
+    /// accepted.
     async fn commit(
         &self,
         attempt: &mut Attempt<'_>,
@@ -263,13 +267,15 @@
             Some(stored) if stored.revision > expected => {
                 self.resolve_moved_head(attempt, &stored).await
             }
-            // The store was reset to an older state, so the condition of an unanswered write may hold again.
+            // The store was reset to an older state, so the condition of an unanswered write may
+            // hold again.
             other => Err(attempt.store_behind(other.map(|stored| stored.head.generation))),
         }
     }
 
-    /// Determines the outcome when the head is newer than the base: accepted if this writer's change is
-    /// in the head's history, otherwise a conflict, or undecided if the history is too short.
+    /// Determines the outcome when the head is newer than the base. The change is accepted if the
+    /// head's history has this writer or the head has the same text. It is undecided if a write is
+    /// unresolved and the history is too short to tell, and a conflict otherwise.
     async fn resolve_moved_head(
         &self,
         attempt: &Attempt<'_>,
--- a/crates/config/src/spread/action.rs
+++ b/crates/config/src/spread/action.rs
@@ -14,25 +14,25 @@
         /// The peer.
         peer: NodeId,
     },
-    /// Fetch pieces. If the store no longer holds one of them, another text was accepted, and the node
-    /// reads the store's head again.
+    /// Fetch pieces. If the store no longer holds one of them, another text was accepted, and the
+    /// node reads the store's head again.
     FetchPieces {
         /// Where to fetch from.
         from: TextSource,
         /// The digests of the pieces.
         digests: Vec<Digest>,
     },
-    /// Replace the text in force on this node.
+    /// Put this text in force on the node.
     PutInForce(InForce),
-    /// Read the store's head and then watch it, in calls of [`super::SpreadSettings::watch_wait`] each,
-    /// until [`SpreadAction::StopWatch`].
+    /// Read the store's head and then watch it, in calls of [`super::SpreadSettings::watch_wait`]
+    /// each, until [`SpreadAction::StopWatch`].
     WatchStore,
     /// Read the store's head once, in addition to the watch.
     ReadHead,
     /// Stop watching the store's head.
     StopWatch,
-    /// Write the newer head in force back to the store with [`crate::TextStore::put_head`], then read the
-    /// store's head.
+    /// Write the newer head in force back to the store with [`crate::TextStore::put_head`], then
+    /// read the store's head.
     RestoreHead {
         /// The older head that the store holds.
         found: Option<StoredHead>,
@@ -69,8 +69,8 @@
         /// The generation that was in force here when the store caught up.
         to: Generation,
     },
-    /// Another text of the same generation, or an older text of another history, was seen. This node
-    /// keeps its own text.
+    /// Another text of the same generation, or an older text of another history, was seen. This
+    /// node keeps its own text.
     #[display("{source} has another text of generation {generation}; ours stays in force")]
     Diverged {
         /// The generation seen.
--- a/crates/config/src/spread/event.rs
+++ b/crates/config/src/spread/event.rs
@@ -37,8 +37,8 @@
 /// An event that a node passes to [`super::Spread`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum SpreadEvent {
-    /// The store's head, from the answer to a read, a watch or a [`super::SpreadAction::RestoreHead`];
-    /// `None` if the store holds no head.
+    /// The store's head, from the answer to a read, a watch or a
+    /// [`super::SpreadAction::RestoreHead`]; `None` if the store holds no head.
     StoreHead(Option<StoredHead>),
     /// A peer answered [`super::SpreadAction::AskHead`].
     PeerHead {
@@ -47,7 +47,8 @@
         /// Its head.
         head: Head,
     },
-    /// A piece arrived from the store or a peer. [`super::Spread`] computes its digest.
+    /// A piece arrived from the store or a peer. It is identified by its computed digest, so a
+    /// piece that does not belong to the text is ignored.
     PieceArrived(Arc<str>),
     /// The generation and digest from a peer's heartbeat or summary.
     PeerSummary {
--- a/crates/config/src/spread/mod.rs
+++ b/crates/config/src/spread/mod.rs
@@ -31,13 +31,15 @@
 /// Decides which text is in force on one node. It does no I/O: it receives events with the time and
 /// returns actions.
 ///
-/// A few nodes of each failure domain watch the store. The others learn of a new generation from the
-/// heartbeats of peers, which carry generation and digest, and fetch head and pieces from a peer. The
-/// number of calls to the store therefore does not grow with the fleet, and a failure domain that cannot
-/// reach the store still serves and distributes the newest text that any of its nodes has.
+/// A few nodes of each failure domain watch the store. The others learn of a new generation from
+/// the heartbeats of peers, which carry generation and digest, and fetch head and pieces from a
+/// peer. The number of calls to the store therefore does not grow with the fleet, and a failure
+/// domain that cannot reach the store still serves and distributes the newest text that any of its
+/// nodes has.
 ///
-/// The generation in force never decreases. A store that returns an older one, because of a stale read
-/// or because it was restored from an older copy, is reported, and the watchers restore the newer head.
+/// The generation in force never decreases. A store that returns an older one, because of a stale
+/// read or because it was restored from an older copy, is reported, and the watchers restore the
+/// newer head.
 #[derive(Debug)]
 pub struct Spread {
     node: NodeId,
@@ -202,10 +204,11 @@
         head.map(|head| &head.digest)
     }
 
-    /// Reports two texts with the same generation. They arise only if the store was restored from an
-    /// older copy and a text was published before the nodes restored the newer head. Neither text may
-    /// replace the other, since that would undo an accepted text, and stopping would end a service that
-    /// still works. The node keeps its text; the operators' next text gets a generation above both.
+    /// Reports two texts with the same generation. They arise only if the store was restored from
+    /// an older copy and a text was published before the nodes restored the newer head. Neither
+    /// text may replace the other, since that would undo an accepted text, and stopping would end a
+    /// service that still works. The node keeps its text; the operators' next text gets a
+    /// generation above both.
     fn report_divergence(&mut self, generation: Generation, theirs: Digest, source: TextSource) {
         if self.reported_divergence.as_ref() == Some(&theirs) {
             return;
--- a/crates/config/src/spread/requests.rs
+++ b/crates/config/src/spread/requests.rs
@@ -97,9 +97,9 @@
         }
     }
 
-    /// Abandons a fetch that takes too long. Its pieces may no longer exist anywhere, as when the store is
-    /// restored from an older copy during the fetch, and waiting for them forever would keep the node from
-    /// fetching any other text. A watcher then reads the store's head again.
+    /// Abandons a fetch that takes too long. Its pieces may no longer exist anywhere, as when the
+    /// store is restored from an older copy during the fetch, and waiting for them forever would
+    /// keep the node from fetching any other text. A watcher then reads the store's head again.
     fn abandon_stalled_fetch(&mut self, now: Instant) {
         let fetch_timeout = self.settings.fetch_timeout;
         let is_old = |fetch: &Fetch| now - fetch.started_at >= fetch_timeout;
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Requests the missing pieces from another source, after the last one did not send all of them.
+    /// Requests the missing pieces from another source, after the last one did not send all of
+    /// them.
     fn fetch_from_another(&mut self, now: Instant, rng: &mut impl Rng) {
         let is_store_usable = self.watcher_rank.is_some() && self.is_store_up;
         let Some(fetch) = &mut self.fetch else {
@@ -127,7 +128,8 @@
         let tried_store = fetch.source == TextSource::Store;
         match holder {
             _ if is_store_usable && !tried_store => fetch.source = TextSource::Store,
-            // The peer has a newer text and may have dropped these pieces: request its head instead.
+            // The peer has a newer text and may have dropped these pieces: request its head
+            // instead.
             Some((peer, theirs)) if *theirs > wanted => {
                 let peer = peer.clone();
                 fetch.requested_at = now;
@@ -142,13 +144,20 @@
 
     /// A random live peer, mostly of this node's own failure domain.
     fn random_peer(&self, rng: &mut impl Rng) -> Option<NodeId> {
-        let near: Vec<&NodeId> = self.live.own_domain.iter().collect();
-        let near: Vec<&NodeId> = near
+        let same_domain: Vec<&NodeId> = self.live.own_domain.iter().collect();
+        let same_domain: Vec<&NodeId> = same_domain
             .into_iter()
             .filter(|peer| **peer != self.node)
             .collect();
-        let is_far = near.is_empty() || rng.random_range(0..REQUESTS_PER_REMOTE_REQUEST) == 0;
-        let far = self.live.elsewhere.choose(rng).filter(|_| is_far);
-        far.or_else(|| near.choose(rng).copied()).cloned()
+        let asks_other_domain =
+            same_domain.is_empty() || rng.random_range(0..REQUESTS_PER_REMOTE_REQUEST) == 0;
+        let other_domain = self
+            .live
+            .elsewhere
+            .choose(rng)
+            .filter(|_| asks_other_domain);
+        other_domain
+            .or_else(|| same_domain.choose(rng).copied())
+            .cloned()
     }
 }
--- a/crates/config/src/spread/store_behind.rs
+++ b/crates/config/src/spread/store_behind.rs
@@ -40,8 +40,9 @@
         }
     }
 
-    /// An older head in the store never takes effect. The newer one is restored with a compare-and-swap
-    /// conditional on the head that was read, so acting on a stale read changes nothing.
+    /// An older head in the store never takes effect. The newer one is restored with a
+    /// compare-and-swap conditional on the head that was read, so acting on a stale read changes
+    /// nothing.
     fn on_store_behind(&mut self, found: Option<StoredHead>, now: Instant) {
         let Some(held) = &self.held else {
             return;
@@ -70,10 +71,10 @@
         self.restore_head_if_due(now);
     }
 
-    /// Lets watchers read the head at intervals, since a watch can miss that the store was restored from
-    /// an older copy: a watch from a higher revision reports nothing, and writes to other keys soon raise
-    /// the lowered revision again. Otherwise the store would stay behind and refuse the operators' next
-    /// text.
+    /// Lets watchers read the head at intervals, since a watch can miss that the store was restored
+    /// from an older copy: a watch from a higher revision reports nothing, and writes to other keys
+    /// soon raise the lowered revision again. Otherwise the store would stay behind and refuse the
+    /// operators' next text.
     pub(super) fn reread_head_if_due(&mut self, now: Instant) {
         let read_again_after = self.settings.read_again_after;
         let is_due = |read_at: Instant| now - read_at >= read_again_after;
@@ -89,11 +90,11 @@
 
     /// Writes the newer head back to the store, at most once per `restore_interval`.
     pub(super) fn restore_head_if_due(&mut self, now: Instant) {
-        let is_able = self.watcher_rank.is_some() && self.is_store_up;
+        let can_restore = self.watcher_rank.is_some() && self.is_store_up;
         let (Some(behind), Some(held)) = (&mut self.behind, &self.held) else {
             return;
         };
-        if !is_able || now < behind.next_try {
+        if !can_restore || now < behind.next_try {
             return;
         }
         behind.next_try = now + self.settings.restore_interval;
--- a/crates/config/src/spread/watchers.rs
+++ b/crates/config/src/spread/watchers.rs
@@ -3,11 +3,11 @@
 use nutmegsail_base::NodeId;
 use sha2::{Digest as _, Sha256};
 
-/// The `count` nodes of a failure domain that watch the store, ranked by the hashes of their ids. If a
-/// watcher is lost, the others stay watchers and one more node joins them.
+/// The `count` nodes of a failure domain that watch the store, selected by rendezvous hashing: if a
+/// watcher is lost, one other node replaces it and the rest stay watchers.
 ///
-/// Nodes that disagree on which nodes are live select different watchers for a while. That only costs
-/// some extra calls to the store, since a generation takes effect only if it is newer.
+/// Nodes that disagree on which nodes are live select different watchers for a while. That only
+/// costs some extra calls to the store, since a generation takes effect only if it is newer.
 ///
 /// ```
 /// use nutmegsail_base::NodeId;
--- a/crates/config/src/text/adapters.rs
+++ b/crates/config/src/text/adapters.rs
@@ -13,8 +13,8 @@
 use super::table::{Table, integer, list, string, strings, table};
 use crate::{AdapterSet, FaultKind};
 
-/// The maximum number of adapters per service. It keeps a typo in a pattern from exhausting the memory
-/// of every node.
+/// The maximum number of adapters per service. It keeps a typo in a pattern from exhausting the
+/// memory of every node.
 const MAX_ADAPTERS: usize = 100_000;
 const EXAMPLE: &str = "adapters = [{ names = \"note-{0001..1500}\", versions = [1] }]";
 
@@ -222,8 +222,8 @@
 
 /// Expands a pattern into names; `None` if it is malformed or has more than `max_names` names.
 ///
-/// `note-{0001..1500}` expands to `note-0001` to `note-1500`. Numbers are zero-padded to the width of
-/// the lower bound.
+/// `note-{0001..1500}` expands to `note-0001` to `note-1500`. Numbers are zero-padded to the width
+/// of the lower bound.
 fn expand(pattern: &str, max_names: usize) -> Option<Vec<String>> {
     let Some((prefix, rest)) = pattern.split_once('{') else {
         let is_name = !pattern.contains('}') && max_names > 0;
--- a/crates/config/src/text/collector.rs
+++ b/crates/config/src/text/collector.rs
@@ -79,7 +79,8 @@
     (narrow(line), narrow(column))
 }
 
-/// Suggests what to write instead of `wrong`: the most similar name of `known`, or else all of them.
+/// Suggests what to write instead of `wrong`: the most similar name of `known`, or else all of
+/// them.
 pub(super) fn did_you_mean<'k>(wrong: &str, known: impl IntoIterator<Item = &'k str>) -> String {
     let known: Vec<&str> = known.into_iter().collect();
     let closest = known
--- a/crates/config/src/text/service.rs
+++ b/crates/config/src/text/service.rs
@@ -217,8 +217,8 @@
     section.millis("deadline_ms", FALLBACK_DEADLINE, collector)
 }
 
-/// Reports a target longer than the deadline. A caller that waits for less than the target would have
-/// most of its requests shed.
+/// Reports a target longer than the deadline. A caller that waits for less than the target would
+/// have most of its requests shed.
 pub(super) fn check_target(
     section: &Table<'_, '_>,
     deadline: Duration,
--- a/crates/config/src/text/top.rs
+++ b/crates/config/src/text/top.rs
@@ -151,8 +151,8 @@
     }
 }
 
-/// An idempotency key older than the retention of claims is refused. If the allowed clock skew were as
-/// long as the retention, every key of a caller whose clock is slow could be refused.
+/// An idempotency key older than the retention of claims is refused. If the allowed clock skew were
+/// as long as the retention, every key of a caller whose clock is slow could be refused.
 fn check_retention(
     at: usize,
     retention: Duration,
--- a/crates/config/src/text_store.rs
+++ b/crates/config/src/text_store.rs
@@ -15,7 +15,8 @@
     Piece, join,
 };
 
-/// How many times a text is read in all, if each read fails because another text was accepted meanwhile.
+/// The maximum number of attempts to read a text. An attempt fails if another text is accepted
+/// during it.
 const MAX_READS: usize = 4;
 /// From this number of pieces on, one range read is cheaper than reading each piece by itself.
 const RANGE_READ_THRESHOLD: usize = 3;
@@ -93,9 +94,9 @@
     /// Returns no head if none was written; the next watch starts from the returned revision.
     ///
     /// # Errors
-    /// As for [`TextStore::read_head`]. Also [`KeyValueError::Compacted`] if the head was removed or the
-    /// store's revision fell, as when the store is restored from an older copy; the caller then reads
-    /// the head again.
+    /// As for [`TextStore::read_head`]. Also [`KeyValueError::Compacted`] if the head was removed or
+    /// the store's revision fell, as when the store is restored from an older copy; the caller then
+    /// reads the head again.
     pub async fn watch_head(
         &self,
         after: Revision,
@@ -115,8 +116,8 @@
         Ok((head, seen.revision))
     }
 
-    /// Reads pieces, in one call per piece or, if there are many, in range reads of all pieces. Pieces
-    /// that the store no longer holds are left out.
+    /// Reads pieces, in one call per piece or, if there are many, in range reads of all pieces.
+    /// Pieces that the store no longer holds are left out.
     ///
     /// # Errors
     /// The store did not answer.
@@ -172,10 +173,12 @@
         Ok(join(head, &pieces)?)
     }
 
-    /// Replaces the head `found` by `head` and its pieces, if the store still holds `found`, in one call.
+    /// Replaces the head `found` by `head` and its pieces, if the store still holds `found`, in one
+    /// call.
     ///
     /// # Errors
-    /// [`KeyValueError::Conflict`] if another head was written meanwhile; otherwise the store's error.
+    /// [`KeyValueError::Conflict`] if another head was written meanwhile; otherwise the store's
+    /// error.
     pub async fn put_head(
         &self,
         found: Option<&StoredHead>,
@@ -187,8 +190,9 @@
 }
 
 /// Builds the transaction that writes the head and its new pieces, and removes the pieces that only
-/// the previous head used. It is conditional on the previous head, so the store always holds exactly
-/// the pieces of the accepted text, and a publisher that loses a race removes no piece of the winner.
+/// the previous head used. It is conditional on the previous head, so the store always holds
+/// exactly the pieces of the accepted text, and a publisher that loses a race removes no piece of
+/// the winner.
 fn head_txn(found: Option<&StoredHead>, head: &Head, pieces: &[Piece]) -> Txn {
     let held: BTreeSet<&Digest> = found.iter().flat_map(|found| &found.head.pieces).collect();
     let kept: BTreeSet<&Digest> = head.pieces.iter().collect();
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -75,7 +75,8 @@
     };
     let (old, new) = (digests(&old), digests(&new));
     assert!(old.len() >= 8, "{} pieces", old.len());
-    // Only the first piece, which holds the lengths of the files, and the piece with the new line change.
+    // Only the first piece, which holds the lengths of the files, and the piece with the new line
+    // change.
     assert!(new.difference(&old).count() <= 2);
 }
 
--- a/crates/config/tests/examples.rs
+++ b/crates/config/tests/examples.rs
@@ -86,8 +86,8 @@
     assert!(text.bytes() < TEXT_BYTES_MAX, "{} bytes", text.bytes());
 }
 
-/// A text of the size expected in two years: six failure domains, four engine services of 150 servers and
-/// 2,750 adapters each, and one plain service of 150 servers.
+/// A text of the size expected in two years: six failure domains, four engine services of 150
+/// servers and 2,750 adapters each, and one plain service of 150 servers.
 fn two_year_text() -> String {
     let mut text = "[deployment]\nname = \"two-years\"\nfailure_domains = [".to_owned();
     for domain in 0..6 {
--- a/crates/config/tests/publisher.rs
+++ b/crates/config/tests/publisher.rs
@@ -1,4 +1,5 @@
-//! A change reported as accepted was written to the store, and one reported as not accepted never is.
+//! A change reported as accepted was written to the store, and one reported as not accepted never
+//! is.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -68,8 +69,8 @@
     assert_eq!(page.items.len(), stored.head.pieces.len());
 }
 
-/// Two operators edit generation 1 and both publish. The second one must be shown what the first one
-/// changed, or it would undo that change without noticing.
+/// Two operators edit generation 1 and both publish. The second one must be shown what the first
+/// one changed, or it would undo that change without noticing.
 #[tokio::test(start_paused = true)]
 async fn publishing_from_a_stale_base_is_a_conflict_that_shows_the_other_change() {
     let store = new_store(1);
@@ -84,9 +85,9 @@
 "#);
 }
 
-/// The store executes a write, but its answer is lost, and another operator publishes before the retry.
-/// The head then names the other writer. If the first operator were told "not accepted", publishing
-/// again would undo the other's change.
+/// The store executes a write, but its answer is lost, and another operator publishes before the
+/// retry. The head then names the other writer. If the first operator were told "not accepted",
+/// publishing again would undo the other's change.
 #[tokio::test(start_paused = true)]
 async fn a_write_whose_answer_was_lost_is_found_in_the_history_after_another_change() {
     let store = new_store(1);
@@ -106,8 +107,8 @@
     assert_eq!((mine.generation, mine.is_new), (Generation(2), true));
 }
 
-/// The store fails just after a write was sent, and the command gives up. Later the store executes the
-/// write. The operator must have been told that the outcome is unknown, and can find it out.
+/// The store fails just after a write was sent, and the command gives up. Later the store executes
+/// the write. The operator must have been told that the outcome is unknown, and can find it out.
 #[tokio::test(start_paused = true)]
 async fn a_write_with_unknown_outcome_is_never_reported_as_not_accepted() {
     let store = new_store(1);
@@ -130,8 +131,8 @@
     assert_eq!(resumed.await.expect("accepted").generation, Generation(1));
 }
 
-/// The store is restored from an older copy while nodes run a newer generation. A change counted on from
-/// the copy would get a generation that nodes have already seen, and they would ignore it.
+/// The store is restored from an older copy while nodes run a newer generation. A change counted on
+/// from the copy would get a generation that nodes have already seen, and they would ignore it.
 #[tokio::test(start_paused = true)]
 async fn a_store_behind_the_base_accepts_no_text_and_a_floor_raises_the_generation() {
     let store = new_store(1);
@@ -200,8 +201,8 @@
     undecided: usize,
 }
 
-/// Four operators publish five changes each at the same time, while answers are lost and writes take
-/// effect late.
+/// Four operators publish five changes each at the same time, while answers are lost and writes
+/// take effect late.
 async fn race(seed: u64, lost: f64, late: f64, late_ms: u64) -> Outcomes {
     let store = new_store(seed);
     let knobs = Knobs {
--- a/crates/config/tests/spread.rs
+++ b/crates/config/tests/spread.rs
@@ -95,7 +95,7 @@
         self.deliver(SpreadEvent::Tick)
     }
 
-    fn take(&mut self, written: &AcceptedText) -> Vec<SpreadAction> {
+    fn receive_text(&mut self, written: &AcceptedText) -> Vec<SpreadAction> {
         let mut actions = self.deliver(written.in_store());
         for piece in &written.pieces {
             actions.extend(self.deliver(SpreadEvent::PieceArrived(Arc::clone(&piece.text))));
@@ -118,13 +118,13 @@
     actions.iter().filter_map(report).collect()
 }
 
-/// When the store is restored from an older copy, watches return an older head. If that took effect, the
-/// operators' last changes would be undone on every node at once.
+/// When the store is restored from an older copy, watches return an older head. If that took
+/// effect, the operators' last changes would be undone on every node at once.
 #[test]
 fn an_older_head_in_the_store_is_reported_and_replaced_and_never_takes_effect() {
     let heads = text_history("a", None, 3);
     let mut node = Node::watching();
-    node.take(&heads[2]);
+    node.receive_text(&heads[2]);
     let mut actions = node.deliver(heads[0].in_store());
     actions.extend(node.wait(Duration::from_secs(1)));
     assert_eq!(node.name_in_force().as_deref(), Some("a3"));
@@ -173,7 +173,7 @@
     for _ in 0..2 {
         let mut node = Node::watching();
         let pieces = split(&newer.text);
-        node.take(&AcceptedText {
+        node.receive_text(&AcceptedText {
             head: newer.stored.head.clone(),
             pieces,
         });
@@ -207,7 +207,7 @@
 fn an_empty_store_gets_the_text_in_force() {
     let heads = text_history("a", None, 1);
     let mut node = Node::watching();
-    node.take(&heads[0]);
+    node.receive_text(&heads[0]);
     node.deliver(SpreadEvent::StoreHead(None));
     let actions = node.wait(Duration::from_secs(1));
     assert!(
@@ -217,18 +217,18 @@
     );
 }
 
-/// After the store was restored from an older copy, a text is published before any node could restore
-/// the newer head, so two texts have the same generation. A node that switched to the second one would
-/// undo an accepted text.
+/// After the store was restored from an older copy, a text is published before any node could
+/// restore the newer head, so two texts have the same generation. A node that switched to the
+/// second one would undo an accepted text.
 #[test]
 fn another_text_of_the_same_generation_is_reported_once_and_changes_nothing() {
     let common = text_history("a", None, 2);
     let ours = text_history("b", Some(&common[1]), 2);
     let theirs = text_history("c", Some(&common[1]), 2);
     let mut node = Node::watching();
-    node.take(&ours[1]);
+    node.receive_text(&ours[1]);
     for seen in [&theirs[1], &theirs[1], &theirs[0]] {
-        let mut actions = node.take(seen);
+        let mut actions = node.receive_text(seen);
         actions.extend(node.wait(Duration::from_secs(2)));
         let is_restore = |a: &SpreadAction| matches!(a, SpreadAction::RestoreHead { .. });
         assert!(
@@ -248,13 +248,13 @@
     ));
 }
 
-/// A VM is replaced during an outage of the store. Its node must not stay without a text until the store
-/// is back.
+/// A VM is replaced during an outage of the store. Its node must not stay without a text until the
+/// store is back.
 #[test]
 fn a_node_started_during_a_store_outage_gets_the_text_from_a_peer() {
     let heads = text_history("a", None, 2);
     let mut peer = Node::watching();
-    peer.take(&heads[1]);
+    peer.receive_text(&heads[1]);
     let mut node = Node::watching();
     node.deliver(SpreadEvent::StoreDown);
     let asked = node.wait(Duration::from_millis(200));
@@ -288,8 +288,8 @@
     let second = AcceptedText::after(Some(&first), &newer, "b");
     let third = AcceptedText::after(Some(&second), &text("c"), "c");
     let mut node = Node::watching();
-    node.take(&first);
-    let actions = node.take(&second);
+    node.receive_text(&first);
+    let actions = node.receive_text(&second);
     assert!(matches!(
         reports(&actions)[..],
         [SpreadReport::Unreadable { .. }]
@@ -301,25 +301,26 @@
     });
     assert!(node.wait(Duration::from_secs(1)).is_empty(), "asks no more");
     assert_eq!(node.name_in_force().as_deref(), Some("a"));
-    node.take(&third);
+    node.receive_text(&third);
     assert_eq!(node.name_in_force().as_deref(), Some("c"));
 }
 
-/// A new node learns of generation 3 from the store, which is restored from a copy of generation 1 before
-/// the pieces are read. No peer has the pieces, so the node must abandon the fetch and serve generation 1.
+/// A new node learns of generation 3 from the store, which is restored from a copy of generation 1
+/// before the pieces are read. No peer has the pieces, so the node must abandon the fetch and serve
+/// generation 1.
 #[test]
 fn a_fetch_whose_pieces_are_gone_is_abandoned_for_the_text_in_the_store() {
     let heads = text_history("a", None, 3);
     let mut node = Node::watching();
     node.deliver(heads[2].in_store());
-    node.take(&heads[0]);
+    node.receive_text(&heads[0]);
     assert_eq!(node.name_in_force(), None);
     let actions = node.wait(SpreadSettings::default().fetch_timeout);
     assert!(
         actions.iter().any(|a| matches!(a, SpreadAction::ReadHead)),
         "reads the head anew"
     );
-    node.take(&heads[0]);
+    node.receive_text(&heads[0]);
     assert_eq!(node.name_in_force().as_deref(), Some("a1"));
 }
 
@@ -414,7 +415,7 @@
                 }
             }
         }
-        node.take(&AcceptedText::after(texts.last(), &text("last"), "last"));
+        node.receive_text(&AcceptedText::after(texts.last(), &text("last"), "last"));
         prop_assert_eq!(node.name_in_force(), Some("last".to_owned()));
     }
 }
--- a/crates/config/tests/spread_fleet/faults.rs
+++ b/crates/config/tests/spread_fleet/faults.rs
@@ -1,5 +1,5 @@
-//! Random network partitions, store outages and restores of the store from older copies, followed by
-//! full recovery.
+//! Random network partitions, store outages and restores of the store from older copies, followed
+//! by full recovery.
 
 use std::collections::BTreeMap;
 
@@ -12,8 +12,9 @@
 const DOMAINS: usize = 3;
 const PER_DOMAIN: usize = 4;
 const FAULT_COUNT: usize = 60;
-/// How long the nodes and the store get to agree after recovery, in steps of 10 ms. A watcher reads the
-/// store's head again within 3 s, restores the newer head within 2 s, and distributing it takes 3 s.
+/// How long the nodes and the store get to agree after recovery, in steps of 10 ms. A watcher reads
+/// the store's head again within 3 s, restores the newer head within 2 s, and distributing it takes
+/// 3 s.
 const RECOVERY_STEPS: u64 = 2_000;
 
 /// Checks that no node's generation decreases and that each generation is the same text everywhere.
@@ -54,8 +55,8 @@
         3 => drop(fleet.cut_off.insert(domain)),
         4 => drop(fleet.without_store.insert(domain)),
         5 => fleet.take_copy(),
-        // Restoring a copy would lose a text that no node has received yet, which this test does not
-        // cover.
+        // Restoring a copy would lose a text that no node has received yet, which this test does
+        // not cover.
         6 if stored <= fleet.newest => fleet.restore_copy(),
         7 => fleet.heal(),
         _ => {}
@@ -93,8 +94,8 @@
 }
 
 /// Failure domains repeatedly lose contact with each other and with the store, and the store is
-/// restored from older copies. No node may go back to an older text meanwhile, and after recovery all
-/// nodes and the store must have the newest one.
+/// restored from older copies. No node may go back to an older text meanwhile, and after recovery
+/// all nodes and the store must have the newest one.
 #[test]
 fn no_text_reverts_under_partitions_and_store_restores_and_all_nodes_agree_after_recovery() {
     let generations: Vec<Generation> = (0..20).map(run).collect();
--- a/crates/config/tests/spread_fleet/fleet.rs
+++ b/crates/config/tests/spread_fleet/fleet.rs
@@ -1,4 +1,5 @@
-//! A simulated fleet: nodes of several failure domains, a store, and messages that are lost or reordered.
+//! A simulated fleet: nodes of several failure domains, a store, and messages that are lost or
+//! reordered.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -164,8 +165,8 @@
         });
     }
 
-    /// Restores the last copy. The store's revision stays as it is, as if writes to other keys had raised
-    /// it again before any watch could see that it fell.
+    /// Restores the last copy. The store's revision stays as it is, as if writes to other keys had
+    /// raised it again before any watch could see that it fell.
     pub fn restore_copy(&mut self) {
         if let Some(copy) = self.copy.take() {
             self.stored = copy.stored;
@@ -204,7 +205,7 @@
                         from: node,
                         digests,
                     };
-                    self.ask_store(node, message);
+                    self.send_to_store(node, message);
                 }
                 SpreadAction::FetchPieces {
                     from: TextSource::Peer(peer),
@@ -220,14 +221,14 @@
                 }
                 SpreadAction::TellSummary { to } => {
                     for peer in to {
-                        self.tell(node, &peer);
+                        self.send_summary(node, &peer);
                     }
                 }
                 SpreadAction::WatchStore => self.set_watch(node, Revision::NONE),
                 SpreadAction::ReadHead => {
                     self.store_calls += 1;
                     let event = SpreadEvent::StoreHead(self.stored.clone());
-                    self.ask_store(node, Message::HeadRead { to: node, event });
+                    self.send_to_store(node, Message::HeadRead { to: node, event });
                 }
                 SpreadAction::RestoreHead {
                     found,
@@ -241,7 +242,7 @@
                         head,
                         pieces,
                     };
-                    self.ask_store(node, message);
+                    self.send_to_store(node, message);
                 }
                 SpreadAction::PutInForce(text) => self.newest = self.newest.max(text.generation),
                 SpreadAction::StopWatch => {
@@ -259,7 +260,7 @@
             .expect("an index")
     }
 
-    fn tell(&mut self, node: usize, peer: &NodeId) {
+    fn send_summary(&mut self, node: usize, peer: &NodeId) {
         let in_force = self.nodes[node].in_force();
         let event = SpreadEvent::PeerSummary {
             peer: self.ids[node].clone(),
@@ -278,7 +279,7 @@
     }
 
     /// Sends between a node and the store. A node that cannot reach the store notices at once.
-    fn ask_store(&mut self, node: usize, message: Message) {
+    fn send_to_store(&mut self, node: usize, message: Message) {
         if self.without_store.contains(&self.domain(node)) {
             self.deliver(node, SpreadEvent::StoreDown);
         } else {
@@ -302,11 +303,11 @@
         }
         self.answer_watches();
         for node in 0..self.nodes.len() {
-            let turn = self.now + node as u64;
-            if turn.is_multiple_of(STEPS_PER_TICK) {
+            let staggered_step = self.now + node as u64;
+            if staggered_step.is_multiple_of(STEPS_PER_TICK) {
                 self.deliver(node, SpreadEvent::Tick);
             }
-            if turn.is_multiple_of(STEPS_PER_GOSSIP) {
+            if staggered_step.is_multiple_of(STEPS_PER_GOSSIP) {
                 self.gossip(node);
             }
         }
@@ -318,7 +319,7 @@
         let peers = near.sample(&mut self.rng, PEERS_PER_GOSSIP).cloned();
         let peers = peers.collect::<Vec<_>>();
         for peer in peers {
-            self.tell(node, &peer);
+            self.send_summary(node, &peer);
         }
     }
 
@@ -350,7 +351,7 @@
                     .filter_map(|digest| self.stored_pieces.get(digest));
                 for text in found.cloned().collect::<Vec<_>>() {
                     let event = SpreadEvent::PieceArrived(text);
-                    self.ask_store(from, Message::Event { to: from, event });
+                    self.send_to_store(from, Message::Event { to: from, event });
                 }
             }
             Message::Restore {
@@ -366,7 +367,7 @@
                     self.store(head);
                 }
                 let event = SpreadEvent::StoreHead(self.stored.clone());
-                self.ask_store(from, Message::HeadRead { to: from, event });
+                self.send_to_store(from, Message::HeadRead { to: from, event });
             }
         }
     }
@@ -381,8 +382,8 @@
         self.watches.insert(node, watch);
     }
 
-    /// Answers watches for which there is a newer head. If the answer is lost, the watch times out and is
-    /// set again.
+    /// Answers watches for which there is a newer head. If the answer is lost, the watch times out
+    /// and is set again.
     fn answer_watches(&mut self) {
         for node in self.watches.keys().copied().collect::<Vec<_>>() {
             let watch = self.watches.get_mut(&node).expect("listed");
@@ -395,7 +396,7 @@
             {
                 watch.is_answered = true;
                 let event = SpreadEvent::StoreHead(Some(stored.clone()));
-                self.ask_store(node, Message::Event { to: node, event });
+                self.send_to_store(node, Message::Event { to: node, event });
             }
         }
     }
--- a/crates/config/tests/spread_fleet/trial.rs
+++ b/crates/config/tests/spread_fleet/trial.rs
@@ -10,8 +10,8 @@
 /// How long calls to the store are counted after a change, in steps of 10 ms.
 const STEPS_COUNTED: u64 = 300;
 
-/// How long the second text took to reach every node, and the number of calls to the store in the three
-/// seconds after it was accepted.
+/// How long the second text took to reach every node, and the number of calls to the store in the
+/// three seconds after it was accepted.
 fn trial(per_domain: usize, seed: u64) -> (Duration, u64) {
     let mut fleet = Fleet::new(DOMAINS, per_domain, seed);
     fleet.accept("first");
@@ -57,8 +57,8 @@
         sixty <= six + six / 20,
         "{six} calls at 36 nodes, {sixty} at 360"
     );
-    // Per watcher: three watches that timed out, one that was answered, one read of a piece, and one
-    // more for lost answers.
+    // Per watcher: three watches that timed out, one that was answered, one read of a piece, and
+    // one more for lost answers.
     let watchers = 2 * DOMAINS as u64;
     assert!(sixty <= 100 * watchers * 6, "{sixty}");
 }
