--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -36,7 +36,7 @@
 pub use generation::{Digest, Generation, InForce};
 pub use head::{HEAD_KEY, Head, PIECE_PREFIX, RECENT_WRITERS, RecentWrite, WriterId};
 pub use inheritance::{InheritanceError, Inherited};
-pub use operators_text::{OperatorsText, TEXT_BYTES_MAX};
+pub use operators_text::{MAX_TEXT_BYTES, OperatorsText};
 pub use piece::{JoinError, Piece, join, split};
 pub use publisher::{Accepted, Conflict, PublishError, Publisher, RetryPolicy};
 pub use service::{AdapterSet, Call, Service, ServiceKind, UpstreamEntry};
--- a/crates/config/src/operators_text.rs
+++ b/crates/config/src/operators_text.rs
@@ -12,7 +12,7 @@
 ///
 /// The platform's values are limited to one megabyte. Half of that leaves space for the head and
 /// lets one transaction write a whole text.
-pub const TEXT_BYTES_MAX: usize = 512 * 1024;
+pub const MAX_TEXT_BYTES: usize = 512 * 1024;
 
 /// A text and the files that it includes. The caller reads the files.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/config/src/text/mod.rs
+++ b/crates/config/src/text/mod.rs
@@ -15,7 +15,7 @@
 use collector::FaultCollector;
 use toml::de::DeTable;
 
-use crate::{Deployment, FaultKind, Faults, OperatorsText, TEXT_BYTES_MAX};
+use crate::{Deployment, FaultKind, Faults, MAX_TEXT_BYTES, OperatorsText};
 
 impl Deployment {
     /// Parses and validates a text that includes no other file.
@@ -50,9 +50,9 @@
     /// Every fault of the text and its included files.
     pub fn parse_text(text: &OperatorsText) -> Result<Self, Faults> {
         let mut collector = FaultCollector::new(&text.file, &text.text);
-        if text.bytes() > TEXT_BYTES_MAX {
+        if text.bytes() > MAX_TEXT_BYTES {
             let message = format!(
-                "{} bytes are over the {TEXT_BYTES_MAX} allowed",
+                "{} bytes are over the {MAX_TEXT_BYTES} allowed",
                 text.bytes()
             );
             let fix = "write adapters as patterns, such as \"note-{0001..1500}\"";
--- a/crates/config/tests/examples.rs
+++ b/crates/config/tests/examples.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write as _;
 
 use nutmegsail_base::{AdapterRef, CallName, Class, ServiceName};
-use nutmegsail_config::{AdapterLookup, Deployment, OperatorsText, ServiceKind, TEXT_BYTES_MAX};
+use nutmegsail_config::{AdapterLookup, Deployment, MAX_TEXT_BYTES, OperatorsText, ServiceKind};
 use rstest::rstest;
 
 #[rstest]
@@ -51,7 +51,7 @@
 #[test]
 fn a_text_with_11_000_adapters_on_750_servers_stays_below_a_tenth_of_the_limit() {
     let text = two_year_text();
-    assert!(text.len() * 10 < TEXT_BYTES_MAX, "{} bytes", text.len());
+    assert!(text.len() * 10 < MAX_TEXT_BYTES, "{} bytes", text.len());
     let deployment = Deployment::parse(&text, "large.toml").unwrap_or_else(|f| panic!("{f}"));
     let servers: usize = deployment
         .services
@@ -83,7 +83,7 @@
     let deployment = Deployment::parse_text(&text).unwrap_or_else(|f| panic!("{f}"));
     let found = deployment.find_adapter(&AdapterRef::new("client-10999-house-style", 1));
     assert!(matches!(found, AdapterLookup::Found(_)));
-    assert!(text.bytes() < TEXT_BYTES_MAX, "{} bytes", text.bytes());
+    assert!(text.bytes() < MAX_TEXT_BYTES, "{} bytes", text.bytes());
 }
 
 /// A text of the size expected in two years: six failure domains, four engine services of 150
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -1,7 +1,7 @@
 //! All faults of a text are reported at once, with their positions and suggested fixes.
 
 use nutmegsail_base::ResultCode;
-use nutmegsail_config::{Deployment, FaultKind, Faults, OperatorsText, TEXT_BYTES_MAX};
+use nutmegsail_config::{Deployment, FaultKind, Faults, MAX_TEXT_BYTES, OperatorsText};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -190,7 +190,7 @@
 
 #[test]
 fn a_text_over_the_size_limit_is_refused_without_parsing() {
-    let text = format!("{TOP}# {}\n", "x".repeat(TEXT_BYTES_MAX));
+    let text = format!("{TOP}# {}\n", "x".repeat(MAX_TEXT_BYTES));
     let faults = faults(&text);
     assert_eq!(faults.code(), ResultCode::TextTooLarge);
     insta::assert_snapshot!(faults, @r#"
