--- a/crates/relay/src/load_plan.rs
+++ b/crates/relay/src/load_plan.rs
@@ -36,19 +36,19 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadRefusal {
     /// The engine runs as many loads at a time as it can.
-    #[display("the engine runs as many loads as it can")]
+    #[display("the engine has no room: all its transfers are taken")]
     TransfersFull,
     /// Every adapter that it holds is in use.
-    #[display("the engine has no free adapter slot and nothing to evict")]
+    #[display("the engine has no room: nothing to evict")]
     NothingToEvict,
     /// The engine does not hold the base model.
-    #[display("the engine does not hold the base model")]
+    #[display("the engine has no room: the base model is not there")]
     ModelAbsent,
     /// Too many loads wait at the engine.
     #[display("too many loads wait there")]
     QueueFull,
     /// The remaining capacity of the weight store is reserved for adapters that no engine holds.
-    #[display("the weight store is reserved for adapters that no engine holds")]
+    #[display("the weight store is left to misses")]
     LeftToMisses,
 }
 
