--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -9,7 +9,7 @@
     /// The monotonic time, for measuring durations.
     fn now(&self) -> Instant;
     /// The wall-clock time, which can jump and differs between machines.
-    fn wall(&self) -> SystemTime;
+    fn wall_time(&self) -> SystemTime;
 }
 
 /// The clocks of the operating system.
@@ -21,7 +21,7 @@
         Instant::now()
     }
 
-    fn wall(&self) -> SystemTime {
+    fn wall_time(&self) -> SystemTime {
         SystemTime::now()
     }
 }
@@ -71,7 +71,7 @@
         self.start + self.elapsed()
     }
 
-    fn wall(&self) -> SystemTime {
+    fn wall_time(&self) -> SystemTime {
         self.wall_start + self.elapsed()
     }
 }
--- a/crates/base/src/store_number.rs
+++ b/crates/base/src/store_number.rs
@@ -15,11 +15,11 @@
 ///
 /// ```
 /// use nutmegsail_base::{StoreEra, StoreNumber};
-/// let before = StoreNumber::of(StoreEra(1), 900);
-/// let after = StoreNumber::of(StoreEra(2), 850);
+/// let before = StoreNumber::in_era(StoreEra(1), 900);
+/// let after = StoreNumber::in_era(StoreEra(2), 850);
 /// assert!(before < after);
 /// assert_eq!((after.era(), after.number()), (StoreEra(2), 850));
-/// assert_eq!(StoreNumber::of(StoreEra(2), 0), StoreNumber::NONE);
+/// assert_eq!(StoreNumber::in_era(StoreEra(2), 0), StoreNumber::NONE);
 /// ```
 #[derive(
     Clone,
@@ -49,7 +49,7 @@
     };
 
     /// The number that the store assigned as `number` in `era`.
-    pub const fn of(era: StoreEra, number: u64) -> Self {
+    pub const fn in_era(era: StoreEra, number: u64) -> Self {
         match number {
             0 => Self::NONE,
             _ => Self { era, number },
@@ -57,8 +57,8 @@
     }
 
     /// A number from a store that reports no era.
-    pub const fn plain(number: u64) -> Self {
-        Self::of(StoreEra(0), number)
+    pub const fn without_era(number: u64) -> Self {
+        Self::in_era(StoreEra(0), number)
     }
 
     /// The era in which the store assigned it.
@@ -83,11 +83,11 @@
     ///
     /// ```
     /// use nutmegsail_base::{StoreEra, StoreNumber};
-    /// let lost = StoreNumber::of(StoreEra(1), 900).fence();
-    /// let again = StoreNumber::of(StoreEra(2), 850).fence();
+    /// let lost = StoreNumber::in_era(StoreEra(1), 900).fencing_token();
+    /// let again = StoreNumber::in_era(StoreEra(2), 850).fencing_token();
     /// assert!(lost < again);
     /// ```
-    pub fn fence(self) -> Option<u64> {
+    pub fn fencing_token(self) -> Option<u64> {
         let base = self.era.0.checked_mul(FENCING_TOKENS_PER_ERA)?;
         base.checked_add(self.number)
     }
--- a/crates/base/tests/store_number.rs
+++ b/crates/base/tests/store_number.rs
@@ -22,17 +22,17 @@
         claims in prop::collection::vec((1u64..1_000_000, prop::option::of(0..MAX_LOST_REVISIONS)), 1..50),
     ) {
         let (mut era, mut revision) = (first_era, first_revision);
-        let mut last = StoreNumber::of(StoreEra(era), revision);
+        let mut last = StoreNumber::in_era(StoreEra(era), revision);
         for (written, lost) in claims {
             if let Some(lost) = lost {
                 era += 1;
                 revision = revision.saturating_sub(lost);
             }
             revision += written;
-            let claim = StoreNumber::of(StoreEra(era), revision);
+            let claim = StoreNumber::in_era(StoreEra(era), revision);
             prop_assert_eq!((claim.era().0, claim.number()), (era, revision));
             prop_assert!(claim > last);
-            prop_assert!(claim.fence() > last.fence(), "{} after {}", claim, last);
+            prop_assert!(claim.fencing_token() > last.fencing_token(), "{} after {}", claim, last);
             last = claim;
         }
     }
@@ -40,6 +40,12 @@
 
 #[test]
 fn a_fencing_token_that_does_not_fit_into_64_bits_is_none() {
-    assert_eq!(StoreNumber::of(StoreEra(u64::MAX), 1).fence(), None);
-    assert_eq!(StoreNumber::of(StoreEra(1), u64::MAX).fence(), None);
+    assert_eq!(
+        StoreNumber::in_era(StoreEra(u64::MAX), 1).fencing_token(),
+        None
+    );
+    assert_eq!(
+        StoreNumber::in_era(StoreEra(1), u64::MAX).fencing_token(),
+        None
+    );
 }
--- a/crates/config/src/text_store.rs
+++ b/crates/config/src/text_store.rs
@@ -6,7 +6,7 @@
 
 use nutmegsail_base::ResultCode;
 use nutmegsail_store::{
-    Change, Expect, Item, KeyValue, KeyValueError, LeaseId, Put, Revision, Txn,
+    Change, Condition, Item, KeyValue, KeyValueError, LeaseId, Put, Revision, Txn,
 };
 use thiserror::Error;
 
@@ -202,7 +202,7 @@
     }
     let dropped = held.iter().filter(|digest| !kept.contains(*digest));
     Txn {
-        expects: vec![Expect {
+        expects: vec![Condition {
             key: HEAD_KEY.into(),
             revision: found.map_or(Revision::NONE, |found| found.revision),
         }],
--- a/crates/config/tests/spread.rs
+++ b/crates/config/tests/spread.rs
@@ -41,7 +41,7 @@
 
     fn in_store(&self) -> SpreadEvent {
         let head = self.head.clone();
-        let revision = Revision::plain(head.generation.0);
+        let revision = Revision::without_era(head.generation.0);
         SpreadEvent::StoreHead(Some(StoredHead { head, revision }))
     }
 }
--- a/crates/config/tests/spread_fleet/fleet.rs
+++ b/crates/config/tests/spread_fleet/fleet.rs
@@ -153,7 +153,7 @@
 
     fn store(&mut self, head: Head) {
         self.revision += 1;
-        let revision = Revision::plain(self.revision);
+        let revision = Revision::without_era(self.revision);
         self.stored = Some(StoredHead { head, revision });
     }
 
--- a/crates/fakes/examples/standins.rs
+++ b/crates/fakes/examples/standins.rs
@@ -6,7 +6,7 @@
 
 use nutmegsail_base::{FailureDomain, NodeId};
 use nutmegsail_fakes::{EngineEntry, PlainEntry, StandIns, StandInsSettings};
-use nutmegsail_store::{Vm, VmDuty, VmState};
+use nutmegsail_store::{Vm, VmRole, VmState};
 use tokio::signal::unix::{SignalKind, signal};
 
 /// `ADDRESS=FAILURE_DOMAIN`.
@@ -49,7 +49,7 @@
             id: NodeId::from(id),
             address: place.address.to_string(),
             failure_domain: place.failure_domain,
-            duty: VmDuty::Entry,
+            duty: VmRole::Entry,
             state: VmState::Live,
         }))
     }
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -149,7 +149,7 @@
 
     fn begin_step(&self) {
         let mut state = self.lock();
-        state.settle(self.shared.clock.now(), self.shared.clock.wall());
+        state.settle(self.shared.clock.now(), self.shared.clock.wall_time());
         state.begin_step();
     }
 
@@ -167,7 +167,7 @@
         let now = self.shared.clock.now();
         let joined = {
             let mut state = self.lock();
-            state.settle(now, self.shared.clock.wall());
+            state.settle(now, self.shared.clock.wall_time());
             state.start(asked, now)?
         };
         self.shared.wake.notify_one();
@@ -183,7 +183,7 @@
         let now = self.shared.clock.now();
         let joined = {
             let mut state = self.lock();
-            state.settle(now, self.shared.clock.wall());
+            state.settle(now, self.shared.clock.wall_time());
             state.resume(request, incarnation, after, now)?
         };
         self.shared.wake.notify_one();
@@ -215,13 +215,13 @@
     pub(crate) fn read_report(&self) -> EngineReport {
         let now = self.shared.clock.now();
         let mut state = self.lock();
-        state.settle(now, self.shared.clock.wall());
+        state.settle(now, self.shared.clock.wall_time());
         state.report(now)
     }
 
     pub(crate) fn take_order(&self, order: &LoadOrder) -> Result<OrderAnswer, OrderError> {
         let now = self.shared.clock.now();
-        let wall = self.shared.clock.wall();
+        let wall = self.shared.clock.wall_time();
         let answer = {
             let mut state = self.lock();
             state.settle(now, wall);
--- a/crates/fakes/src/key_value.rs
+++ b/crates/fakes/src/key_value.rs
@@ -26,9 +26,9 @@
 ///
 /// # tokio::runtime::Builder::new_current_thread().enable_all().build()?.block_on(async {
 /// let store = FakeKeyValue::default();
-/// let first = store.commit(Txn::swap("head", Revision::NONE, "1")).await?;
-/// assert!(store.commit(Txn::swap("head", Revision::NONE, "2")).await.is_err());
-/// store.commit(Txn::swap("head", first, "2")).await?;
+/// let first = store.commit(Txn::compare_and_swap("head", Revision::NONE, "1")).await?;
+/// assert!(store.commit(Txn::compare_and_swap("head", Revision::NONE, "2")).await.is_err());
+/// store.commit(Txn::compare_and_swap("head", first, "2")).await?;
 /// # Ok::<(), nutmegsail_store::KeyValueError>(())
 /// # })?;
 /// # Ok::<(), Box<dyn std::error::Error>>(())
@@ -195,16 +195,16 @@
         Ok(state.grant_lease(ttl, now))
     }
 
-    async fn keep_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
+    async fn renew_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
         self.lock().counts.leases += 1;
         self.travel().await?;
         let mut state = self.lock();
         let now = self.clock.now();
         state.admit_write(now)?;
-        state.keep_lease(lease.number(), now)
+        state.renew_lease(lease.number(), now)
     }
 
-    async fn end_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
+    async fn revoke_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
         self.lock().counts.leases += 1;
         self.travel().await?;
         {
--- a/crates/fakes/src/key_value_http.rs
+++ b/crates/fakes/src/key_value_http.rs
@@ -7,7 +7,7 @@
 use http::{Method, Request, StatusCode};
 use hyper::body::Incoming;
 use nutmegsail_store::{
-    Change, Expect, Item, KeyValue, KeyValueError, LeaseId, Put, Revision, Txn,
+    Change, Condition, Item, KeyValue, KeyValueError, LeaseId, Put, Revision, Txn,
 };
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
@@ -78,14 +78,14 @@
 
 impl From<TxnJson> for Txn {
     fn from(txn: TxnJson) -> Self {
-        let expect = |expect: ExpectJson| Expect {
+        let expect = |expect: ExpectJson| Condition {
             key: expect.key,
-            revision: Revision::plain(expect.revision),
+            revision: Revision::without_era(expect.revision),
         };
         let put = |put: PutJson| Put {
             key: put.key,
             value: Bytes::from(put.value),
-            lease: LeaseId::plain(put.lease),
+            lease: LeaseId::without_era(put.lease),
         };
         Self {
             expects: txn.expects.into_iter().map(expect).collect(),
@@ -212,7 +212,7 @@
             .and_then(|text| text.parse().ok())
             .unwrap_or(0)
     };
-    let after = Revision::plain(number("after_revision"));
+    let after = Revision::without_era(number("after_revision"));
     let wait = Duration::from_millis(number("wait_ms"));
     let seen = store.watch(&prefix, after, wait).await?;
     let changes: Vec<ChangeJson> = seen.changes.iter().map(ChangeJson::from).collect();
@@ -232,9 +232,9 @@
         Some(id) => (id, true),
         None => (rest, false),
     };
-    match (id.parse().map(LeaseId::plain), method, is_keep) {
-        (Ok(lease), &Method::POST, true) => store.keep_lease(lease).await?,
-        (Ok(lease), &Method::DELETE, false) => store.end_lease(lease).await?,
+    match (id.parse().map(LeaseId::without_era), method, is_keep) {
+        (Ok(lease), &Method::POST, true) => store.renew_lease(lease).await?,
+        (Ok(lease), &Method::DELETE, false) => store.revoke_lease(lease).await?,
         _ => return Ok(HttpReply::status(StatusCode::NOT_FOUND)),
     }
     Ok(HttpReply::status(StatusCode::OK))
--- a/crates/fakes/src/key_value_state.rs
+++ b/crates/fakes/src/key_value_state.rs
@@ -197,7 +197,7 @@
         Page {
             items,
             has_more: matching.next().is_some(),
-            revision: Revision::plain(view.revision),
+            revision: Revision::without_era(view.revision),
         }
     }
 
@@ -215,7 +215,7 @@
             .collect();
         Ok(Changes {
             changes,
-            revision: Revision::plain(self.contents.revision),
+            revision: Revision::without_era(self.contents.revision),
         })
     }
 
@@ -240,10 +240,10 @@
             return Err(KeyValueError::LeaseGone);
         }
         if txn.puts.is_empty() && txn.removes.is_empty() {
-            return Ok(Revision::plain(self.contents.revision));
+            return Ok(Revision::without_era(self.contents.revision));
         }
         self.contents.revision += 1;
-        let revision = Revision::plain(self.contents.revision);
+        let revision = Revision::without_era(self.contents.revision);
         for put in &txn.puts {
             let item = Item {
                 key: Arc::clone(&put.key),
@@ -301,7 +301,7 @@
         if self.contents.items.remove(key).is_some() {
             self.remember(Change::Removed {
                 key: Arc::clone(key),
-                revision: Revision::plain(self.contents.revision),
+                revision: Revision::without_era(self.contents.revision),
             });
         }
     }
@@ -321,12 +321,12 @@
         let ends_at = now + ttl;
         self.leases.insert(id, Lease { ttl, ends_at });
         LeaseGrant {
-            lease: LeaseId::plain(id),
+            lease: LeaseId::without_era(id),
             ttl,
         }
     }
 
-    pub(crate) fn keep_lease(&mut self, id: u64, now: Instant) -> Result<(), KeyValueError> {
+    pub(crate) fn renew_lease(&mut self, id: u64, now: Instant) -> Result<(), KeyValueError> {
         let lease = self.leases.get_mut(&id).ok_or(KeyValueError::LeaseGone)?;
         lease.ends_at = now + lease.ttl;
         Ok(())
--- a/crates/fakes/src/stand_ins.rs
+++ b/crates/fakes/src/stand_ins.rs
@@ -8,7 +8,7 @@
 use http::Request;
 use hyper::body::Incoming;
 use nutmegsail_base::{Clock, FailureDomain, NodeId, SystemClock, UpstreamId};
-use nutmegsail_store::{Vm, VmDuty, VmState};
+use nutmegsail_store::{Vm, VmRole, VmState};
 use serde::Serialize;
 use tokio::net::TcpListener;
 
@@ -257,7 +257,7 @@
         id: NodeId::from(id.as_str()),
         address: id.to_string(),
         failure_domain: failure_domain.clone(),
-        duty: VmDuty::Upstream,
+        duty: VmRole::Upstream,
         state: VmState::Live,
     }
 }
--- a/crates/fakes/src/tokio_clock.rs
+++ b/crates/fakes/src/tokio_clock.rs
@@ -25,7 +25,7 @@
         tokio::time::Instant::now().into_std()
     }
 
-    fn wall(&self) -> SystemTime {
+    fn wall_time(&self) -> SystemTime {
         self.wall_start + self.start.elapsed()
     }
 }
--- a/crates/fakes/tests/engine.rs
+++ b/crates/fakes/tests/engine.rs
@@ -76,7 +76,7 @@
             fence: 5,
             expected_seq: 0,
             incarnation: self.engine.incarnation(),
-            valid_until_unix_ms: unix_ms(self.clock.wall()) + 1_000,
+            valid_until_unix_ms: unix_ms(self.clock.wall_time()) + 1_000,
         }
     }
 
--- a/crates/fakes/tests/key_value.rs
+++ b/crates/fakes/tests/key_value.rs
@@ -40,11 +40,18 @@
 #[tokio::test]
 async fn a_swap_on_an_old_revision_changes_nothing_and_shows_the_present_item() {
     let (_, store) = store();
-    let first = store.commit(Txn::swap("head", Revision::NONE, "1")).await;
+    let first = store
+        .commit(Txn::compare_and_swap("head", Revision::NONE, "1"))
+        .await;
     let first = first.unwrap();
-    store.commit(Txn::swap("head", first, "2")).await.unwrap();
+    store
+        .commit(Txn::compare_and_swap("head", first, "2"))
+        .await
+        .unwrap();
 
-    let refused = store.commit(Txn::swap("head", first, "3")).await;
+    let refused = store
+        .commit(Txn::compare_and_swap("head", first, "3"))
+        .await;
 
     let Err(KeyValueError::Conflict { current }) = refused else {
         panic!("not a conflict: {refused:?}");
@@ -54,8 +61,8 @@
 }
 
 #[rstest]
-#[case::value(Txn::swap("k", Revision::NONE, vec![b'v'; 1_000_001]))]
-#[case::key(Txn::swap("k".repeat(201), Revision::NONE, "v"))]
+#[case::value(Txn::compare_and_swap("k", Revision::NONE, vec![b'v'; 1_000_001]))]
+#[case::key(Txn::compare_and_swap("k".repeat(201), Revision::NONE, "v"))]
 #[case::entries(Txn { removes: (0..33).map(|n| n.to_string().into()).collect(), ..Txn::default() })]
 #[tokio::test]
 async fn what_is_over_a_limit_is_refused_whole(#[case] txn: Txn) {
@@ -72,13 +79,16 @@
     store.commit(leased("node/a", lease)).await.unwrap();
 
     clock.advance(Duration::from_secs(2));
-    store.keep_lease(lease).await.unwrap();
+    store.renew_lease(lease).await.unwrap();
     clock.advance(Duration::from_secs(2));
     assert!(value_of(&store, "node/a").await.is_some());
 
     clock.advance(Duration::from_secs(1));
     assert_eq!(value_of(&store, "node/a").await, None);
-    assert_eq!(store.keep_lease(lease).await, Err(KeyValueError::LeaseGone));
+    assert_eq!(
+        store.renew_lease(lease).await,
+        Err(KeyValueError::LeaseGone)
+    );
     let late = store.commit(leased("node/a", lease)).await;
     assert_eq!(late, Err(KeyValueError::LeaseGone));
 }
@@ -110,13 +120,15 @@
 async fn a_watch_from_forgotten_history_is_told_so() {
     let (_, store) = store();
     store
-        .commit(Txn::swap("a", Revision::NONE, "1"))
+        .commit(Txn::compare_and_swap("a", Revision::NONE, "1"))
         .await
         .unwrap();
     store.forget_history();
     let watch = store.watch("", Revision::NONE, Duration::ZERO).await;
     assert_eq!(watch, Err(KeyValueError::Compacted));
-    let watch = store.watch("", Revision::plain(1), Duration::ZERO).await;
+    let watch = store
+        .watch("", Revision::without_era(1), Duration::ZERO)
+        .await;
     assert_eq!(watch.unwrap().changes, []);
 }
 
@@ -129,7 +141,9 @@
         lost_answer_share: 1.0,
         ..Knobs::default()
     });
-    let lost = store.commit(Txn::swap("head", Revision::NONE, "1")).await;
+    let lost = store
+        .commit(Txn::compare_and_swap("head", Revision::NONE, "1"))
+        .await;
     assert_eq!(lost, Err(KeyValueError::Ambiguous));
     assert_eq!(value_of(&store, "head").await.as_deref(), Some("1"));
 }
@@ -151,13 +165,13 @@
         ..Knobs::default()
     });
     let lost = store
-        .commit(Txn::swap("head", Revision::NONE, "late"))
+        .commit(Txn::compare_and_swap("head", Revision::NONE, "late"))
         .await;
     assert_eq!(lost, Err(KeyValueError::Ambiguous));
     assert_eq!(value_of(&store, "head").await, None);
     store.set_knobs(Knobs::default());
     if another_writes {
-        let another = Txn::swap("head", Revision::NONE, "another");
+        let another = Txn::compare_and_swap("head", Revision::NONE, "another");
         store.commit(another).await.unwrap();
     }
     clock.advance(Duration::from_millis(500));
@@ -173,7 +187,7 @@
         ..KeyValueLimits::default()
     };
     let store = FakeKeyValue::new(Arc::clone(&clock) as _, limits, 7);
-    let write = |key: &'static str| store.commit(Txn::swap(key, Revision::NONE, "v"));
+    let write = |key: &'static str| store.commit(Txn::compare_and_swap(key, Revision::NONE, "v"));
     write("a").await.unwrap();
     write("b").await.unwrap();
     assert_eq!(write("c").await, Err(KeyValueError::Refused));
@@ -187,9 +201,11 @@
 #[tokio::test]
 async fn an_outage_does_nothing_and_stale_reads_and_a_restore_show_the_copy() {
     let (_, store) = store();
-    let first = store.commit(Txn::swap("head", Revision::NONE, "1")).await;
+    let first = store
+        .commit(Txn::compare_and_swap("head", Revision::NONE, "1"))
+        .await;
     store.take_copy();
-    let swap = Txn::swap("head", first.unwrap(), "2");
+    let swap = Txn::compare_and_swap("head", first.unwrap(), "2");
     store.set_knobs(Knobs {
         outage: true,
         ..Knobs::default()
@@ -207,7 +223,9 @@
 
     store.restore_copy();
     assert_eq!(value_of(&store, "head").await.as_deref(), Some("1"));
-    let watch = store.watch("", Revision::plain(2), Duration::ZERO).await;
+    let watch = store
+        .watch("", Revision::without_era(2), Duration::ZERO)
+        .await;
     assert_eq!(watch, Err(KeyValueError::Compacted));
 }
 
--- a/crates/fakes/tests/stand_ins.rs
+++ b/crates/fakes/tests/stand_ins.rs
@@ -11,7 +11,7 @@
 use http_client::call;
 use nutmegsail_base::{FailureDomain, ManualClock};
 use nutmegsail_fakes::{EngineEntry, FakeVmList, PlainEntry, StandIns, StandInsSettings};
-use nutmegsail_store::{Vm, VmDuty, VmList, VmState};
+use nutmegsail_store::{Vm, VmList, VmRole, VmState};
 
 fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
@@ -93,7 +93,7 @@
         id: "entry-1".into(),
         address: "127.0.0.1:7001".into(),
         failure_domain: "negril-hall".into(),
-        duty: VmDuty::Entry,
+        duty: VmRole::Entry,
         state: VmState::Live,
     };
     let lag = Duration::from_secs(5);
--- a/crates/idempotency/tests/tiny_model.rs
+++ b/crates/idempotency/tests/tiny_model.rs
@@ -284,7 +284,7 @@
                     },
             } => {
                 let revision = store.get(&**key).map_or(0, |(_, revision)| *revision);
-                StoreNumber::plain(revision) == *expected_revision
+                StoreNumber::without_era(revision) == *expected_revision
             }
             _ => true,
         });
@@ -397,7 +397,7 @@
                     self.revision += 1;
                     self.store
                         .insert(key.to_string(), (value.clone(), self.revision));
-                    Ok(StoreNumber::plain(self.revision))
+                    Ok(StoreNumber::without_era(self.revision))
                 } else {
                     Err(SwapFault::Conflict { current })
                 };
@@ -414,7 +414,7 @@
         let (value, revision) = self.store.get(key)?;
         Some(StoredRecord {
             value: value.clone(),
-            revision: StoreNumber::plain(*revision),
+            revision: StoreNumber::without_era(*revision),
         })
     }
 
--- a/crates/idempotency/tests/world/mod.rs
+++ b/crates/idempotency/tests/world/mod.rs
@@ -243,7 +243,7 @@
     }
 
     pub fn wall(&self) -> SystemTime {
-        self.clock.wall()
+        self.clock.wall_time()
     }
 
     /// A caller sends a call to `node`.
@@ -721,7 +721,7 @@
                     assert!(value.len() <= 1_000_000 && key.len() <= 200);
                     self.store
                         .insert(key.to_string(), (value, self.store_revision));
-                    Ok(StoreNumber::plain(self.store_revision))
+                    Ok(StoreNumber::without_era(self.store_revision))
                 } else {
                     Err(SwapFault::Conflict { current })
                 };
@@ -735,7 +735,7 @@
         let (value, revision) = self.store.get(key)?;
         Some(StoredRecord {
             value: value.clone(),
-            revision: StoreNumber::plain(*revision),
+            revision: StoreNumber::without_era(*revision),
         })
     }
 
--- a/crates/measure/src/capacity/claim_fleet.rs
+++ b/crates/measure/src/capacity/claim_fleet.rs
@@ -179,7 +179,7 @@
 
     fn arrive(&mut self) {
         let node = self.rng.random_range(0..self.load.nodes);
-        let issued = self.clock.wall();
+        let issued = self.clock.wall_time();
         let issued = issued
             .duration_since(std::time::UNIX_EPOCH)
             .unwrap_or_default();
@@ -207,7 +207,7 @@
 
     fn tell(&mut self, node: usize, event: ClaimEvent) {
         let mut actions = Vec::new();
-        let (now, wall) = (self.clock.now(), self.clock.wall());
+        let (now, wall) = (self.clock.now(), self.clock.wall_time());
         self.claims[node].handle(event, now, wall, &mut actions);
         for action in actions {
             self.carry_out(node, action);
@@ -326,7 +326,7 @@
         }
         self.revision += 1;
         self.written_bytes += value.len();
-        let revision = StoreNumber::plain(self.revision);
+        let revision = StoreNumber::without_era(self.revision);
         self.store
             .insert(key.to_owned(), StoredRecord { value, revision });
         Ok(revision)
--- a/crates/measure/src/quota_sim/ways.rs
+++ b/crates/measure/src/quota_sim/ways.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use nutmegsail_base::TeamName;
-use nutmegsail_quota::{Account, Ask, AskId, FirstFill, Lender, Quota, QuotaBounds, Quotas};
+use nutmegsail_quota::{
+    Account, InitialFill, Lender, LoanId, LoanRequest, Quota, QuotaBounds, Quotas,
+};
 
 /// How often nodes tell each other their demand, where shares follow it.
 const NEWS_INTERVAL: Duration = Duration::from_millis(200);
@@ -175,7 +177,7 @@
             .collect();
         let by_name: Quotas = teams.iter().cloned().zip(quotas.iter().copied()).collect();
         let lender = || {
-            let mut lender = Lender::new(bounds, FirstFill::Full, AskId(0));
+            let mut lender = Lender::new(bounds, InitialFill::Full, LoanId(0));
             lender.set_quotas(&by_name, Duration::ZERO);
             lender
         };
@@ -197,29 +199,29 @@
     ) -> bool {
         let team = self.teams[team].clone();
         let home = node % DOMAINS;
-        self.accounts[node].note_demand(&team, tokens, now);
+        self.accounts[node].record_demand(&team, tokens, now);
         for _ in 0..LOOKS {
-            if self.accounts[node].take(&team, tokens, now).is_some() {
+            if self.accounts[node].reserve(&team, tokens, now).is_some() {
                 return true;
             }
-            let ask = self.accounts[node].ask(&team, tokens, now);
-            let lent = self.lenders[home].ask(&ask, now);
+            let ask = self.accounts[node].loan_request(&team, tokens, now);
+            let lent = self.lenders[home].lend_to_node(&ask, now);
             self.messages += 2;
-            self.accounts[node].put(&lent, now);
+            self.accounts[node].add_loan(&lent, now);
             if lent.tokens == 0 {
-                self.borrow(&team, home, cut, now);
+                self.borrow_requests(&team, home, cut, now);
             }
         }
         false
     }
 
-    fn borrow(&mut self, team: &TeamName, home: usize, cut: Option<usize>, now: Duration) {
-        let asks: Vec<Ask> = self.lenders[home].borrow(team, DOMAINS - 1, now);
+    fn borrow_requests(&mut self, team: &TeamName, home: usize, cut: Option<usize>, now: Duration) {
+        let asks: Vec<LoanRequest> = self.lenders[home].borrow_requests(team, DOMAINS - 1, now);
         let others = (0..DOMAINS).filter(|other| *other != home);
         for (other, ask) in others.zip(asks) {
             if cut != Some(home) && cut != Some(other) {
-                let lent = self.lenders[other].lender_ask(&ask, now);
-                self.lenders[home].take_lent(&lent, now);
+                let lent = self.lenders[other].lend_to_lender(&ask, now);
+                self.lenders[home].receive_loan(&lent, now);
                 self.messages += 2;
             }
         }
--- a/crates/node/src/claims_keeper.rs
+++ b/crates/node/src/claims_keeper.rs
@@ -143,7 +143,7 @@
         let mut actions = Vec::new();
         let clock = &self.parts.clock;
         self.claims
-            .handle(event, clock.now(), clock.wall(), &mut actions);
+            .handle(event, clock.now(), clock.wall_time(), &mut actions);
         for action in actions {
             self.carry_out(action, this).await;
         }
@@ -264,7 +264,7 @@
             expected_revision,
             value,
         } => {
-            let txn = Txn::swap(key, expected_revision.into(), value);
+            let txn = Txn::compare_and_swap(key, expected_revision.into(), value);
             let result = store.commit(txn).await;
             let result = result.map(|revision| *revision).map_err(swap_fault);
             Some(ClaimEvent::SwapDone { token, result })
--- a/crates/node/src/loader.rs
+++ b/crates/node/src/loader.rs
@@ -172,7 +172,7 @@
             return;
         };
         let spent = self.parts.clock.now().saturating_duration_since(made_at);
-        let valid_until = self.parts.clock.wall() + valid_for.saturating_sub(spent);
+        let valid_until = self.parts.clock.wall_time() + valid_for.saturating_sub(spent);
         let load_order = LoadOrder {
             op,
             adapter,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -233,7 +233,7 @@
 /// The time of day in milliseconds: a later run of a node gets a higher number.
 fn incarnation(clock: &dyn Clock) -> Incarnation {
     let since = clock
-        .wall()
+        .wall_time()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
     Incarnation(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
--- a/crates/node/src/owners.rs
+++ b/crates/node/src/owners.rs
@@ -95,7 +95,7 @@
     pub(crate) async fn renew(&self, loader: &Address<Loader>) {
         let Some(held) = self.lease() else { return };
         let asked_at = self.clock.now();
-        match self.store.keep_lease(held.lease).await {
+        match self.store.renew_lease(held.lease).await {
             Ok(()) => self.renewed(held.lease, asked_at, loader).await,
             Err(KeyValueError::LeaseGone) => self.lost(loader).await,
             // Ownership runs out by itself at `valid_until` unless a later renewal succeeds.
@@ -106,7 +106,7 @@
     /// Ends the lease, so that other nodes need not wait for it to lapse.
     pub(crate) async fn end(&self) {
         if let Some(held) = self.lease() {
-            let _ = self.store.end_lease(held.lease).await;
+            let _ = self.store.revoke_lease(held.lease).await;
         }
     }
 
--- a/crates/node/src/ownership.rs
+++ b/crates/node/src/ownership.rs
@@ -7,7 +7,7 @@
 
 use nutmegsail_base::{Incarnation, NodeId, UpstreamId};
 use nutmegsail_placement::next_fence;
-use nutmegsail_store::{Expect, Item, KeyValue, KeyValueError, LeaseId, Put, Revision, Txn};
+use nutmegsail_store::{Condition, Item, KeyValue, KeyValueError, LeaseId, Put, Revision, Txn};
 use serde::{Deserialize, Serialize};
 
 /// Who owns an engine.
@@ -75,7 +75,7 @@
             return Ok(());
         }
         let txn = Txn {
-            expects: vec![Expect {
+            expects: vec![Condition {
                 key: Arc::clone(&item.key),
                 revision: item.revision,
             }],
@@ -119,7 +119,7 @@
     ) -> Result<Txn, KeyValueError> {
         let value = serde_json::to_vec(record)
             .map_err(|error| KeyValueError::Malformed(error.to_string()))?;
-        let expect = |key: String, item: Option<&Item>| Expect {
+        let expect = |key: String, item: Option<&Item>| Condition {
             key: key.into(),
             revision: item.map_or(Revision::NONE, |item| item.revision),
         };
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -10,7 +10,7 @@
     MembershipNote, StatusReport, VmHint,
 };
 use nutmegsail_routing::RoutingEvent;
-use nutmegsail_store::{Vm, VmDuty, VmList, VmState};
+use nutmegsail_store::{Vm, VmList, VmRole, VmState};
 use nutmegsail_telemetry::{Event, log_event};
 use nutmegsail_wire::{Envelope, Link, NodeMessage};
 use rand::seq::IndexedRandom;
@@ -374,7 +374,7 @@
         let (entry, upstreams): (Vec<_>, Vec<_>) = message
             .0
             .into_iter()
-            .partition(|vm| vm.duty == VmDuty::Entry);
+            .partition(|vm| vm.duty == VmRole::Entry);
         self.claim_writers(&entry).await;
         let vms = entry.into_iter().map(hint).collect();
         self.tell(MembershipEvent::VmListRead { vms }, &this).await;
--- a/crates/node/src/plain_calls.rs
+++ b/crates/node/src/plain_calls.rs
@@ -97,7 +97,7 @@
 
     /// A new key that only this run of this node may ever run.
     pub(crate) fn issue_ticket(&self) -> IdempotencyKey {
-        let wall = self.clock.wall().duration_since(UNIX_EPOCH);
+        let wall = self.clock.wall_time().duration_since(UNIX_EPOCH);
         let wall = wall.unwrap_or_default();
         let issued = Timestamp::from_unix(NoContext, wall.as_secs(), wall.subsec_nanos());
         let Ticket { node, incarnation } = self.ticket.clone();
--- a/crates/quota/src/account.rs
+++ b/crates/quota/src/account.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::{Ask, AskId, GRANT_LIFE, Lent};
+use crate::{LOAN_TTL, LoanId, LoanReply, LoanRequest};
 use nutmegsail_base::TeamName;
 
 /// Half-life of a team's recorded demand at this node, in seconds.
@@ -16,15 +16,15 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use nutmegsail_quota::{Account, Lent};
+/// use nutmegsail_quota::{Account, LoanReply};
 /// let (mut account, now) = (Account::default(), Duration::from_secs(5));
 /// let team = "desk".into();
-/// assert!(account.take(&team, 700, now).is_none());
-/// let ask = account.ask(&team, 700, now);
-/// let lent = Lent { id: ask.id, team: ask.team, tokens: 1_500, wait_ms: 0 };
-/// account.put(&lent, now);
-/// assert!(account.take(&team, 700, now).is_some());
-/// assert!(account.take(&team, 700, now + Duration::from_secs(1)).is_none(), "they have expired");
+/// assert!(account.reserve(&team, 700, now).is_none());
+/// let ask = account.loan_request(&team, 700, now);
+/// let lent = LoanReply { id: ask.id, team: ask.team, tokens: 1_500, wait_ms: 0 };
+/// account.add_loan(&lent, now);
+/// assert!(account.reserve(&team, 700, now).is_some());
+/// assert!(account.reserve(&team, 700, now + Duration::from_secs(1)).is_none(), "they have expired");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Account {
@@ -63,7 +63,7 @@
 impl Account {
     /// An empty account whose first request has the id after `id_seed`. A restarted node must pass
     /// another value, so that it does not accept replies meant for its previous process.
-    pub fn new(id_seed: AskId) -> Self {
+    pub fn new(id_seed: LoanId) -> Self {
         Self {
             teams: HashMap::new(),
             last_loan_id: id_seed.0,
@@ -71,7 +71,7 @@
     }
 
     /// Reserves tokens for a request, if enough unexpired ones are held.
-    pub fn take(&mut self, team: &TeamName, tokens: u32, now: Duration) -> Option<Reservation> {
+    pub fn reserve(&mut self, team: &TeamName, tokens: u32, now: Duration) -> Option<Reservation> {
         let team_account = self.teams.get_mut(team)?;
         team_account.loans.retain(|loan| now < loan.expires);
         let available: u64 = team_account
@@ -106,7 +106,7 @@
     }
 
     /// Returns reserved tokens that the request did not spend. Expired ones are dropped.
-    pub fn give_back(&mut self, reservation: Reservation, now: Duration) {
+    pub fn release(&mut self, reservation: Reservation, now: Duration) {
         let team_account = self.teams.entry(reservation.team).or_default();
         let unexpired = reservation
             .parts
@@ -116,23 +116,29 @@
     }
 
     /// Creates a loan request for the tokens that a request needs, plus extra for the requests that
-    /// are expected in the next half [`GRANT_LIFE`].
-    pub fn ask(&mut self, team: &TeamName, need_tokens: u32, now: Duration) -> Ask {
+    /// are expected in the next half [`LOAN_TTL`].
+    pub fn loan_request(
+        &mut self,
+        team: &TeamName,
+        need_tokens: u32,
+        now: Duration,
+    ) -> LoanRequest {
         self.teams
             .retain(|_, team_account| now.saturating_sub(team_account.demand_at) < IDLE_TEAM_TTL);
         let team_account = self.teams.entry(team.clone()).or_default();
-        let expected_tokens = team_account.demand_per_s(now) * GRANT_LIFE.as_secs_f64() / 2.0;
+        let expected_tokens = team_account.demand_per_s(now) * LOAN_TTL.as_secs_f64() / 2.0;
         self.last_loan_id = self.last_loan_id.wrapping_add(1);
-        Ask {
-            id: AskId(self.last_loan_id),
+        LoanRequest {
+            id: LoanId(self.last_loan_id),
             team: team.clone(),
             need_tokens,
             extra_tokens: expected_tokens as u32,
         }
     }
 
-    /// Records the demand of a request, from which [`ask`](Self::ask) estimates the extra tokens.
-    pub fn note_demand(&mut self, team: &TeamName, tokens: u32, now: Duration) {
+    /// Records the demand of a request, from which [`loan_request`](Self::loan_request) estimates
+    /// the extra tokens.
+    pub fn record_demand(&mut self, team: &TeamName, tokens: u32, now: Duration) {
         let team_account = self.teams.entry(team.clone()).or_default();
         team_account.demand_tokens = team_account.decayed_demand(now) + f64::from(tokens);
         team_account.demand_at = now;
@@ -140,13 +146,13 @@
 
     /// Adds the tokens of a reply to a request made at `asked_at`.
     ///
-    /// They expire [`GRANT_LIFE`] after the request, so a late reply does not extend their life.
-    pub fn put(&mut self, lent: &Lent, asked_at: Duration) {
+    /// They expire [`LOAN_TTL`] after the request, so a late reply does not extend their life.
+    pub fn add_loan(&mut self, lent: &LoanReply, asked_at: Duration) {
         if lent.tokens > 0 {
             let team_account = self.teams.entry(lent.team.clone()).or_default();
             team_account.loans.push(Loan {
                 tokens: lent.tokens,
-                expires: asked_at + GRANT_LIFE,
+                expires: asked_at + LOAN_TTL,
             });
         }
     }
--- a/crates/quota/src/lender.rs
+++ b/crates/quota/src/lender.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::bucket::Bucket;
-use crate::{Ask, AskId, GRANT_LIFE, Lent, Quota, QuotaBounds, Quotas};
+use crate::{LOAN_TTL, LoanId, LoanReply, LoanRequest, Quota, QuotaBounds, Quotas};
 use nutmegsail_base::TeamName;
 
 /// Fraction of a bucket's capacity that is reserved for tokens that nodes need now. Extra tokens
@@ -27,7 +27,7 @@
 
 /// How full the buckets of a new lender are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FirstFill {
+pub enum InitialFill {
     /// Full: no lender has lent from them before.
     Full,
     /// Empty: how much the previous lender has lent is unknown.
@@ -38,24 +38,24 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use nutmegsail_quota::{Ask, AskId, FirstFill, Lender, Quota, QuotaBounds, Quotas};
+/// use nutmegsail_quota::{InitialFill, Lender, LoanId, LoanRequest, Quota, QuotaBounds, Quotas};
 /// let bounds = QuotaBounds::default();
 /// let quota = Quota { tokens_per_s: 1_000.0, burst_tokens: 1_000.0 };
-/// let mut lender = Lender::new(bounds, FirstFill::Full, AskId(7));
+/// let mut lender = Lender::new(bounds, InitialFill::Full, LoanId(7));
 /// lender.set_quotas(&Quotas::from([("desk".into(), quota)]), Duration::ZERO);
-/// let ask = Ask { id: AskId(1), team: "desk".into(), need_tokens: 700, extra_tokens: 0 };
-/// assert_eq!(lender.ask(&ask, Duration::ZERO).tokens, 700);
-/// let refused = lender.ask(&ask, Duration::ZERO);
+/// let ask = LoanRequest { id: LoanId(1), team: "desk".into(), need_tokens: 700, extra_tokens: 0 };
+/// assert_eq!(lender.lend_to_node(&ask, Duration::ZERO).tokens, 700);
+/// let refused = lender.lend_to_node(&ask, Duration::ZERO);
 /// assert_eq!((refused.tokens, refused.wait_ms > 0), (0, true));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Lender {
     bounds: QuotaBounds,
-    first_fill: FirstFill,
+    first_fill: InitialFill,
     teams: HashMap<TeamName, TeamBucket>,
     last_loan_id: u64,
     /// Unanswered requests to other lenders, with the time of each.
-    unanswered: HashMap<AskId, Duration>,
+    unanswered: HashMap<LoanId, Duration>,
 }
 
 #[derive(Clone, Debug)]
@@ -80,7 +80,7 @@
     /// Creates a lender whose buckets start as `first_fill` says. Its first request to another
     /// lender has the id after `id_seed`, which must differ for each new lender: otherwise it could
     /// accept replies meant for the previous one.
-    pub fn new(bounds: QuotaBounds, first_fill: FirstFill, id_seed: AskId) -> Self {
+    pub fn new(bounds: QuotaBounds, first_fill: InitialFill, id_seed: LoanId) -> Self {
         Self {
             bounds,
             first_fill,
@@ -108,8 +108,8 @@
         for (team, quota) in quotas {
             if !self.teams.contains_key(team) {
                 let level = match self.first_fill {
-                    FirstFill::Full => self.bounds.lender_capacity(*quota),
-                    FirstFill::Empty => 0.0,
+                    InitialFill::Full => self.bounds.lender_capacity(*quota),
+                    InitialFill::Empty => 0.0,
                 };
                 let team_bucket = TeamBucket::new(*quota, level, now);
                 self.teams.insert(team.clone(), team_bucket);
@@ -118,7 +118,7 @@
     }
 
     /// Lends to a node: all tokens that it needs, and extra ones if there are enough; or none.
-    pub fn ask(&mut self, ask: &Ask, now: Duration) -> Lent {
+    pub fn lend_to_node(&mut self, ask: &LoanRequest, now: Duration) -> LoanReply {
         let bounds = self.bounds;
         let Some(team) = self.teams.get_mut(&ask.team) else {
             return reply(ask, 0.0, Duration::ZERO);
@@ -142,7 +142,7 @@
 
     /// Lends to the lender of another failure domain whose callers need more than that domain's
     /// share of the rate.
-    pub fn lender_ask(&mut self, ask: &Ask, now: Duration) -> Lent {
+    pub fn lend_to_lender(&mut self, ask: &LoanRequest, now: Duration) -> LoanReply {
         let bounds = self.bounds;
         let Some(team) = self.teams.get_mut(&ask.team) else {
             return reply(ask, 0.0, Duration::ZERO);
@@ -156,7 +156,7 @@
     }
 
     /// The tokens in the bucket of each team that has a quota.
-    pub fn levels(&mut self, now: Duration) -> Vec<(TeamName, f64)> {
+    pub fn bucket_levels(&mut self, now: Duration) -> Vec<(TeamName, f64)> {
         let mut levels = Vec::new();
         for (name, team) in &mut self.teams {
             team.refill(&self.bounds, now);
@@ -170,17 +170,22 @@
     /// Creates a request to each of `lenders` other lenders for the tokens that the team's last
     /// refused request lacked. Empty if none was refused recently, or if the other lenders were
     /// asked a moment ago.
-    pub fn borrow(&mut self, team: &TeamName, lenders: usize, now: Duration) -> Vec<Ask> {
+    pub fn borrow_requests(
+        &mut self,
+        team: &TeamName,
+        lenders: usize,
+        now: Duration,
+    ) -> Vec<LoanRequest> {
         let Some(missing_tokens) = self.shortfall(team, now) else {
             return Vec::new();
         };
         self.unanswered
-            .retain(|_, asked_at| now.saturating_sub(*asked_at) < GRANT_LIFE);
+            .retain(|_, asked_at| now.saturating_sub(*asked_at) < LOAN_TTL);
         let asks = (0..lenders).map(|_| {
             self.last_loan_id = self.last_loan_id.wrapping_add(1);
-            let id = AskId(self.last_loan_id);
+            let id = LoanId(self.last_loan_id);
             self.unanswered.insert(id, now);
-            Ask {
+            LoanRequest {
                 id,
                 team: team.clone(),
                 need_tokens: missing_tokens.ceil() as u32,
@@ -204,7 +209,7 @@
 
     /// Adds the tokens that another lender has lent. A duplicate reply, or one to an unknown
     /// request, is ignored: its tokens would be counted twice.
-    pub fn take_lent(&mut self, reply: &Lent, now: Duration) {
+    pub fn receive_loan(&mut self, reply: &LoanReply, now: Duration) {
         if self.unanswered.remove(&reply.id).is_none() {
             return;
         }
@@ -265,8 +270,8 @@
     }
 }
 
-fn reply(ask: &Ask, tokens: f64, wait_time: Duration) -> Lent {
-    Lent {
+fn reply(ask: &LoanRequest, tokens: f64, wait_time: Duration) -> LoanReply {
+    LoanReply {
         id: ask.id,
         team: ask.team.clone(),
         tokens: tokens as u32,
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -17,6 +17,6 @@
 mod quota;
 
 pub use account::{Account, Reservation};
-pub use lender::{FirstFill, Lender};
-pub use message::{Ask, AskId, Lent, QuotaMessage};
-pub use quota::{GRANT_LIFE, Quota, QuotaBounds, Quotas};
+pub use lender::{InitialFill, Lender};
+pub use message::{LoanId, LoanReply, LoanRequest, QuotaMessage};
+pub use quota::{LOAN_TTL, Quota, QuotaBounds, Quotas};
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -6,13 +6,13 @@
 /// Identifies one of a sender's requests for tokens, so that the reply can be matched to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct AskId(pub u64);
+pub struct LoanId(pub u64);
 
 /// A request to borrow tokens of a team's quota.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LoanRequest {
     /// Identifies the request; the reply carries it too.
-    pub id: AskId,
+    pub id: LoanId,
     /// The team whose tokens are requested.
     pub team: TeamName,
     /// Tokens needed now. A node is lent all of them or none; another lender may be lent a part.
@@ -21,11 +21,11 @@
     pub extra_tokens: u32,
 }
 
-/// The reply to an [`Ask`].
+/// The reply to a [`LoanRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lent {
+pub struct LoanReply {
     /// The id of the request.
-    pub id: AskId,
+    pub id: LoanId,
     /// The team whose tokens were requested.
     pub team: TeamName,
     /// Tokens lent; zero if the lender has too few.
@@ -38,11 +38,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaMessage {
     /// Node to lender: a request for tokens.
-    Ask(Ask),
+    LoanRequest(LoanRequest),
     /// Lender to the lender of another failure domain: a request for tokens.
-    LenderAsk(Ask),
+    LenderLoanRequest(LoanRequest),
     /// Lender to node: the reply to its request.
-    Lent(Lent),
+    LoanReply(LoanReply),
     /// Lender to lender: the reply to its request.
-    LenderLent(Lent),
+    LenderLoanReply(LoanReply),
 }
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -7,7 +7,7 @@
 
 /// How long borrowed tokens can be spent, counted from the request for them. A request may wait
 /// this long for its adapter; tokens that are unspent by then are lost to the team.
-pub const GRANT_LIFE: Duration = Duration::from_millis(600);
+pub const LOAN_TTL: Duration = Duration::from_millis(600);
 
 /// Share of the tolerated overrun that the buckets use. The rest covers clocks that run at
 /// different speeds and requests that wait in front of an upstream.
@@ -66,12 +66,12 @@
     /// Refill rate of one lender's bucket, in tokens per second.
     ///
     /// The tokens spent in a window come from three sources: what the buckets held at its start,
-    /// what they refill during it, and what nodes borrowed in the [`GRANT_LIFE`] before it. So the
+    /// what they refill during it, and what nodes borrowed in the [`LOAN_TTL`] before it. So the
     /// window's limit, less the capacity of the buckets, is refilled over the window plus
-    /// [`GRANT_LIFE`].
+    /// [`LOAN_TTL`].
     pub(crate) fn lender_rate(&self, quota: Quota) -> f64 {
         let filled = (self.used_limit(quota) - self.total_capacity(quota)).max(0.0);
-        filled / (self.window + GRANT_LIFE).as_secs_f64() / self.lender_count()
+        filled / (self.window + LOAN_TTL).as_secs_f64() / self.lender_count()
     }
 
     /// Capacity of one lender's bucket, in tokens.
--- a/crates/quota/tests/lending.rs
+++ b/crates/quota/tests/lending.rs
@@ -4,7 +4,8 @@
 
 use nutmegsail_base::TeamName;
 use nutmegsail_quota::{
-    Account, Ask, AskId, FirstFill, GRANT_LIFE, Lender, Lent, Quota, QuotaBounds, Quotas,
+    Account, InitialFill, LOAN_TTL, Lender, LoanId, LoanReply, LoanRequest, Quota, QuotaBounds,
+    Quotas,
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -25,15 +26,15 @@
     Quotas::from([("desk".into(), quota)])
 }
 
-fn lender(fill: FirstFill) -> Lender {
-    let mut lender = Lender::new(three_domains(), fill, AskId(100));
+fn lender(fill: InitialFill) -> Lender {
+    let mut lender = Lender::new(three_domains(), fill, LoanId(100));
     lender.set_quotas(&quotas(QUOTA), Duration::ZERO);
     lender
 }
 
-fn ask(need_tokens: u32) -> Ask {
-    Ask {
-        id: AskId(7),
+fn ask(need_tokens: u32) -> LoanRequest {
+    LoanRequest {
+        id: LoanId(7),
         team: "desk".into(),
         need_tokens,
         extra_tokens: 0,
@@ -44,7 +45,7 @@
 fn drain(lender: &mut Lender, need_tokens: u32, now: Duration) -> u32 {
     let mut all = 0;
     loop {
-        let lent = lender.ask(&ask(need_tokens), now);
+        let lent = lender.lend_to_node(&ask(need_tokens), now);
         all += lent.tokens;
         if lent.tokens == 0 {
             return all;
@@ -56,7 +57,7 @@
 // the previous one may have lent already.
 #[test]
 fn a_lender_that_replaces_another_starts_with_empty_buckets() {
-    let mut lender = lender(FirstFill::Empty);
+    let mut lender = lender(InitialFill::Empty);
     assert_eq!(drain(&mut lender, 100, Duration::ZERO), 0);
     let after = drain(&mut lender, 100, SECOND);
     // Its share of the rate and of the tolerated overrun, per second of the window.
@@ -69,7 +70,7 @@
 
 #[test]
 fn the_first_lender_starts_with_its_share_of_burst_and_tolerance() {
-    let mut lender = lender(FirstFill::Full);
+    let mut lender = lender(InitialFill::Full);
     let all = drain(&mut lender, 100, Duration::ZERO);
     let limit = three_domains().window_limit(QUOTA) / 3.0;
     assert!(all > 1_000 && f64::from(all) < limit, "{all} of {limit}");
@@ -78,7 +79,7 @@
 // Guards against lending the old quota's burst after operators have lowered the quota.
 #[test]
 fn lowering_a_quota_drops_tokens_above_the_new_capacity() {
-    let mut lender = lender(FirstFill::Full);
+    let mut lender = lender(InitialFill::Full);
     let low = Quota {
         tokens_per_s: 30.0,
         burst_tokens: 30.0,
@@ -87,7 +88,7 @@
         slack_tokens: 0.0,
         ..three_domains()
     };
-    let mut strict_lender = Lender::new(strict, FirstFill::Full, AskId(100));
+    let mut strict_lender = Lender::new(strict, InitialFill::Full, LoanId(100));
     strict_lender.set_quotas(&quotas(QUOTA), Duration::ZERO);
     strict_lender.set_quotas(&quotas(low), Duration::ZERO);
     lender.set_quotas(&quotas(low), Duration::ZERO);
@@ -98,7 +99,7 @@
 // Guards against a second burst for a team whose quota was removed and restored.
 #[test]
 fn restoring_a_removed_quota_grants_no_second_burst() {
-    let mut lender = lender(FirstFill::Full);
+    let mut lender = lender(InitialFill::Full);
     drain(&mut lender, 1, Duration::ZERO);
     lender.set_quotas(&Quotas::new(), Duration::ZERO);
     lender.set_quotas(&quotas(QUOTA), SECOND / 10);
@@ -108,9 +109,9 @@
 
 #[test]
 fn refused_requests_get_successively_longer_waits() {
-    let mut lender = lender(FirstFill::Empty);
+    let mut lender = lender(InitialFill::Empty);
     let waits: Vec<u32> = (0..3)
-        .map(|_| lender.ask(&ask(500), Duration::ZERO).wait_ms)
+        .map(|_| lender.lend_to_node(&ask(500), Duration::ZERO).wait_ms)
         .collect();
     assert!(waits[0] > 300, "{waits:?}");
     assert!(waits[1].abs_diff(2 * waits[0]) <= 2, "{waits:?}");
@@ -121,46 +122,54 @@
 // domains have unused tokens.
 #[test]
 fn a_lender_borrows_missing_tokens_from_other_lenders() {
-    let (mut borrower, mut other_lender) = (lender(FirstFill::Empty), lender(FirstFill::Full));
-    assert_eq!(borrower.ask(&ask(1_500), Duration::ZERO).tokens, 0);
+    let (mut borrower, mut other_lender) = (lender(InitialFill::Empty), lender(InitialFill::Full));
+    assert_eq!(borrower.lend_to_node(&ask(1_500), Duration::ZERO).tokens, 0);
     let team: TeamName = "desk".into();
-    let borrow = borrower.borrow(&team, 1, Duration::ZERO);
+    let borrow = borrower.borrow_requests(&team, 1, Duration::ZERO);
     assert!(
-        borrower.borrow(&team, 1, Duration::ZERO).is_empty(),
+        borrower
+            .borrow_requests(&team, 1, Duration::ZERO)
+            .is_empty(),
         "lenders are not asked for every refused request"
     );
-    let lent = other_lender.lender_ask(&borrow[0], Duration::ZERO);
+    let lent = other_lender.lend_to_lender(&borrow[0], Duration::ZERO);
     assert_eq!(lent.tokens, 1_500);
-    borrower.take_lent(&lent, Duration::ZERO);
-    assert_eq!(borrower.ask(&ask(1_500), Duration::ZERO).tokens, 1_500);
+    borrower.receive_loan(&lent, Duration::ZERO);
+    assert_eq!(
+        borrower.lend_to_node(&ask(1_500), Duration::ZERO).tokens,
+        1_500
+    );
 }
 
 // Guards against adding the tokens of a duplicated datagram twice.
 #[test]
 fn a_duplicate_loan_reply_is_ignored() {
-    let (mut borrower, mut other_lender) = (lender(FirstFill::Empty), lender(FirstFill::Full));
+    let (mut borrower, mut other_lender) = (lender(InitialFill::Empty), lender(InitialFill::Full));
     let team = TeamName::from("desk");
-    borrower.ask(&ask(1_500), Duration::ZERO);
-    let borrow = borrower.borrow(&team, 1, Duration::ZERO);
-    let lent = other_lender.lender_ask(&borrow[0], Duration::ZERO);
-    borrower.take_lent(&lent, Duration::ZERO);
-    borrower.take_lent(&lent, Duration::ZERO);
-    assert_eq!(borrower.ask(&ask(1_500), Duration::ZERO).tokens, 1_500);
-    assert_eq!(borrower.ask(&ask(1_500), Duration::ZERO).tokens, 0);
+    borrower.lend_to_node(&ask(1_500), Duration::ZERO);
+    let borrow = borrower.borrow_requests(&team, 1, Duration::ZERO);
+    let lent = other_lender.lend_to_lender(&borrow[0], Duration::ZERO);
+    borrower.receive_loan(&lent, Duration::ZERO);
+    borrower.receive_loan(&lent, Duration::ZERO);
+    assert_eq!(
+        borrower.lend_to_node(&ask(1_500), Duration::ZERO).tokens,
+        1_500
+    );
+    assert_eq!(borrower.lend_to_node(&ask(1_500), Duration::ZERO).tokens, 0);
 }
 
 // Guards against accepting a reply meant for the previous lender, whose tokens count as spent.
 #[test]
 fn a_new_lender_ignores_replies_to_its_predecessor() {
-    let mut other_lender = lender(FirstFill::Full);
-    let mut before = lender(FirstFill::Empty);
-    before.ask(&ask(1_500), Duration::ZERO);
-    let borrow = before.borrow(&"desk".into(), 1, Duration::ZERO);
-    let lent = other_lender.lender_ask(&borrow[0], Duration::ZERO);
-    let mut borrower = Lender::new(three_domains(), FirstFill::Empty, AskId(9_000));
+    let mut other_lender = lender(InitialFill::Full);
+    let mut before = lender(InitialFill::Empty);
+    before.lend_to_node(&ask(1_500), Duration::ZERO);
+    let borrow = before.borrow_requests(&"desk".into(), 1, Duration::ZERO);
+    let lent = other_lender.lend_to_lender(&borrow[0], Duration::ZERO);
+    let mut borrower = Lender::new(three_domains(), InitialFill::Empty, LoanId(9_000));
     borrower.set_quotas(&quotas(QUOTA), Duration::ZERO);
-    borrower.take_lent(&lent, Duration::ZERO);
-    assert_eq!(borrower.ask(&ask(1), Duration::ZERO).tokens, 0);
+    borrower.receive_loan(&lent, Duration::ZERO);
+    assert_eq!(borrower.lend_to_node(&ask(1), Duration::ZERO).tokens, 0);
 }
 
 #[test]
@@ -171,62 +180,68 @@
     };
     let mut lenders: Vec<Lender> = (0..3)
         .map(|_| {
-            let mut lender = Lender::new(three_domains(), FirstFill::Full, AskId(100));
+            let mut lender = Lender::new(three_domains(), InitialFill::Full, LoanId(100));
             lender.set_quotas(&quotas(quota), Duration::ZERO);
             lender
         })
         .collect();
     let need = 5_000;
-    assert_eq!(lenders[0].ask(&ask(need), Duration::ZERO).tokens, 0);
-    let borrow = lenders[0].borrow(&"desk".into(), 2, Duration::ZERO);
+    assert_eq!(
+        lenders[0].lend_to_node(&ask(need), Duration::ZERO).tokens,
+        0
+    );
+    let borrow = lenders[0].borrow_requests(&"desk".into(), 2, Duration::ZERO);
     for place in 1..3 {
-        let lent = lenders[place].lender_ask(&borrow[place - 1], Duration::ZERO);
-        lenders[0].take_lent(&lent, Duration::ZERO);
+        let lent = lenders[place].lend_to_lender(&borrow[place - 1], Duration::ZERO);
+        lenders[0].receive_loan(&lent, Duration::ZERO);
     }
-    assert_eq!(lenders[0].ask(&ask(need), Duration::ZERO).tokens, need);
+    assert_eq!(
+        lenders[0].lend_to_node(&ask(need), Duration::ZERO).tokens,
+        need
+    );
 }
 
 // Guards against spending expired tokens after a node was frozen or a reply came late.
 #[test]
 fn borrowed_tokens_expire_relative_to_the_time_of_the_request() {
     let (mut account, team) = (Account::default(), TeamName::from("desk"));
-    let lent = Lent {
-        id: AskId(1),
+    let lent = LoanReply {
+        id: LoanId(1),
         team: team.clone(),
         tokens: 900,
         wait_ms: 0,
     };
-    account.put(&lent, SECOND);
-    let reserved = account.take(&team, 500, SECOND).unwrap();
+    account.add_loan(&lent, SECOND);
+    let reserved = account.reserve(&team, 500, SECOND).unwrap();
     assert!(reserved.is_valid(SECOND));
-    let late = SECOND + GRANT_LIFE;
+    let late = SECOND + LOAN_TTL;
     assert!(!reserved.is_valid(late));
-    account.give_back(reserved, late);
+    account.release(reserved, late);
     assert_eq!(account.available_tokens(&team, late), 0);
 }
 
 #[test]
 fn returned_tokens_can_be_spent_by_the_next_request() {
     let (mut account, team) = (Account::default(), TeamName::from("desk"));
-    let lent = Lent {
-        id: AskId(1),
+    let lent = LoanReply {
+        id: LoanId(1),
         team: team.clone(),
         tokens: 900,
         wait_ms: 0,
     };
-    account.put(&lent, SECOND);
-    let reserved = account.take(&team, 700, SECOND).unwrap();
-    assert!(account.take(&team, 700, SECOND).is_none());
-    account.give_back(reserved, SECOND);
-    assert!(account.take(&team, 700, SECOND).is_some());
+    account.add_loan(&lent, SECOND);
+    let reserved = account.reserve(&team, 700, SECOND).unwrap();
+    assert!(account.reserve(&team, 700, SECOND).is_none());
+    account.release(reserved, SECOND);
+    assert!(account.reserve(&team, 700, SECOND).is_some());
 }
 
 #[test]
 fn a_busy_node_borrows_extra_tokens_for_expected_requests() {
     let (mut account, team) = (Account::default(), TeamName::from("desk"));
     for step in 0..100 {
-        account.note_demand(&team, 1_000, SECOND + SECOND * step / 10);
+        account.record_demand(&team, 1_000, SECOND + SECOND * step / 10);
     }
-    let ask = account.ask(&team, 1_000, SECOND * 11);
+    let ask = account.loan_request(&team, 1_000, SECOND * 11);
     assert!((2_000..4_000).contains(&ask.extra_tokens), "{ask:?}");
 }
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use nutmegsail_base::TeamName;
-use nutmegsail_quota::{Account, Ask, AskId, FirstFill, Lender, Lent, Quota, QuotaBounds, Quotas};
+use nutmegsail_quota::{
+    Account, InitialFill, Lender, LoanId, LoanReply, LoanRequest, Quota, QuotaBounds, Quotas,
+};
 use strategies::arbitrary_event;
 
 const DOMAINS: usize = 3;
@@ -59,23 +61,23 @@
 
 #[derive(Clone, Debug)]
 enum Message {
-    Ask {
+    LoanRequest {
         node: usize,
         asked: Duration,
-        ask: Ask,
+        ask: LoanRequest,
     },
-    Lent {
+    LoanReply {
         node: usize,
         asked: Duration,
-        lent: Lent,
+        lent: LoanReply,
     },
-    LenderAsk {
+    LenderLoanRequest {
         from: usize,
-        ask: Ask,
+        ask: LoanRequest,
     },
-    LenderLent {
+    LenderLoanReply {
         to: usize,
-        lent: Lent,
+        lent: LoanReply,
     },
 }
 
@@ -96,7 +98,7 @@
     /// How many times it has asked since the last reply.
     unanswered: usize,
     /// Requests without a reply. Duplicate replies are ignored, as in a real node.
-    open: HashSet<AskId>,
+    open: HashSet<LoanId>,
 }
 
 pub struct World {
@@ -145,14 +147,14 @@
             refused: 0,
         };
         world.lenders = (0..DOMAINS)
-            .map(|_| world.lender(FirstFill::Full))
+            .map(|_| world.lender(InitialFill::Full))
             .collect();
         world.nodes = (0..NODES).map(|_| Node::new()).collect();
         world
     }
 
-    fn lender(&mut self, fill: FirstFill) -> Lender {
-        let first = AskId((self.random() * 1e15) as u64);
+    fn lender(&mut self, fill: InitialFill) -> Lender {
+        let first = LoanId((self.random() * 1e15) as u64);
         let mut lender = Lender::new(self.bounds, fill, first);
         let quotas = Quotas::from([(self.team.clone(), self.quota)]);
         lender.set_quotas(&quotas, self.now);
@@ -169,7 +171,7 @@
 
     pub fn apply(&mut self, event: Event) {
         match event {
-            Event::RestartLender(domain) => self.lenders[domain] = self.lender(FirstFill::Empty),
+            Event::RestartLender(domain) => self.lenders[domain] = self.lender(InitialFill::Empty),
             Event::ToggleCutOff(domain) => self.is_cut_off[domain] = !self.is_cut_off[domain],
             Event::ToggleFreeze(node) => {
                 let node = &mut self.nodes[node];
@@ -215,7 +217,7 @@
         self.requested += 1;
         let until = self.now + Duration::from_millis(250);
         let account = &mut self.nodes[node].account;
-        account.note_demand(&self.team, REQUEST_TOKENS, self.now);
+        account.record_demand(&self.team, REQUEST_TOKENS, self.now);
         self.nodes[node].waiting.push_back(until);
         self.spend(node);
         if !self.nodes[node].waiting.is_empty() {
@@ -226,7 +228,7 @@
     fn ask(&mut self, node: usize) {
         let (team, now) = (self.team.clone(), self.now);
         let node_state = &mut self.nodes[node];
-        let ask = node_state.account.ask(&team, REQUEST_TOKENS, now);
+        let ask = node_state.account.loan_request(&team, REQUEST_TOKENS, now);
         node_state.open.insert(ask.id);
         node_state.asked_at = now;
         // Ask the own failure domain's lender first, then the next one if there was no reply.
@@ -235,7 +237,7 @@
         self.send(
             node % DOMAINS,
             lender_domain,
-            &Message::Ask { node, asked, ask },
+            &Message::LoanRequest { node, asked, ask },
         );
     }
 
@@ -249,7 +251,7 @@
             if now > until {
                 node_state.waiting.pop_front();
                 self.refused += 1;
-            } else if let Some(reserved) = node_state.account.take(&team, REQUEST_TOKENS, now) {
+            } else if let Some(reserved) = node_state.account.reserve(&team, REQUEST_TOKENS, now) {
                 assert!(reserved.is_valid(now));
                 node_state.waiting.pop_front();
                 self.spent.push((now, REQUEST_TOKENS));
@@ -293,33 +295,42 @@
 
     fn deliver(&mut self, domain: usize, message: Message) {
         match message {
-            Message::Ask { node, asked, ask } => {
-                let lent = self.lenders[domain].ask(&ask, self.now);
+            Message::LoanRequest { node, asked, ask } => {
+                let lent = self.lenders[domain].lend_to_node(&ask, self.now);
                 if lent.tokens == 0 {
-                    let asks = self.lenders[domain].borrow(&ask.team, DOMAINS - 1, self.now);
+                    let asks =
+                        self.lenders[domain].borrow_requests(&ask.team, DOMAINS - 1, self.now);
                     let others = (0..DOMAINS).filter(|other| *other != domain);
                     for (other, ask) in others.zip(asks) {
-                        self.send(domain, other, &Message::LenderAsk { from: domain, ask });
+                        self.send(
+                            domain,
+                            other,
+                            &Message::LenderLoanRequest { from: domain, ask },
+                        );
                     }
                 }
-                self.send(domain, node % DOMAINS, &Message::Lent { node, asked, lent });
+                self.send(
+                    domain,
+                    node % DOMAINS,
+                    &Message::LoanReply { node, asked, lent },
+                );
             }
-            Message::Lent { node, asked, lent } => {
+            Message::LoanReply { node, asked, lent } => {
                 if self.nodes[node].is_frozen || !self.nodes[node].open.remove(&lent.id) {
                     return;
                 }
                 self.nodes[node].unanswered = 0;
-                self.nodes[node].account.put(&lent, asked);
+                self.nodes[node].account.add_loan(&lent, asked);
                 self.spend(node);
                 if lent.tokens == 0 && !self.nodes[node].waiting.is_empty() {
                     self.ask(node);
                 }
             }
-            Message::LenderAsk { from, ask } => {
-                let lent = self.lenders[domain].lender_ask(&ask, self.now);
-                self.send(domain, from, &Message::LenderLent { to: from, lent });
+            Message::LenderLoanRequest { from, ask } => {
+                let lent = self.lenders[domain].lend_to_lender(&ask, self.now);
+                self.send(domain, from, &Message::LenderLoanReply { to: from, lent });
             }
-            Message::LenderLent { to, lent } => self.lenders[to].take_lent(&lent, self.now),
+            Message::LenderLoanReply { to, lent } => self.lenders[to].receive_loan(&lent, self.now),
         }
     }
 
--- a/crates/relay-node/src/control/change_log/tests.rs
+++ b/crates/relay-node/src/control/change_log/tests.rs
@@ -13,14 +13,14 @@
     Change::Put(Item {
         key: "key".into(),
         value: Bytes::from_static(b"value"),
-        revision: Revision::plain(revision),
+        revision: Revision::without_era(revision),
         lease: LeaseId::NONE,
     })
 }
 
 fn changes(revisions: std::ops::RangeInclusive<u64>) -> Changes {
     Changes {
-        revision: Revision::plain(*revisions.end()),
+        revision: Revision::without_era(*revisions.end()),
         changes: revisions.map(put).collect(),
     }
 }
@@ -31,7 +31,7 @@
 
 fn log() -> ChangeLog {
     let log = ChangeLog::default();
-    log.restart(Revision::plain(10), read_now());
+    log.restart(Revision::without_era(10), read_now());
     log.push(&changes(11..=20), read_now());
     log
 }
@@ -42,11 +42,11 @@
 #[case::none(20, 0)]
 fn a_reader_serves_the_changes_after_a_revision(#[case] after: u64, #[case] count: usize) {
     let read = log()
-        .after(Revision::plain(after), boot_time())
+        .after(Revision::without_era(after), boot_time())
         .expect("it is fresh");
     assert_eq!(
         (read.changes.len(), read.revision),
-        (count, Revision::plain(20))
+        (count, Revision::without_era(20))
     );
 }
 
@@ -56,13 +56,13 @@
 #[test]
 fn a_reader_never_skips_changes() {
     assert_eq!(
-        log().after(Revision::plain(9), boot_time()),
+        log().after(Revision::without_era(9), boot_time()),
         Err(ReaderError::Dropped)
     );
     let log = log();
     log.push(&changes(21..=21 + MAX_CHANGES as u64), read_now());
     assert_eq!(
-        log.after(Revision::plain(20), boot_time()),
+        log.after(Revision::without_era(20), boot_time()),
         Err(ReaderError::Dropped)
     );
 }
@@ -74,7 +74,7 @@
     let lost = log();
     lost.mark_lost();
     assert_eq!(
-        lost.after(Revision::plain(20), boot_time()),
+        lost.after(Revision::without_era(20), boot_time()),
         Err(ReaderError::Behind)
     );
 
@@ -84,9 +84,9 @@
         asked: long_ago,
         answered: long_ago,
     };
-    behind.restart(Revision::plain(10), read_at);
+    behind.restart(Revision::without_era(10), read_at);
     assert_eq!(
-        behind.after(Revision::plain(10), boot_time()),
+        behind.after(Revision::without_era(10), boot_time()),
         Err(ReaderError::Behind)
     );
 }
--- a/crates/relay-node/src/control/claims.rs
+++ b/crates/relay-node/src/control/claims.rs
@@ -9,7 +9,7 @@
 use nutmegsail_relay::{
     NodeRecord, OrderPermit, Ownership, Predecessor, Upstream, unowned_to_claim,
 };
-use nutmegsail_store::{Expect, KeyValueError, Put, Revision, Txn};
+use nutmegsail_store::{Condition, KeyValueError, Put, Revision, Txn};
 use nutmegsail_telemetry::{Event, log_event};
 
 use super::control_state::{ControlState, Owner};
@@ -144,7 +144,7 @@
     let mut txn = Txn::default();
     for claim in &claims {
         let key: Arc<str> = owner_key(claim.engine).into();
-        txn.expects.push(Expect {
+        txn.expects.push(Condition {
             key: Arc::clone(&key),
             revision: claim.before,
         });
@@ -210,7 +210,8 @@
     control.owners.borrow_mut().insert(engine.clone(), owner);
     log_event!(
         control.log, Event::EngineOwned,
-        "upstream" => engine.to_string(), "fence" => revision.fence(), "may_order" => may_order
+        "upstream" => engine.to_string(), "fence" => revision.fencing_token(),
+        "may_order" => may_order
     );
 }
 
--- a/crates/relay-node/src/control/confirmation.rs
+++ b/crates/relay-node/src/control/confirmation.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::UpstreamId;
-use nutmegsail_store::{Expect, KeyValueError, Revision, Txn};
+use nutmegsail_store::{Condition, KeyValueError, Revision, Txn};
 
 use super::control_state::ControlState;
 use super::engine::OwnedEngine;
@@ -80,7 +80,7 @@
 }
 
 async fn confirm_batch(control: &ControlState, owned: &[(UpstreamId, Revision)]) {
-    let expects = owned.iter().map(|(engine, revision)| Expect {
+    let expects = owned.iter().map(|(engine, revision)| Condition {
         key: owner_key(engine).into(),
         revision: *revision,
     });
--- a/crates/relay-node/src/control/eras.rs
+++ b/crates/relay-node/src/control/eras.rs
@@ -12,7 +12,7 @@
 
 use nutmegsail_base::{StoreEra, UpstreamId};
 use nutmegsail_relay::{EraRise, EraTold, EraWatch, OwnershipRules};
-use nutmegsail_store::{Expect, Item, LeaseId, Put, Revision, Txn};
+use nutmegsail_store::{Condition, Item, LeaseId, Put, Revision, Txn};
 use nutmegsail_telemetry::{Event, log_event};
 use serde::{Deserialize, Serialize};
 
@@ -215,7 +215,7 @@
         return;
     };
     let txn = Txn {
-        expects: vec![Expect {
+        expects: vec![Condition {
             key: SETTLED_ERA_KEY.into(),
             revision: control.eras.settled_revision.get(),
         }],
--- a/crates/relay-node/src/control/lending.rs
+++ b/crates/relay-node/src/control/lending.rs
@@ -10,9 +10,9 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::FailureDomain;
-use nutmegsail_quota::{AskId, FirstFill, Lender, QuotaMessage};
+use nutmegsail_quota::{InitialFill, Lender, LoanId, QuotaMessage};
 use nutmegsail_relay::{NodeRecord, OrderPermit, Ownership, OwnershipRules, Predecessor};
-use nutmegsail_store::{Expect, Put, Revision, Txn};
+use nutmegsail_store::{Condition, Put, Revision, Txn};
 use nutmegsail_telemetry::{Event, log_event};
 
 use super::control_state::{ControlState, Owner};
@@ -147,7 +147,7 @@
             .take_if(|at| *at <= boot_time())
             .is_some()
         {
-            own.lender = self.new_lender(FirstFill::Empty);
+            own.lender = self.new_lender(InitialFill::Empty);
             self.lending.version.set(0);
         }
         if self.lending.version.replace(table.version) != table.version {
@@ -160,7 +160,9 @@
     /// Updates the gauges of the remaining quotas.
     pub(crate) fn update_quota_gauges(&self) {
         let mut own = self.lending.own.borrow_mut();
-        let levels = own.as_mut().map(|own| own.lender.levels(boot_time()));
+        let levels = own
+            .as_mut()
+            .map(|own| own.lender.bucket_levels(boot_time()));
         for (team, tokens) in levels.into_iter().flatten() {
             self.shared.metrics.teams.left(&team, tokens);
         }
@@ -181,32 +183,32 @@
             return;
         };
         match message {
-            QuotaMessage::Ask(ask) => {
-                let lent = own.lender.ask(&ask, now);
+            QuotaMessage::LoanRequest(ask) => {
+                let lent = own.lender.lend_to_node(&ask, now);
                 let is_short = lent.tokens == 0;
-                send(QuotaMessage::Lent(lent), sender);
+                send(QuotaMessage::LoanReply(lent), sender);
                 if is_short {
                     let others = self.other_lenders();
-                    let asks = own.lender.borrow(&ask.team, others.len(), now);
+                    let asks = own.lender.borrow_requests(&ask.team, others.len(), now);
                     for (lender, ask) in others.into_iter().zip(asks) {
-                        send(QuotaMessage::LenderAsk(ask), lender);
+                        send(QuotaMessage::LenderLoanRequest(ask), lender);
                     }
                 }
             }
-            QuotaMessage::LenderAsk(ask) => {
-                let lent = own.lender.lender_ask(&ask, now);
+            QuotaMessage::LenderLoanRequest(ask) => {
+                let lent = own.lender.lend_to_lender(&ask, now);
                 if lent.tokens > 0 {
-                    send(QuotaMessage::LenderLent(lent), sender);
+                    send(QuotaMessage::LenderLoanReply(lent), sender);
                 }
             }
-            QuotaMessage::LenderLent(lent) => own.lender.take_lent(&lent, now),
-            QuotaMessage::Lent(_) => {}
+            QuotaMessage::LenderLoanReply(lent) => own.lender.receive_loan(&lent, now),
+            QuotaMessage::LoanReply(_) => {}
         }
     }
 
-    fn new_lender(&self, first_fill: FirstFill) -> Lender {
+    fn new_lender(&self, first_fill: InitialFill) -> Lender {
         let bounds = self.settings.quota_bounds();
-        Lender::new(bounds, first_fill, AskId(rand::random()))
+        Lender::new(bounds, first_fill, LoanId(rand::random()))
     }
 
     fn other_lenders(&self) -> Vec<SocketAddr> {
@@ -311,7 +313,7 @@
         waits: OwnerWait::for_successor(control, predecessor, RULES),
     };
     let txn = Txn {
-        expects: vec![Expect {
+        expects: vec![Condition {
             key: key.as_str().into(),
             revision: before,
         }],
@@ -339,7 +341,7 @@
     control: &ControlState,
     owner: Owner,
     predecessor: Predecessor,
-    first_fill: FirstFill,
+    first_fill: InitialFill,
     asked_at: Duration,
 ) {
     let (revision, now) = (owner.revision, boot_time());
@@ -370,17 +372,17 @@
 }
 
 /// Buckets start full only if no earlier lender can have filled them.
-fn first_fill(control: &ControlState, before: Revision) -> FirstFill {
+fn first_fill(control: &ControlState, before: Revision) -> InitialFill {
     let had_lender = control.lending.had_lender.get();
     match before == Revision::NONE && control.is_first_claim() && !had_lender {
-        true => FirstFill::Full,
-        false => FirstFill::Empty,
+        true => InitialFill::Full,
+        false => InitialFill::Empty,
     }
 }
 
 /// Which lender may still lend when the key at revision `before` is replaced.
-fn predecessor(control: &ControlState, before: Revision, first_fill: FirstFill) -> Predecessor {
-    if first_fill == FirstFill::Full {
+fn predecessor(control: &ControlState, before: Revision, first_fill: InitialFill) -> Predecessor {
+    if first_fill == InitialFill::Full {
         return Predecessor::None;
     }
     if before == Revision::NONE || !control.eras.is_settled() {
--- a/crates/relay-node/src/control/maintenance.rs
+++ b/crates/relay-node/src/control/maintenance.rs
@@ -76,7 +76,7 @@
 async fn renew(control: &ControlState) -> bool {
     let lease = control.lease.get();
     if lease != LeaseId::default() {
-        match control.store.keep_lease(lease).await {
+        match control.store.renew_lease(lease).await {
             Ok(()) => return true,
             Err(KeyValueError::LeaseGone) => {
                 control.check_era();
@@ -121,6 +121,6 @@
     control.owned.borrow_mut().clear();
     if lease != LeaseId::default() {
         // If this call is lost, the keys are removed when the lease expires.
-        let _ = control.store.end_lease(lease).await;
+        let _ = control.store.revoke_lease(lease).await;
     }
 }
--- a/crates/relay-node/src/control/orders.rs
+++ b/crates/relay-node/src/control/orders.rs
@@ -158,13 +158,13 @@
         }
         let permit = engine.ownership.borrow().permit(boot_time());
         match permit {
-            OrderPermit::Granted { claim } => return claim.fence(),
+            OrderPermit::Granted { claim } => return claim.fencing_token(),
             OrderPermit::Settling { .. } => return None,
             OrderPermit::Unconfirmed => {}
         }
         confirm(self).await;
         match engine.ownership.borrow().permit(boot_time()) {
-            OrderPermit::Granted { claim } => claim.fence(),
+            OrderPermit::Granted { claim } => claim.fencing_token(),
             OrderPermit::Unconfirmed | OrderPermit::Settling { .. } => None,
         }
     }
--- a/crates/relay-node/src/control/store_reader.rs
+++ b/crates/relay-node/src/control/store_reader.rs
@@ -129,7 +129,7 @@
 /// Parses the revision in a path.
 fn parse_revision(path: &str) -> Option<Revision> {
     let (era, number) = path.strip_prefix(CHANGES_PATH)?.split_once('/')?;
-    Some(Revision::of(
+    Some(Revision::in_era(
         StoreEra(era.parse().ok()?),
         number.parse().ok()?,
     ))
--- a/crates/relay-node/src/traffic/peer_socket.rs
+++ b/crates/relay-node/src/traffic/peer_socket.rs
@@ -35,7 +35,7 @@
             continue;
         };
         match parse_traffic_message(&buffer[..length]) {
-            Some(TrafficMessage::Quota(QuotaMessage::Lent(lent))) => {
+            Some(TrafficMessage::Quota(QuotaMessage::LoanReply(lent))) => {
                 gateway.quotas.receive_lent(lent);
             }
             Some(TrafficMessage::Slots(SlotMessage::Answer {
--- a/crates/relay-node/src/traffic/quota_client.rs
+++ b/crates/relay-node/src/traffic/quota_client.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::TeamName;
-use nutmegsail_quota::{Account, AskId, GRANT_LIFE, Lent, QuotaMessage, Reservation};
+use nutmegsail_quota::{Account, LOAN_TTL, LoanId, LoanReply, QuotaMessage, Reservation};
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
@@ -41,7 +41,7 @@
 pub(crate) struct QuotaClient {
     peer_socket: Rc<PeerSocket>,
     account: RefCell<Account>,
-    pending: RefCell<HashMap<AskId, PendingAsk>>,
+    pending: RefCell<HashMap<LoanId, PendingAsk>>,
     unresponsive: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
@@ -75,14 +75,14 @@
 
 struct PendingAsk {
     asked_at: Duration,
-    answered: oneshot::Sender<Lent>,
+    answered: oneshot::Sender<LoanReply>,
 }
 
 impl QuotaClient {
     pub(crate) fn new(peer_socket: Rc<PeerSocket>) -> Self {
         Self {
             peer_socket,
-            account: RefCell::new(Account::new(AskId(rand::random()))),
+            account: RefCell::new(Account::new(LoanId(rand::random()))),
             pending: RefCell::default(),
             unresponsive: RefCell::default(),
         }
@@ -99,7 +99,7 @@
         let began = Instant::now();
         self.account
             .borrow_mut()
-            .note_demand(team, tokens, boot_time());
+            .record_demand(team, tokens, boot_time());
         let lenders = self.by_responsiveness(lenders);
         let wait_limit = wait_limit.max(MIN_LENDER_WAIT);
         let (mut next_lender, mut stated_wait) = (0, None);
@@ -140,12 +140,12 @@
     /// Returns the tokens that a request did not spend.
     pub(crate) fn give_back(&self, reservation: Reservation) {
         let mut account = self.account.borrow_mut();
-        account.give_back(reservation, boot_time());
+        account.release(reservation, boot_time());
     }
 
     fn take(&self, team: &TeamName, tokens: u32) -> Option<Reservation> {
         let mut account = self.account.borrow_mut();
-        account.take(team, tokens, boot_time())
+        account.reserve(team, tokens, boot_time())
     }
 
     /// The lenders, those that did not answer lately last.
@@ -163,30 +163,33 @@
         tokens: u32,
         lender: SocketAddr,
         wait_limit: Duration,
-    ) -> Option<Lent> {
+    ) -> Option<LoanReply> {
         let asked_at = boot_time();
-        let ask = self.account.borrow_mut().ask(team, tokens, asked_at);
+        let ask = self
+            .account
+            .borrow_mut()
+            .loan_request(team, tokens, asked_at);
         let answer = self.register_ask(ask.id, asked_at);
-        let message = TrafficMessage::Quota(QuotaMessage::Ask(ask));
+        let message = TrafficMessage::Quota(QuotaMessage::LoanRequest(ask));
         self.peer_socket.send(message, lender);
         timeout(wait_limit, answer).await.ok()?.ok()
     }
 
-    fn register_ask(&self, ask: AskId, asked_at: Duration) -> oneshot::Receiver<Lent> {
+    fn register_ask(&self, ask: LoanId, asked_at: Duration) -> oneshot::Receiver<LoanReply> {
         let (answered, answer) = oneshot::channel();
         let mut pending = self.pending.borrow_mut();
-        pending.retain(|_, pending| asked_at.saturating_sub(pending.asked_at) < GRANT_LIFE);
+        pending.retain(|_, pending| asked_at.saturating_sub(pending.asked_at) < LOAN_TTL);
         pending.insert(ask, PendingAsk { asked_at, answered });
         answer
     }
 
     /// Processes a lender's answer. Tokens that arrive too late for their request are used for the
     /// next.
-    pub(super) fn receive_lent(&self, lent: Lent) {
+    pub(super) fn receive_lent(&self, lent: LoanReply) {
         let Some(pending) = self.pending.borrow_mut().remove(&lent.id) else {
             return;
         };
-        self.account.borrow_mut().put(&lent, pending.asked_at);
+        self.account.borrow_mut().add_loan(&lent, pending.asked_at);
         let _ = pending.answered.send(lent);
     }
 }
--- a/crates/relay/tests/promises.rs
+++ b/crates/relay/tests/promises.rs
@@ -30,7 +30,7 @@
 }
 
 fn claim(revision: u64) -> StoreNumber {
-    StoreNumber::of(StoreEra(1), revision)
+    StoreNumber::in_era(StoreEra(1), revision)
 }
 
 const RULES: OwnershipRules = OwnershipRules {
--- a/crates/relay/tests/restored_store.rs
+++ b/crates/relay/tests/restored_store.rs
@@ -55,7 +55,7 @@
     }
 
     fn number(&self, revision: u64) -> StoreNumber {
-        StoreNumber::of(StoreEra(self.era), revision)
+        StoreNumber::in_era(StoreEra(self.era), revision)
     }
 
     fn claim(&mut self, node: usize, waits_until: Duration) -> StoreNumber {
@@ -232,7 +232,7 @@
             for (index, node) in nodes.iter().enumerate() {
                 let permit = node.owned.map(|owned| owned.permit(now));
                 if let Some(OrderPermit::Granted { claim }) = permit {
-                    let fence = claim.fence().expect("it fits");
+                    let fence = claim.fencing_token().expect("it fits");
                     check(&orders, index, fence, now)?;
                     orders[index] = Some((now, fence));
                 }
--- a/crates/store/src/encoding.rs
+++ b/crates/store/src/encoding.rs
@@ -82,9 +82,9 @@
     /// Encodes the grant of a lease.
     fn grant_lease(&self, ttl: Duration) -> StoreRequest;
     /// Encodes the renewal of a lease.
-    fn keep_lease(&self, lease: LeaseId) -> StoreRequest;
+    fn renew_lease(&self, lease: LeaseId) -> StoreRequest;
     /// Encodes the revocation of a lease.
-    fn end_lease(&self, lease: LeaseId) -> StoreRequest;
+    fn revoke_lease(&self, lease: LeaseId) -> StoreRequest;
 
     /// Reads the service's era from an answer's headers, if they contain it.
     fn era(&self, headers: &HeaderMap) -> Option<StoreEra>;
@@ -94,35 +94,35 @@
     /// # Errors
     ///
     /// If the body cannot be decoded.
-    fn item(&self, body: &[u8]) -> Result<Item, EncodingError>;
+    fn decode_item(&self, body: &[u8]) -> Result<Item, EncodingError>;
     /// Decodes the answer to [`range`](Self::range).
     ///
     /// # Errors
     ///
     /// If the body cannot be decoded.
-    fn page(&self, body: &[u8]) -> Result<Page, EncodingError>;
+    fn decode_page(&self, body: &[u8]) -> Result<Page, EncodingError>;
     /// Decodes the answer to [`watch`](Self::watch).
     ///
     /// # Errors
     ///
     /// If the body cannot be decoded.
-    fn changes(&self, body: &[u8]) -> Result<Changes, EncodingError>;
+    fn decode_changes(&self, body: &[u8]) -> Result<Changes, EncodingError>;
     /// Decodes the answer to [`commit`](Self::commit).
     ///
     /// # Errors
     ///
     /// If the body cannot be decoded.
-    fn committed(&self, body: &[u8]) -> Result<Revision, EncodingError>;
+    fn decode_revision(&self, body: &[u8]) -> Result<Revision, EncodingError>;
     /// Decodes the answer to a transaction whose conditions did not hold: the current items.
     ///
     /// # Errors
     ///
     /// If the body cannot be decoded.
-    fn conflict(&self, body: &[u8]) -> Result<Vec<Item>, EncodingError>;
+    fn decode_conflict(&self, body: &[u8]) -> Result<Vec<Item>, EncodingError>;
     /// Decodes the answer to [`grant_lease`](Self::grant_lease).
     ///
     /// # Errors
     ///
     /// If the body cannot be decoded.
-    fn granted(&self, body: &[u8]) -> Result<LeaseGrant, EncodingError>;
+    fn decode_lease(&self, body: &[u8]) -> Result<LeaseGrant, EncodingError>;
 }
--- a/crates/store/src/http_key_value.rs
+++ b/crates/store/src/http_key_value.rs
@@ -131,7 +131,7 @@
     }
 
     fn conflict(&self, effect: Effect, tagged: &TaggedAnswer) -> KeyValueError {
-        match self.encoding.conflict(&tagged.answer.body) {
+        match self.encoding.decode_conflict(&tagged.answer.body) {
             Ok(current) => KeyValueError::Conflict {
                 current: current.into_iter().map(|item| tagged.item(item)).collect(),
             },
@@ -170,13 +170,13 @@
 
 impl TaggedAnswer {
     fn revision(&self, raw: Revision) -> Revision {
-        Revision::of(self.era, raw.number())
+        Revision::in_era(self.era, raw.number())
     }
 
     fn item(&self, raw: Item) -> Item {
         Item {
             revision: self.revision(raw.revision),
-            lease: LeaseId::of(self.era, raw.lease.number()),
+            lease: LeaseId::in_era(self.era, raw.lease.number()),
             ..raw
         }
     }
@@ -217,13 +217,13 @@
         if tagged.answer.status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        let item = self.encoding.item(&tagged.answer.body)?;
+        let item = self.encoding.decode_item(&tagged.answer.body)?;
         Ok(Some(tagged.item(item)))
     }
 
     async fn range(&self, prefix: &str, after: Option<&str>) -> Result<Page, KeyValueError> {
         let tagged = require_found(self.read(self.encoding.range(prefix, after)).await?)?;
-        let page = self.encoding.page(&tagged.answer.body)?;
+        let page = self.encoding.decode_page(&tagged.answer.body)?;
         Ok(Page {
             items: page
                 .items
@@ -252,7 +252,7 @@
             // The service took the position for a revision of its current era.
             return Err(KeyValueError::Compacted);
         }
-        let changes = self.encoding.changes(&tagged.answer.body)?;
+        let changes = self.encoding.decode_changes(&tagged.answer.body)?;
         Ok(Changes {
             revision: tagged.revision(changes.revision),
             changes: changes
@@ -276,26 +276,26 @@
                 },
             });
         }
-        let committed = self.encoding.committed(&tagged.answer.body);
+        let committed = self.encoding.decode_revision(&tagged.answer.body);
         let committed = committed.map(|revision| tagged.revision(revision));
         committed.map_err(|error| Effect::Write.decode_error(error))
     }
 
     async fn grant_lease(&self, ttl: Duration) -> Result<LeaseGrant, KeyValueError> {
         let tagged = self.write(self.encoding.grant_lease(ttl)).await?;
-        let granted = self.encoding.granted(&tagged.answer.body);
+        let granted = self.encoding.decode_lease(&tagged.answer.body);
         let granted = granted.map(|granted| LeaseGrant {
-            lease: LeaseId::of(tagged.era, granted.lease.number()),
+            lease: LeaseId::in_era(tagged.era, granted.lease.number()),
             ..granted
         });
         granted.map_err(|error| Effect::Write.decode_error(error))
     }
 
-    async fn keep_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
+    async fn renew_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
         if self.is_from_other_era(lease) {
             return Err(KeyValueError::LeaseGone);
         }
-        let tagged = require_lease(self.write(self.encoding.keep_lease(lease)).await?)?;
+        let tagged = require_lease(self.write(self.encoding.renew_lease(lease)).await?)?;
         match lease.is_from_other_era(tagged.era) {
             // The service renewed another lease that has the same number now.
             true => Err(KeyValueError::LeaseGone),
@@ -303,13 +303,13 @@
         }
     }
 
-    async fn end_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
+    async fn revoke_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
         if self.is_from_other_era(lease) {
             // The lease was lost in a restore, and another one may have its number now.
             return Ok(());
         }
         // An answer with status 404 means that the lease has ended already: also a success.
-        self.write(self.encoding.end_lease(lease)).await?;
+        self.write(self.encoding.revoke_lease(lease)).await?;
         Ok(())
     }
 }
--- a/crates/store/src/key_value.rs
+++ b/crates/store/src/key_value.rs
@@ -19,8 +19,8 @@
 /// ```
 /// use nutmegsail_base::StoreEra;
 /// use nutmegsail_store::Revision;
-/// let before = Revision::of(StoreEra(1), 900);
-/// let after = Revision::of(StoreEra(2), 850);
+/// let before = Revision::in_era(StoreEra(1), 900);
+/// let after = Revision::in_era(StoreEra(2), 850);
 /// assert!(before < after);
 /// ```
 #[derive(
@@ -46,13 +46,13 @@
     pub const NONE: Self = Self(StoreNumber::NONE);
 
     /// The revision with the service's number `number` in `era`.
-    pub const fn of(era: StoreEra, number: u64) -> Self {
-        Self(StoreNumber::of(era, number))
+    pub const fn in_era(era: StoreEra, number: u64) -> Self {
+        Self(StoreNumber::in_era(era, number))
     }
 
     /// The revision `number` of a service that reports no era.
-    pub const fn plain(number: u64) -> Self {
-        Self(StoreNumber::plain(number))
+    pub const fn without_era(number: u64) -> Self {
+        Self(StoreNumber::without_era(number))
     }
 }
 
@@ -67,13 +67,13 @@
     pub const NONE: Self = Self(StoreNumber::NONE);
 
     /// The lease with the service's number `number` in `era`.
-    pub const fn of(era: StoreEra, number: u64) -> Self {
-        Self(StoreNumber::of(era, number))
+    pub const fn in_era(era: StoreEra, number: u64) -> Self {
+        Self(StoreNumber::in_era(era, number))
     }
 
     /// The lease `number` of a service that reports no era.
-    pub const fn plain(number: u64) -> Self {
-        Self(StoreNumber::plain(number))
+    pub const fn without_era(number: u64) -> Self {
+        Self(StoreNumber::without_era(number))
     }
 }
 
@@ -145,7 +145,7 @@
 /// A condition of a transaction: the key has this revision, or does not exist if it is
 /// [`Revision::NONE`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Expect {
+pub struct Condition {
     /// The key.
     pub key: Arc<str>,
     /// The revision it must have.
@@ -167,7 +167,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
     /// Conditions that must all hold.
-    pub expects: Vec<Expect>,
+    pub expects: Vec<Condition>,
     /// Keys to write.
     pub puts: Vec<Put>,
     /// Keys to remove.
@@ -179,10 +179,14 @@
     ///
     /// ```
     /// use nutmegsail_store::{Revision, Txn};
-    /// let txn = Txn::swap("nutmegsail/text/head", Revision::NONE, "{}");
+    /// let txn = Txn::compare_and_swap("nutmegsail/text/head", Revision::NONE, "{}");
     /// assert_eq!(txn.expects[0].revision, Revision::NONE);
     /// ```
-    pub fn swap(key: impl Into<Arc<str>>, revision: Revision, value: impl Into<Bytes>) -> Self {
+    pub fn compare_and_swap(
+        key: impl Into<Arc<str>>,
+        revision: Revision,
+        value: impl Into<Bytes>,
+    ) -> Self {
         let key = key.into();
         let put = Put {
             key: Arc::clone(&key),
@@ -190,7 +194,7 @@
             lease: LeaseId::default(),
         };
         Self {
-            expects: vec![Expect { key, revision }],
+            expects: vec![Condition { key, revision }],
             puts: vec![put],
             removes: Vec::new(),
         }
@@ -280,7 +284,7 @@
     /// Grants a lease.
     async fn grant_lease(&self, ttl: Duration) -> Result<LeaseGrant, KeyValueError>;
     /// Renews a lease.
-    async fn keep_lease(&self, lease: LeaseId) -> Result<(), KeyValueError>;
+    async fn renew_lease(&self, lease: LeaseId) -> Result<(), KeyValueError>;
     /// Ends a lease, which removes the keys bound to it.
-    async fn end_lease(&self, lease: LeaseId) -> Result<(), KeyValueError>;
+    async fn revoke_lease(&self, lease: LeaseId) -> Result<(), KeyValueError>;
 }
--- a/crates/store/src/key_value_json.rs
+++ b/crates/store/src/key_value_json.rs
@@ -21,8 +21,8 @@
         Self {
             key: json.key,
             value: Bytes::from(json.value),
-            revision: Revision::plain(json.revision),
-            lease: LeaseId::plain(json.lease),
+            revision: Revision::without_era(json.revision),
+            lease: LeaseId::without_era(json.lease),
         }
     }
 }
@@ -39,7 +39,7 @@
         Self {
             items: json.items.into_iter().map(Item::from).collect(),
             has_more: json.has_more,
-            revision: Revision::plain(json.revision),
+            revision: Revision::without_era(json.revision),
         }
     }
 }
@@ -57,7 +57,7 @@
             ChangeJson::Put(item) => Self::Put(item.into()),
             ChangeJson::Removed { key, revision } => Self::Removed {
                 key,
-                revision: Revision::plain(revision),
+                revision: Revision::without_era(revision),
             },
         }
     }
@@ -73,7 +73,7 @@
     fn from(json: ChangesJson) -> Self {
         Self {
             changes: json.changes.into_iter().map(Change::from).collect(),
-            revision: Revision::plain(json.revision),
+            revision: Revision::without_era(json.revision),
         }
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -19,9 +19,9 @@
 pub use http_vm_list::HttpVmList;
 
 pub use key_value::{
-    Change, Changes, Expect, Item, KeyValue, KeyValueError, LeaseGrant, LeaseId, Page, Put,
+    Change, Changes, Condition, Item, KeyValue, KeyValueError, LeaseGrant, LeaseId, Page, Put,
     Revision, Txn,
 };
 pub use own_encoding::OwnEncoding;
 pub use platform_settings::PlatformSettings;
-pub use vm_list::{Vm, VmDuty, VmList, VmListError, VmState};
+pub use vm_list::{Vm, VmList, VmListError, VmRole, VmState};
--- a/crates/store/src/own_encoding.rs
+++ b/crates/store/src/own_encoding.rs
@@ -61,43 +61,43 @@
         StoreRequest::new(Method::POST, "/v1/kv/lease").with_body(body)
     }
 
-    fn keep_lease(&self, lease: LeaseId) -> StoreRequest {
+    fn renew_lease(&self, lease: LeaseId) -> StoreRequest {
         StoreRequest::new(
             Method::POST,
             format!("/v1/kv/lease/{}/keep", lease.number()),
         )
     }
 
-    fn end_lease(&self, lease: LeaseId) -> StoreRequest {
+    fn revoke_lease(&self, lease: LeaseId) -> StoreRequest {
         StoreRequest::new(Method::DELETE, format!("/v1/kv/lease/{}", lease.number()))
     }
 
-    fn item(&self, body: &[u8]) -> Result<Item, EncodingError> {
+    fn decode_item(&self, body: &[u8]) -> Result<Item, EncodingError> {
         Ok(serde_json::from_slice::<ItemJson>(body)?.into())
     }
 
-    fn page(&self, body: &[u8]) -> Result<Page, EncodingError> {
+    fn decode_page(&self, body: &[u8]) -> Result<Page, EncodingError> {
         Ok(serde_json::from_slice::<PageJson>(body)?.into())
     }
 
-    fn changes(&self, body: &[u8]) -> Result<Changes, EncodingError> {
+    fn decode_changes(&self, body: &[u8]) -> Result<Changes, EncodingError> {
         Ok(serde_json::from_slice::<ChangesJson>(body)?.into())
     }
 
-    fn committed(&self, body: &[u8]) -> Result<Revision, EncodingError> {
+    fn decode_revision(&self, body: &[u8]) -> Result<Revision, EncodingError> {
         let committed: CommittedJson = serde_json::from_slice(body)?;
-        Ok(Revision::plain(committed.revision))
+        Ok(Revision::without_era(committed.revision))
     }
 
-    fn conflict(&self, body: &[u8]) -> Result<Vec<Item>, EncodingError> {
+    fn decode_conflict(&self, body: &[u8]) -> Result<Vec<Item>, EncodingError> {
         let json: ConflictJson = serde_json::from_slice(body)?;
         Ok(json.current.into_iter().map(Item::from).collect())
     }
 
-    fn granted(&self, body: &[u8]) -> Result<LeaseGrant, EncodingError> {
+    fn decode_lease(&self, body: &[u8]) -> Result<LeaseGrant, EncodingError> {
         let granted: GrantedJson = serde_json::from_slice(body)?;
         Ok(LeaseGrant {
-            lease: LeaseId::plain(granted.lease),
+            lease: LeaseId::without_era(granted.lease),
             ttl: Duration::from_millis(granted.ttl_ms),
         })
     }
--- a/crates/store/src/vm_list.rs
+++ b/crates/store/src/vm_list.rs
@@ -8,7 +8,7 @@
 /// What a VM runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum VmDuty {
+pub enum VmRole {
     /// A node of nutmegsail.
     Entry,
     /// An upstream.
@@ -35,7 +35,7 @@
     /// The failure domain it is in.
     pub failure_domain: FailureDomain,
     /// What it runs.
-    pub duty: VmDuty,
+    pub duty: VmRole,
     /// Whether it is running or leaving.
     pub state: VmState,
 }
--- a/crates/store/tests/against_stand_ins.rs
+++ b/crates/store/tests/against_stand_ins.rs
@@ -21,7 +21,7 @@
     let (_fake, _server, store) = store().await;
     let key = "nutmegsail/a b&c";
     let first = store
-        .commit(Txn::swap(key, Revision::NONE, "é"))
+        .commit(Txn::compare_and_swap(key, Revision::NONE, "é"))
         .await
         .unwrap();
     assert_eq!(store.get(key).await.unwrap().unwrap().value, "é");
@@ -34,7 +34,9 @@
         .await
         .unwrap();
     assert_eq!(seen.changes.len(), 1);
-    let stale = store.commit(Txn::swap(key, Revision::NONE, "x")).await;
+    let stale = store
+        .commit(Txn::compare_and_swap(key, Revision::NONE, "x"))
+        .await;
     let Err(KeyValueError::Conflict { current }) = stale else {
         panic!("{stale:?}");
     };
@@ -45,10 +47,10 @@
 async fn a_lease_lives_until_it_is_ended() {
     let (_fake, _server, store) = store().await;
     let grant = store.grant_lease(Duration::from_secs(60)).await.unwrap();
-    store.keep_lease(grant.lease).await.unwrap();
-    store.end_lease(grant.lease).await.unwrap();
+    store.renew_lease(grant.lease).await.unwrap();
+    store.revoke_lease(grant.lease).await.unwrap();
     assert_eq!(
-        store.keep_lease(grant.lease).await,
+        store.renew_lease(grant.lease).await,
         Err(KeyValueError::LeaseGone)
     );
     assert_ne!(grant.lease, LeaseId::default());
@@ -63,7 +65,9 @@
         lost_answer_share: 1.0,
         ..Knobs::default()
     });
-    let lost = store.commit(Txn::swap("k", Revision::NONE, "v")).await;
+    let lost = store
+        .commit(Txn::compare_and_swap("k", Revision::NONE, "v"))
+        .await;
     assert_eq!(lost, Err(KeyValueError::Ambiguous));
     assert_eq!(store.get("k").await.unwrap().unwrap().value, "v");
     assert_eq!(fake.counts().txns, 1);
@@ -76,7 +80,9 @@
         outage: true,
         ..Knobs::default()
     });
-    let refused = store.commit(Txn::swap("k", Revision::NONE, "v")).await;
+    let refused = store
+        .commit(Txn::compare_and_swap("k", Revision::NONE, "v"))
+        .await;
     assert_eq!(refused, Err(KeyValueError::Unavailable));
     fake.set_knobs(Knobs::default());
     assert_eq!(store.get("k").await, Ok(None));
--- a/crates/store/tests/http_key_value.rs
+++ b/crates/store/tests/http_key_value.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use nutmegsail_store::{
-    Change, Expect, HttpKeyValue, HttpVmList, KeyValue, KeyValueError, LeaseId, PlatformSettings,
-    Put, Revision, Txn, VmDuty, VmList, VmListError, VmState,
+    Change, Condition, HttpKeyValue, HttpVmList, KeyValue, KeyValueError, LeaseId,
+    PlatformSettings, Put, Revision, Txn, VmList, VmListError, VmRole, VmState,
 };
 use rstest::rstest;
 use scripted_server::{ScriptedServer, Turn, answer};
@@ -25,7 +25,7 @@
 }
 
 fn claim() -> Txn {
-    Txn::swap("nutmegsail/claim/1", Revision::NONE, r#"{"node":"n1"}"#)
+    Txn::compare_and_swap("nutmegsail/claim/1", Revision::NONE, r#"{"node":"n1"}"#)
 }
 
 async fn commit(turn: Turn) -> Result<Revision, KeyValueError> {
@@ -127,7 +127,7 @@
     let Err(KeyValueError::Conflict { current }) = result else {
         panic!("{result:?}");
     };
-    assert_eq!(current[0].revision, Revision::plain(7));
+    assert_eq!(current[0].revision, Revision::without_era(7));
     assert_eq!(current[0].value, "v");
 }
 
@@ -152,34 +152,37 @@
     let got = store.get("a/b&c=d%").await.unwrap().unwrap();
     assert_eq!(
         (got.revision, got.lease),
-        (Revision::plain(3), LeaseId::plain(9))
+        (Revision::without_era(3), LeaseId::without_era(9))
     );
     let page = store.range("a/", Some("a/a")).await.unwrap();
     assert!(page.has_more);
     let wait = Duration::from_millis(250);
-    let seen = store.watch("a/", Revision::plain(4), wait).await.unwrap();
+    let seen = store
+        .watch("a/", Revision::without_era(4), wait)
+        .await
+        .unwrap();
     assert!(matches!(&seen.changes[1], Change::Removed { .. }));
-    assert_eq!(seen.changes[1].revision(), Revision::plain(5));
+    assert_eq!(seen.changes[1].revision(), Revision::without_era(5));
     let txn = Txn {
-        expects: vec![Expect {
+        expects: vec![Condition {
             key: "a/b".into(),
-            revision: Revision::plain(3),
+            revision: Revision::without_era(3),
         }],
         puts: vec![Put {
             key: "a/b".into(),
             value: r#"{"x":1}"#.into(),
-            lease: LeaseId::plain(9),
+            lease: LeaseId::without_era(9),
         }],
         removes: vec!["a/c".into()],
     };
-    assert_eq!(store.commit(txn).await, Ok(Revision::plain(6)));
+    assert_eq!(store.commit(txn).await, Ok(Revision::without_era(6)));
     let grant = store
         .grant_lease(Duration::from_millis(1500))
         .await
         .unwrap();
     assert_eq!(grant.ttl, Duration::from_millis(1500));
-    store.keep_lease(grant.lease).await.unwrap();
-    store.end_lease(grant.lease).await.unwrap();
+    store.renew_lease(grant.lease).await.unwrap();
+    store.revoke_lease(grant.lease).await.unwrap();
 
     let calls: Vec<String> = server
         .seen()
@@ -214,7 +217,7 @@
     let list = vms.list().await.unwrap();
     assert_eq!(
         (list[0].duty, list[0].state),
-        (VmDuty::Entry, VmState::Leaving)
+        (VmRole::Entry, VmState::Leaving)
     );
     assert!(matches!(vms.list().await, Err(VmListError::Malformed(_))));
     assert_eq!(vms.list().await, Err(VmListError::Unavailable));
--- a/crates/store/tests/store_eras.rs
+++ b/crates/store/tests/store_eras.rs
@@ -9,7 +9,7 @@
 
 use nutmegsail_base::StoreEra;
 use nutmegsail_store::{
-    Expect, HttpKeyValue, KeyValue, KeyValueError, LeaseId, PlatformSettings, Put, Revision, Txn,
+    Condition, HttpKeyValue, KeyValue, KeyValueError, LeaseId, PlatformSettings, Put, Revision, Txn,
 };
 use rstest::rstest;
 use scripted_server::{ScriptedServer, Turn, answer};
@@ -28,13 +28,13 @@
     let server = ScriptedServer::start(turns).await;
     let store = HttpKeyValue::new(PlatformSettings::at(&server.address));
     let item = store.get("k").await.unwrap().unwrap();
-    assert_eq!(item.revision, Revision::of(StoreEra(1), 7));
+    assert_eq!(item.revision, Revision::in_era(StoreEra(1), 7));
     (store, server)
 }
 
 fn swap(expected: Revision, lease: LeaseId) -> Txn {
     Txn {
-        expects: vec![Expect {
+        expects: vec![Condition {
             key: "k".into(),
             revision: expected,
         }],
@@ -48,11 +48,11 @@
 }
 
 fn revision(number: u64) -> Revision {
-    Revision::of(StoreEra(1), number)
+    Revision::in_era(StoreEra(1), number)
 }
 
 fn lease(number: u64) -> LeaseId {
-    LeaseId::of(StoreEra(1), number)
+    LeaseId::in_era(StoreEra(1), number)
 }
 
 // Guards against taking a revision for an older one because its number was set back by a restore.
@@ -87,9 +87,9 @@
 #[tokio::test]
 async fn a_lease_ends_with_its_era() {
     let (store, server) = store([in_era(2, 200, "")]).await;
-    let kept = store.keep_lease(lease(4)).await;
+    let kept = store.renew_lease(lease(4)).await;
     assert_eq!(kept, Err(KeyValueError::LeaseGone));
-    assert_eq!(store.end_lease(lease(4)).await, Ok(()));
+    assert_eq!(store.revoke_lease(lease(4)).await, Ok(()));
     let put = store.commit(swap(Revision::NONE, lease(4))).await;
     assert_eq!(put, Err(KeyValueError::LeaseGone));
     assert_eq!(server.seen().len(), 2);
@@ -145,9 +145,12 @@
     let server = ScriptedServer::start(turns).await;
     let store = HttpKeyValue::new(PlatformSettings::at(&server.address));
     let item = store.get("k").await.unwrap().unwrap();
-    assert_eq!((item.revision, store.era()), (Revision::plain(7), None));
+    assert_eq!(
+        (item.revision, store.era()),
+        (Revision::without_era(7), None)
+    );
     let swapped = store.commit(swap(item.revision, LeaseId::NONE)).await;
-    assert_eq!(swapped, Ok(Revision::plain(9)));
+    assert_eq!(swapped, Ok(Revision::without_era(9)));
 }
 
 /// Numbers that a store may assign: too large for truncation to fewer bits, and for a float to
@@ -172,8 +175,8 @@
     let server = ScriptedServer::start(turns).await;
     let store = HttpKeyValue::new(PlatformSettings::at(&server.address));
     let granted = store.grant_lease(Duration::from_secs(4)).await.unwrap();
-    assert_eq!(store.keep_lease(granted.lease).await, Ok(()));
-    assert_eq!(store.end_lease(granted.lease).await, Ok(()));
+    assert_eq!(store.renew_lease(granted.lease).await, Ok(()));
+    assert_eq!(store.revoke_lease(granted.lease).await, Ok(()));
     let txn = swap(Revision::default(), granted.lease);
     assert!(store.commit(txn).await.is_ok());
     let seen = server.seen();
--- a/crates/telemetry/src/counted_store.rs
+++ b/crates/telemetry/src/counted_store.rs
@@ -75,11 +75,11 @@
         self.count(StoreCall::Lease, self.inner.grant_lease(ttl).await)
     }
 
-    async fn keep_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
-        self.count(StoreCall::Lease, self.inner.keep_lease(lease).await)
+    async fn renew_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
+        self.count(StoreCall::Lease, self.inner.renew_lease(lease).await)
     }
 
-    async fn end_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
-        self.count(StoreCall::Lease, self.inner.end_lease(lease).await)
+    async fn revoke_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
+        self.count(StoreCall::Lease, self.inner.revoke_lease(lease).await)
     }
 }
