--- a/crates/measure/src/crash_sim/ways.rs
+++ b/crates/measure/src/crash_sim/ways.rs
@@ -5,7 +5,8 @@
 
 use nutmegsail_base::UpstreamId;
 use nutmegsail_relay::{
-    Audience, BrokenRequest, NodeRecord, RequestDigest, SuspectTold, Suspects, Suspicion, homes_of,
+    BrokenRequest, NodeRecord, Recipients, RequestDigest, SuspectUpdate, Suspects, Suspicion,
+    collectors_of,
 };
 use rand::RngExt as _;
 use rand_chacha::ChaCha8Rng;
@@ -83,7 +84,7 @@
 
     /// Whether the end of its upstream is held against a request.
     pub(crate) fn is_blamed(&self, broken: BrokenRequest) -> bool {
-        self.way == CrashWay::BlameAll || broken.is_beginning()
+        self.way == CrashWay::BlameAll || broken.is_starting()
     }
 
     pub(crate) fn strike(
@@ -122,7 +123,7 @@
             if !is_standing {
                 continue;
             }
-            let standing = self.nodes[node].standing(TOLD_AT_ONCE, now);
+            let standing = self.nodes[node].repeated_updates(TOLD_AT_ONCE, now);
             for _ in 0..STANDING_NODES {
                 let to = random.random_range(0..self.nodes.len());
                 if !standing.is_empty() && to != node {
@@ -142,14 +143,14 @@
     }
 
     /// What a node tells now, by who hears it.
-    fn by_listener(&mut self, from: usize, now: Instant) -> BTreeMap<usize, Vec<SuspectTold>> {
-        let mut heard: BTreeMap<usize, Vec<SuspectTold>> = BTreeMap::new();
-        for (audience, told) in self.nodes[from].news(now) {
-            let is_for_all = audience == Audience::All || self.way == CrashWay::TellAll;
+    fn by_listener(&mut self, from: usize, now: Instant) -> BTreeMap<usize, Vec<SuspectUpdate>> {
+        let mut heard: BTreeMap<usize, Vec<SuspectUpdate>> = BTreeMap::new();
+        for (audience, told) in self.nodes[from].due_updates(now) {
+            let is_for_all = audience == Recipients::All || self.way == CrashWay::TellAll;
             let listeners: Vec<usize> = match is_for_all {
                 true => (0..self.nodes.len()).collect(),
                 false => {
-                    let homes = homes_of(told.digest(), &self.records).into_iter();
+                    let homes = collectors_of(told.digest(), &self.records).into_iter();
                     homes.map(|home| usize::from(home.address.port())).collect()
                 }
             };
@@ -160,7 +161,7 @@
         heard
     }
 
-    fn take(&mut self, from: usize, to: usize, told: &[SuspectTold], now: Instant) {
+    fn take(&mut self, from: usize, to: usize, told: &[SuspectUpdate], now: Instant) {
         for told in told {
             self.nodes[to].take(&self.records[from].node, told, now);
         }
@@ -171,7 +172,7 @@
 pub(crate) fn broken(digest: RequestDigest, began: Option<Instant>, now: Instant) -> BrokenRequest {
     BrokenRequest {
         digest,
-        began_ago: began
+        since_first_event: began
             .filter(|began| *began <= now)
             .map(|began| now.saturating_duration_since(began).max(Duration::ZERO)),
     }
--- a/crates/measure/src/limit_sim/ways.rs
+++ b/crates/measure/src/limit_sim/ways.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use nutmegsail_relay::{RateBucket, SlotAnswer, SlotAsk, SlotGate};
+use nutmegsail_relay::{RateBucket, SlotAnswer, SlotGate, SlotRequest};
 
 /// How long a request may wait for its turn and be in time.
 const IN_TIME_MS: u32 = 600;
@@ -79,11 +79,11 @@
                 self.shares[node] = None;
                 self.asks += 1;
                 self.messages += 2;
-                let ask = SlotAsk {
-                    in_time_ms: IN_TIME_MS,
-                    patience_ms: IN_TIME_MS,
+                let ask = SlotRequest {
+                    due_in_ms: IN_TIME_MS,
+                    wait_limit_ms: IN_TIME_MS,
                     may_queue: false,
-                    rank: 0,
+                    priority: 0,
                 };
                 self.gate.ask(self.asks, ask, now) == SlotAnswer::Granted
             }
@@ -118,5 +118,6 @@
     }
 }
 
-/// How long after it was named each node knows of a limit: its own answers tell, or the handing node.
+/// How long after it was named each node knows of a limit: its own answers tell, or the handing
+/// node.
 pub(crate) const LEARNED_AFTER: Duration = Duration::from_millis(150);
--- a/crates/measure/src/model_sim/fleet.rs
+++ b/crates/measure/src/model_sim/fleet.rs
@@ -4,7 +4,7 @@
 
 use nutmegsail_base::{FailureDomain, UpstreamId};
 use nutmegsail_relay::{
-    AtHand, EngineSpec, HostedModel, ModelChange, ModelHost, ModelPlan, ModelSpec,
+    EngineSpec, HostedModel, LocalWeights, ModelChange, ModelHost, ModelPlan, ModelSpec,
 };
 
 /// The failure domains that engines are spread over.
@@ -30,7 +30,7 @@
 pub(crate) struct Fleet {
     pub(crate) engines: Vec<Engine>,
     spec: EngineSpec,
-    at_hand: AtHand,
+    local_weights: LocalWeights,
 }
 
 impl Fleet {
@@ -52,7 +52,7 @@
                     .collect(),
                 ..EngineSpec::default()
             },
-            at_hand: AtHand {
+            local_weights: LocalWeights {
                 in_memory: Vec::new(),
                 on_disk: (0..models).map(|model| Arc::from(name(model))).collect(),
             },
@@ -86,7 +86,7 @@
             is_changing: engine.changing_until.is_some(),
             uses_store: false,
             busy_share: 0.0,
-            at_hand: &self.at_hand,
+            local_weights: &self.local_weights,
         }
     }
 
--- a/crates/relay-node/src/control/base_models.rs
+++ b/crates/relay-node/src/control/base_models.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_relay::{
-    CopySource, EngineSpec, Holdings, HostedModel, LoadKind, ModelChange, ModelHost, ModelPlan,
+    CopySource, EngineSpec, Holdings, HostedModel, LoadSource, ModelChange, ModelHost, ModelPlan,
     ModelRef, Service, Upstream,
 };
 use nutmegsail_telemetry::{Event, log_event};
@@ -110,7 +110,7 @@
         is_changing: false,
         uses_store: false,
         busy_share: 0.0,
-        at_hand: &engine.at_hand,
+        local_weights: &engine.local_weights,
     };
     let busy_share = |in_flight: u32| f64::from(in_flight) / f64::from(engine.slots.max(1));
     if let Some(owned) = control.owned(&engine.id) {
@@ -238,11 +238,11 @@
     let answer = control.order(engine, &upstream, step, fence).await;
     match answer {
         Some(OrderAnswer::Accepted) => {
-            let is_from_store = upstream.at_hand.source_of(&change.load) == CopySource::Store;
+            let is_from_store = upstream.local_weights.source_of(&change.load) == CopySource::Store;
             if is_from_store {
                 engine.record_weight_store_use();
             }
-            engine.record_load(wanted, None, LoadKind::of(!is_from_store), 1.0);
+            engine.record_load(wanted, None, LoadSource::of(!is_from_store), 1.0);
             Ok(())
         }
         Some(OrderAnswer::Done) => {
--- a/crates/relay-node/src/control/claims.rs
+++ b/crates/relay-node/src/control/claims.rs
@@ -182,16 +182,16 @@
     } = claim;
     let rules = control.ownership_rules();
     let now = boot_time();
-    let taken = Ownership::taken(*revision, predecessor, rules, asked_at, now);
+    let taken = Ownership::claimed(*revision, predecessor, rules, asked_at, now);
     let previous = control.eras.lost_claims.borrow_mut().remove(engine);
     let owned = match previous {
         Some(owned) => {
             let ownership = *owned.ownership.borrow();
-            let retaken = match predecessor {
-                Predecessor::Another => ownership.retaken(*revision, rules, asked_at, now),
+            let reclaimed = match predecessor {
+                Predecessor::Another => ownership.reclaimed(*revision, rules, asked_at, now),
                 _ => taken,
             };
-            owned.ownership.replace(retaken);
+            owned.ownership.replace(reclaimed);
             owned.is_key_seen.set(false);
             owned
         }
--- a/crates/relay-node/src/control/control_state.rs
+++ b/crates/relay-node/src/control/control_state.rs
@@ -10,8 +10,8 @@
 use nutmegsail_base::{NodeId, ServiceName, UpstreamId};
 use nutmegsail_http_pool::{Pool, PoolSettings};
 use nutmegsail_relay::{
-    Demand, DomainAge, DomainsHeard, LoadTimes, ModelRef, NodeRecord, OrderPermit, OwnershipRules,
-    OwnershipWatch, RouteTable, Service, Upstream, Versions, retry_pause,
+    Demand, DomainAge, DomainContacts, LoadTimes, ModelRef, NodeRecord, OrderPermit,
+    OwnershipRules, OwnershipWatch, RouteTable, Service, Upstream, Versions, retry_pause,
 };
 use nutmegsail_store::{KeyValue, LeaseId, Revision};
 use slog::Logger;
@@ -99,7 +99,7 @@
     /// The version number of each engine's holdings that the traffic thread was last given.
     known_holdings: RefCell<HashMap<UpstreamId, u64>>,
     /// The time of the last contact with each failure domain.
-    pub(crate) domain_contacts: RefCell<DomainsHeard>,
+    pub(crate) domain_contacts: RefCell<DomainContacts>,
     /// The time of the last contact with each node.
     pub(crate) last_contacts: RefCell<HashMap<NodeId, Instant>>,
     /// The latest changes in the store, for nodes that this one reads it for.
@@ -282,8 +282,8 @@
                 .is_none_or(|failed| failed.elapsed() > FAILED_CONFIRMATION_PAUSE),
         };
         let is_changing = engine.is_changing_model();
-        self.is_to_stay(&engine.id)
-            && !self.is_resting(&engine.id)
+        self.is_staying(&engine.id)
+            && !self.is_backing_off(&engine.id)
             && is_permitted
             && !engine.is_blocked()
             && engine.unloading_count() == 0
@@ -320,7 +320,7 @@
     pub(crate) fn transfers_in_progress(&self, engine: &OwnedEngine) -> usize {
         let (times, now) = (self.load_times.get(), Instant::now());
         let is_in_progress =
-            |load: &PendingLoad| load.accepted_at + times.usual(load.loads_in_progress) > now;
+            |load: &PendingLoad| load.accepted_at + times.expected(load.loads_in_progress) > now;
         engine.count_transfers(is_in_progress)
     }
 
@@ -348,7 +348,7 @@
         reports.retain(|_, (_, received_at)| received_at.elapsed() < OWNER_REPORT_LIFETIME);
         let others = reports.iter().filter(|(id, _)| !owned.contains_key(*id));
         let others: u32 = others.map(|(_, (transfers, _))| transfers).sum();
-        (own as f64 + f64::from(others)) * self.load_times.get().under_way_share()
+        (own as f64 + f64::from(others)) * self.load_times.get().in_progress_share()
     }
 
     /// The version number of an engine's holdings that the traffic thread was given; 0 if none.
@@ -370,7 +370,7 @@
     /// Applies another node's estimate of the load time.
     pub(crate) fn apply_load_time(&self, load_ms: f32) {
         let mut times = self.load_times.get();
-        times.take_told(load_ms);
+        times.merge_peer_load_ms(load_ms);
         self.load_times.set(times);
     }
 
--- a/crates/relay-node/src/control/engine.rs
+++ b/crates/relay-node/src/control/engine.rs
@@ -6,8 +6,9 @@
 
 use nutmegsail_base::{NodeId, UpstreamId};
 use nutmegsail_relay::{
-    AdapterMove, EngineContents, EngineDemand, Holdings, LoadKind, LoadQueue, LoadRefusal,
-    LoadTicket, LoadTurn, ModelChange, ModelDigest, ModelRef, Ownership, StoreUse, WaitingLoad,
+    AdapterChange, EngineContents, EngineDemand, Holdings, LoadDecision, LoadQueue, LoadRefusal,
+    LoadSource, LoadTicket, ModelChange, ModelDigest, ModelRef, Ownership, WaitingLoad,
+    WeightStoreLoads,
 };
 use tokio::sync::{Mutex, Notify};
 
@@ -31,7 +32,7 @@
 pub(crate) struct PendingLoad {
     pub(crate) model: ModelRef,
     pub(crate) version: Option<u64>,
-    pub(crate) kind: LoadKind,
+    pub(crate) kind: LoadSource,
     /// Loads from the weight store in progress over all engines when this one was ordered,
     /// including this one.
     pub(crate) loads_in_progress: f64,
@@ -66,7 +67,7 @@
     /// When a base model was last ordered from the weight store.
     pub(super) weight_store_used_at: Cell<Option<Instant>>,
     /// The number of adapters that could be loaded, as last computed.
-    room: Cell<u8>,
+    free_adapter_slots: Cell<u8>,
     /// Loads that wait to be ordered.
     queue: RefCell<LoadQueue>,
     pub(super) state: RefCell<State>,
@@ -89,7 +90,7 @@
     /// Whether this is an adapter load from the weight store. Loads of base models have a separate
     /// rate limit.
     pub(crate) fn is_transfer(&self) -> bool {
-        self.kind == LoadKind::FromStore && self.model.adapter.is_some()
+        self.kind == LoadSource::FromStore && self.model.adapter.is_some()
     }
 }
 
@@ -103,7 +104,7 @@
     holdings_version: u64,
     pub(super) pending: Vec<PendingLoad>,
     /// Adapters that were recently loaded or unloaded.
-    moved: Vec<(AdapterMove, Instant)>,
+    moved: Vec<(AdapterChange, Instant)>,
     /// Models that the engine unloads once their requests have ended.
     pub(super) unloading: Vec<ModelRef>,
     /// The engine refused an order and gets no further ones until this time.
@@ -117,7 +118,7 @@
         let model = model.digest();
         self.moved
             .retain(|(change, at)| change.model != model && at.elapsed() < CHANGE_REPEAT_TIME);
-        let change = AdapterMove { model, is_held };
+        let change = AdapterChange { model, is_held };
         self.moved.push((change, Instant::now()));
     }
 
@@ -126,12 +127,12 @@
     /// adapter slots would look free, and an engine that is ordered to hold more than fits crashes
     /// with all its requests.
     fn adopt_unknown_loads(&mut self, report: &EngineState) {
-        for model in &report.coming {
+        for model in &report.loading {
             if !self.pending.iter().any(|known| known.model == *model) {
                 self.pending.push(PendingLoad {
                     model: model.clone(),
                     version: None,
-                    kind: LoadKind::FromStore,
+                    kind: LoadSource::FromStore,
                     loads_in_progress: 0.0,
                     accepted_at: Instant::now(),
                     order_seq: report.order_seq,
@@ -146,7 +147,7 @@
 #[derive(Clone, Debug)]
 struct NodeUsage {
     in_flight: u32,
-    unread_tokens: u64,
+    pending_prompt_tokens: u64,
     models: Vec<(ModelRef, u32)>,
     received_at: Instant,
 }
@@ -184,7 +185,7 @@
             changed: Notify::new(),
             is_polled: Cell::new(false),
             model_change: RefCell::default(),
-            room: Cell::new(0),
+            free_adapter_slots: Cell::new(0),
             weight_store_used_at: Cell::new(None),
             queue: RefCell::default(),
             state: RefCell::default(),
@@ -236,10 +237,10 @@
         &self,
         ticket: LoadTicket,
         contents: &EngineContents<'_>,
-        store: &StoreUse,
-    ) -> LoadTurn {
+        store: &WeightStoreLoads,
+    ) -> LoadDecision {
         let queue = self.queue.borrow();
-        queue.turn(ticket, contents, store, Instant::now())
+        queue.decide(ticket, contents, store, Instant::now())
     }
 
     /// The number of pending loads.
@@ -293,13 +294,13 @@
     }
 
     /// Adapters that were loaded or unloaded recently, and those being unloaded.
-    pub(crate) fn recently_changed(&self) -> Vec<AdapterMove> {
+    pub(crate) fn recently_changed(&self) -> Vec<AdapterChange> {
         let state = self.state.borrow();
         let recent = state.moved.iter();
         let recent = recent.filter(|(_, at)| at.elapsed() < CHANGE_REPEAT_TIME);
         let recent = recent.map(|(change, _)| *change);
         // The list of upstreams still shows an adapter until its unload is complete.
-        let unloading = state.unloading.iter().map(|model| AdapterMove {
+        let unloading = state.unloading.iter().map(|model| AdapterChange {
             model: model.digest(),
             is_held: false,
         });
@@ -345,12 +346,12 @@
 
     /// The number of adapters that could be loaded, as last computed.
     pub(crate) fn room(&self) -> u8 {
-        self.room.get()
+        self.free_adapter_slots.get()
     }
 
     /// Sets the number of adapters that could be loaded now.
     pub(crate) fn set_free_adapter_slots(&self, slots: u8) {
-        self.room.set(slots);
+        self.free_adapter_slots.set(slots);
     }
 
     /// Marks the order sequence number as unknown, after an order whose effect on it is unclear.
@@ -370,7 +371,7 @@
         &self,
         model: ModelRef,
         version: Option<u64>,
-        kind: LoadKind,
+        kind: LoadSource,
         loads_in_progress: f64,
     ) {
         if let Some(order_seq) = self.count_order() {
@@ -422,7 +423,7 @@
     pub(crate) fn record_usage(&self, node: NodeId, used: &EngineUsageReport) {
         let node_usage = NodeUsage {
             in_flight: used.in_flight,
-            unread_tokens: used.unread_tokens,
+            pending_prompt_tokens: used.pending_prompt_tokens,
             models: used.models.clone(),
             received_at: Instant::now(),
         };
@@ -455,7 +456,10 @@
             .iter()
             .filter(|(other, used)| *other != node && used.received_at.elapsed() < USAGE_LIFETIME);
         others.fold((0, 0), |(in_flight, unread), (_, used)| {
-            (in_flight + used.in_flight, unread + used.unread_tokens)
+            (
+                in_flight + used.in_flight,
+                unread + used.pending_prompt_tokens,
+            )
         })
     }
 
@@ -480,7 +484,7 @@
         state.pending.retain(|load| {
             let is_here = held(&load.model)
                 .is_some_and(|version| load.version.is_none_or(|wanted| version >= wanted));
-            let is_in_progress = report.coming.contains(&load.model)
+            let is_in_progress = report.loading.contains(&load.model)
                 || (load.model.adapter.is_none() && report.is_busy);
             let is_seen = report.order_seq >= load.order_seq;
             if is_here {
--- a/crates/relay-node/src/control/engine_load.rs
+++ b/crates/relay-node/src/control/engine_load.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use nutmegsail_base::NodeId;
-use nutmegsail_relay::{AdapterMove, HeldModel, ModelDigest, ModelRef, Report};
+use nutmegsail_relay::{AdapterChange, HeldModel, LoadReport, ModelDigest, ModelRef};
 use serde::{Deserialize, Serialize};
 
 use super::base_models::weight_store_use_time;
@@ -16,15 +16,15 @@
     /// Requests in flight.
     pub(crate) in_flight: u32,
     /// Prompt tokens of requests whose answers have not begun.
-    pub(crate) unread_tokens: u32,
+    pub(crate) pending_prompt_tokens: u32,
     /// Adapters that are being loaded or are queued.
-    pub(crate) coming: Vec<ModelDigest>,
+    pub(crate) loading: Vec<ModelDigest>,
     /// Adapters that were loaded or unloaded recently.
-    pub(crate) moved: Vec<AdapterMove>,
+    pub(crate) recent_changes: Vec<AdapterChange>,
     /// Adapter loads from the weight store that no report has shown as finished.
     pub(crate) transfers: u32,
     /// The number of adapters that could be loaded now.
-    pub(crate) room: u8,
+    pub(crate) free_adapter_slots: u8,
     /// The version number of the engine's holdings.
     pub(crate) holdings_version: u64,
     /// Whether the engine can be given orders now.
@@ -52,21 +52,26 @@
     /// Whether the engine is idle and could load any adapter, which is also assumed of engines
     /// without a report.
     pub(crate) fn is_idle(&self) -> bool {
-        let has_no_work = self.in_flight == 0 && self.unread_tokens == 0 && self.transfers == 0;
-        let has_changed = !self.coming.is_empty() || !self.moved.is_empty();
-        has_no_work && !has_changed && self.room > 0 && self.takes_loads && self.host.is_none()
+        let has_no_work =
+            self.in_flight == 0 && self.pending_prompt_tokens == 0 && self.transfers == 0;
+        let has_changed = !self.loading.is_empty() || !self.recent_changes.is_empty();
+        has_no_work
+            && !has_changed
+            && self.free_adapter_slots > 0
+            && self.takes_loads
+            && self.host.is_none()
     }
 
     /// Converts this load to a report made now.
-    pub(crate) fn into_report(self) -> Report {
-        Report {
+    pub(crate) fn into_report(self) -> LoadReport {
+        LoadReport {
             in_flight_of_others: self.in_flight,
-            unread_tokens_of_others: u64::from(self.unread_tokens),
-            coming: self.coming,
-            moved: self.moved,
-            room: u32::from(self.room),
+            pending_prompt_tokens_of_others: u64::from(self.pending_prompt_tokens),
+            loading: self.loading,
+            recent_changes: self.recent_changes,
+            free_adapter_slots: u32::from(self.free_adapter_slots),
             takes_loads: self.takes_loads,
-            taken: Instant::now(),
+            received_at: Instant::now(),
         }
     }
 }
@@ -77,19 +82,19 @@
     owned: &OwnedEngine,
     node: &NodeId,
 ) -> EngineLoad {
-    let (mut in_flight, mut unread_tokens) = owned.load_of_others(node);
+    let (mut in_flight, mut pending_prompt_tokens) = owned.load_of_others(node);
     if *node != control.settings.node {
         let own_usage = control.shared.uses.peek(&owned.id);
         in_flight += own_usage.0;
-        unread_tokens += own_usage.1;
+        pending_prompt_tokens += own_usage.1;
     }
     EngineLoad {
         in_flight,
-        unread_tokens: u32::try_from(unread_tokens).unwrap_or(u32::MAX),
-        coming: owned.loading_or_queued(),
-        moved: owned.recently_changed(),
+        pending_prompt_tokens: u32::try_from(pending_prompt_tokens).unwrap_or(u32::MAX),
+        loading: owned.loading_or_queued(),
+        recent_changes: owned.recently_changed(),
         transfers: u32::try_from(owned.count_transfers(|_| true)).unwrap_or(u32::MAX),
-        room: owned.room(),
+        free_adapter_slots: owned.room(),
         holdings_version: owned.holdings_version(),
         takes_loads: control.takes_loads(owned),
         host: host_report(control, owned, in_flight),
--- a/crates/relay-node/src/control/eras.rs
+++ b/crates/relay-node/src/control/eras.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::{StoreEra, UpstreamId};
-use nutmegsail_relay::{EraRise, EraTold, EraWatch, OwnershipRules};
+use nutmegsail_relay::{EraRise, EraUpdate, EraWatch, OwnershipRules};
 use nutmegsail_store::{Condition, Item, LeaseId, Put, Revision, Txn};
 use nutmegsail_telemetry::{Event, log_event};
 use serde::{Deserialize, Serialize};
@@ -72,8 +72,8 @@
 
     /// Whether this node waits for another node's update about the store era before it claims
     /// anything.
-    pub(crate) fn awaits_word(&self) -> bool {
-        self.watch.borrow().awaits_word(boot_time())
+    pub(crate) fn awaits_update(&self) -> bool {
+        self.watch.borrow().awaits_update(boot_time())
     }
 
     /// Called before all keys are read again.
@@ -90,7 +90,7 @@
 
     /// Records the current store era.
     pub(crate) fn record_era(&self, era: Option<StoreEra>) {
-        let rise = self.eras.watch.borrow_mut().see(era, boot_time());
+        let rise = self.eras.watch.borrow_mut().observe(era, boot_time());
         if let Some(era) = era {
             self.shared.metrics.store_era(era);
         }
@@ -104,7 +104,7 @@
         let owned = std::mem::take(&mut *self.owned.borrow_mut());
         let engines = owned.len();
         for engine in owned.values() {
-            engine.ownership.borrow_mut().lapse(now);
+            engine.ownership.borrow_mut().lose_claim(now);
         }
         self.eras.lost_claims.borrow_mut().extend(owned);
         let was_lending = self.lose_lender_claim(now);
@@ -132,7 +132,7 @@
     pub(crate) fn apply_settled_era(&self, item: &Item) {
         self.eras.settled_revision.set(item.revision);
         match serde_json::from_slice::<SettledEra>(&item.value) {
-            Ok(settled) => self.eras.watch.borrow_mut().take_mark(settled.era),
+            Ok(settled) => self.eras.watch.borrow_mut().record_settled_era(settled.era),
             Err(error) => log_event!(
                 self.log, Event::MessageUndecodable,
                 "key" => item.key.to_string(), "problem" => error.to_string()
@@ -145,11 +145,11 @@
     /// with the other nodes.
     pub(crate) fn uses_config(&self) -> bool {
         let mut watch = self.eras.watch.borrow_mut();
-        if watch.has_text() {
+        if watch.applies_text() {
             return true;
         }
         let known = self.config_known();
-        let uses_config = known.configuration > 0 && watch.goes_by(known, boot_time());
+        let uses_config = known.configuration > 0 && watch.may_apply(known, boot_time());
         if watch.is_behind(known) && !self.eras.is_hold_back_logged.replace(true) {
             log_event!(
                 self.log, Event::TextHeldBack,
@@ -161,7 +161,7 @@
 
     /// Starts using the operators' configuration, if nothing prevents it any more.
     pub(crate) fn check_config(&self) {
-        let uses_config = self.eras.watch.borrow().has_text();
+        let uses_config = self.eras.watch.borrow().applies_text();
         if !uses_config && self.uses_config() {
             self.publish();
         }
@@ -169,14 +169,18 @@
 
     /// What this node tells others about the store era; `None` while it is itself waiting for their
     /// updates.
-    pub(crate) fn era_update(&self) -> Option<EraTold> {
+    pub(crate) fn era_update(&self) -> Option<EraUpdate> {
         let watch = self.eras.watch.borrow();
-        watch.told(self.config_known(), boot_time())
+        watch.update(self.config_known(), boot_time())
     }
 
     /// Applies another node's update about the store era.
-    pub(crate) fn apply_era_update(&self, update: EraTold) {
-        let is_newer = self.eras.watch.borrow_mut().take_told(update, boot_time());
+    pub(crate) fn apply_era_update(&self, update: EraUpdate) {
+        let is_newer = self
+            .eras
+            .watch
+            .borrow_mut()
+            .apply_update(update, boot_time());
         if is_newer {
             self.eras.is_store_call_due.set(true);
         }
@@ -194,7 +198,7 @@
     pub(super) fn era_announcement_targets(&self) -> Vec<SocketAddr> {
         let announced_at = self.eras.announced_at.get();
         let is_due = announced_at.is_none_or(|at| at.elapsed() >= ANNOUNCE_INTERVAL);
-        if !is_due || !self.eras.watch.borrow().is_news(boot_time()) {
+        if !is_due || !self.eras.watch.borrow().is_recent_rise(boot_time()) {
             return Vec::new();
         }
         self.eras.announced_at.set(Some(Instant::now()));
@@ -209,7 +213,7 @@
         .is_behind(control.configuration_version());
     let due = {
         let watch = control.eras.watch.borrow();
-        watch.mark_due(is_behind, boot_time())
+        watch.era_to_settle(is_behind, boot_time())
     };
     let Some(era) = due.filter(|_| control.reader().is_none()) else {
         return;
@@ -229,7 +233,7 @@
     // If another node wrote the key first, the watch delivers it.
     if let Ok(revision) = control.store.commit(txn).await {
         control.eras.settled_revision.set(revision);
-        control.eras.watch.borrow_mut().take_mark(era);
+        control.eras.watch.borrow_mut().record_settled_era(era);
         log_event!(control.log, Event::StoreEraSettled, "era" => era.0);
     }
 }
--- a/crates/relay-node/src/control/exchange.rs
+++ b/crates/relay-node/src/control/exchange.rs
@@ -13,7 +13,7 @@
 
 use nutmegsail_base::{FailureDomain, NodeId, UpstreamId};
 use nutmegsail_relay::{
-    EngineLoadNow, EraTold, Holdings, HoldingsTold, LimitTold, ModelRef, SuspectTold,
+    EngineLoadSample, EraUpdate, Holdings, HoldingsReport, LimitUpdate, ModelRef, SuspectUpdate,
     readers_by_domain,
 };
 use nutmegsail_telemetry::{Event, log_event};
@@ -48,7 +48,7 @@
 pub(crate) struct EngineUsageReport {
     pub(crate) engine: UpstreamId,
     pub(crate) in_flight: u32,
-    pub(crate) unread_tokens: u64,
+    pub(crate) pending_prompt_tokens: u64,
     /// Requests in flight for each adapter.
     pub(crate) models: Vec<(ModelRef, u32)>,
     /// Demand for each adapter since the last message.
@@ -97,21 +97,21 @@
     /// Requests under which upstreams ended.
     Suspects {
         from: NodeId,
-        suspects: Vec<SuspectTold>,
+        suspects: Vec<SuspectUpdate>,
         /// Whether this answers [`Message::SuspectsQuery`].
         is_answer: bool,
     },
     /// Rate limits that upstreams have announced.
-    Limits {
+    RateLimits {
         from: NodeId,
-        limits: Vec<LimitTold>,
+        limits: Vec<LimitUpdate>,
     },
     /// Upstreams that have announced that they are leaving.
     Leaving { upstreams: Vec<UpstreamId> },
     /// Asks for all suspects, after a start or a stall of the sender.
     SuspectsQuery { from: NodeId },
     /// What the sender knows of the store era.
-    Era { from: NodeId, update: EraTold },
+    Era { from: NodeId, update: EraUpdate },
     /// Asks for [`Message::Era`], after a start of the sender.
     EraQuery { from: NodeId },
 }
@@ -190,7 +190,7 @@
         known_holdings_version: control.known_holdings_version(engine),
         engine: engine.clone(),
         in_flight: used.in_flight,
-        unread_tokens: used.unread_tokens,
+        pending_prompt_tokens: used.pending_prompt_tokens,
         models: used.models.into_iter().collect(),
         asked: used.asked.into_iter().collect(),
     }
@@ -234,7 +234,7 @@
         return;
     };
     let holdings = owned.holdings();
-    let engine = EngineLoadNow {
+    let engine = EngineLoadSample {
         failure_domain: &upstream.failure_domain,
         slots: upstream.slots,
         holdings: &holdings,
@@ -295,7 +295,7 @@
     control.drop_unlisted_notices();
     for (limits, address) in gossip.next_messages(control) {
         let from = control.settings.node.clone();
-        send(socket, &Message::Limits { from, limits }, address);
+        send(socket, &Message::RateLimits { from, limits }, address);
     }
 }
 
@@ -342,8 +342,8 @@
 
 /// The holdings as an owner reports them. An owner leaves them out of a report only if the receiver
 /// has the current version.
-fn holdings_report(holdings: Option<Holdings>) -> HoldingsTold {
-    holdings.map_or(HoldingsTold::Unchanged, HoldingsTold::Changed)
+fn holdings_report(holdings: Option<Holdings>) -> HoldingsReport {
+    holdings.map_or(HoldingsReport::Unchanged, HoldingsReport::Changed)
 }
 
 /// Handles a received datagram.
@@ -411,7 +411,7 @@
             control.record_contact(from);
         }
         Ok(Message::Leaving { upstreams }) => control.apply_leaving(&upstreams),
-        Ok(Message::Limits { from, limits }) => {
+        Ok(Message::RateLimits { from, limits }) => {
             control.apply_limits(&limits);
             control.record_contact(from);
         }
@@ -487,7 +487,7 @@
         (engine.id.clone(), load)
     });
     for (mut batch, address) in aggregator.next_messages(control, loads.collect()) {
-        batch.load_ms = control.load_times.get().to_tell();
+        batch.load_ms = control.load_times.get().learned_load_ms();
         let from = control.settings.node.clone();
         send(socket, &Message::AggregatedLoads { from, batch }, address);
     }
--- a/crates/relay-node/src/control/leaving_gossip.rs
+++ b/crates/relay-node/src/control/leaving_gossip.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::UpstreamId;
-use nutmegsail_relay::{RestSaid, Upstream};
+use nutmegsail_relay::{RequestedBackoff, Upstream};
 use nutmegsail_telemetry::{Event, log_event};
 
 use super::control_state::ControlState;
@@ -39,7 +39,7 @@
         &mut self,
         control: &ControlState,
     ) -> Vec<(Vec<UpstreamId>, SocketAddr)> {
-        let leavings = control.shared.notices().leavings();
+        let leavings = control.shared.notices().leaving_count();
         if std::mem::replace(&mut self.applied, leavings) != leavings {
             control.mark_leaving();
             self.sends_left = NEW_SENDS;
@@ -63,7 +63,7 @@
 impl ControlState {
     /// Whether an upstream is listed and neither the list nor the upstream itself says that it is
     /// leaving.
-    pub(crate) fn is_to_stay(&self, id: &UpstreamId) -> bool {
+    pub(crate) fn is_staying(&self, id: &UpstreamId) -> bool {
         let upstream = self.upstream(id);
         upstream.is_some_and(|upstream| upstream.takes_work())
             && !self.shared.notices().is_leaving(id)
@@ -80,29 +80,32 @@
     /// Applies announcements that other nodes sent.
     pub(crate) fn apply_leaving(&self, upstreams: &[UpstreamId]) {
         for upstream in upstreams {
-            self.note_leaving(upstream, "node");
+            self.record_leaving(upstream, "node");
         }
     }
 
     /// Applies what an engine says about itself in an answer to its owner.
     pub(super) fn apply_engine_notice(&self, engine: &UpstreamId, notice: OwnWord) {
         if notice.is_leaving {
-            self.note_leaving(engine, "engine");
+            self.record_leaving(engine, "engine");
         }
-        if let RestSaid::For(rest) = notice.rest {
+        if let RequestedBackoff::For(rest) = notice.rest {
             let (mut notices, now) = (self.shared.notices(), Instant::now());
-            notices.note_rest(engine, rest, now, &mut rand::rng());
+            notices.record_backoff(engine, rest, now, &mut rand::rng());
         }
     }
 
     /// Whether an upstream has asked this node to back off for now.
-    pub(crate) fn is_resting(&self, upstream: &UpstreamId) -> bool {
+    pub(crate) fn is_backing_off(&self, upstream: &UpstreamId) -> bool {
         let notices = self.shared.notices();
-        notices.is_resting(upstream, Instant::now())
+        notices.is_backing_off(upstream, Instant::now())
     }
 
-    fn note_leaving(&self, upstream: &UpstreamId, told_by: &str) {
-        let is_new = self.shared.notices().note_leaving(upstream, Instant::now());
+    fn record_leaving(&self, upstream: &UpstreamId, told_by: &str) {
+        let is_new = self
+            .shared
+            .notices()
+            .record_leaving(upstream, Instant::now());
         if is_new {
             log_event!(
                 self.log, Event::UpstreamLeaving,
--- a/crates/relay-node/src/control/lending.rs
+++ b/crates/relay-node/src/control/lending.rs
@@ -59,7 +59,7 @@
     is_key_seen: bool,
     /// When the buckets are reset to empty, because until then another lender may have filled the
     /// same ones.
-    begins_anew_at: Option<Duration>,
+    resumes_at: Option<Duration>,
 }
 
 impl ControlState {
@@ -69,8 +69,10 @@
         if domain == self.settings.failure_domain {
             self.lending.had_lender.set(true);
             let mut own = self.lending.own.borrow_mut();
-            let is_lapsed = own.as_ref().is_some_and(|own| own.ownership.is_lapsed());
-            let is_own_restored_key = is_lapsed && record.node == self.settings.node;
+            let has_lost_claim = own
+                .as_ref()
+                .is_some_and(|own| own.ownership.has_lost_claim());
+            let is_own_restored_key = has_lost_claim && record.node == self.settings.node;
             let claim = own.as_ref().map(|own| own.ownership.claim());
             if claim.is_some_and(|claim| claim < *revision) && !is_own_restored_key {
                 drop(own);
@@ -142,11 +144,7 @@
         let Some(own) = own.as_mut().filter(|own| own.may_lend(boot_time())) else {
             return;
         };
-        if own
-            .begins_anew_at
-            .take_if(|at| *at <= boot_time())
-            .is_some()
-        {
+        if own.resumes_at.take_if(|at| *at <= boot_time()).is_some() {
             own.lender = self.new_lender(InitialFill::Empty);
             self.lending.version.set(0);
         }
@@ -222,7 +220,7 @@
     pub(crate) fn lose_lender_claim(&self, now: Duration) -> bool {
         let mut own = self.lending.own.borrow_mut();
         if let Some(own) = own.as_mut() {
-            own.ownership.lapse(now);
+            own.ownership.lose_claim(now);
             own.is_key_seen = false;
         }
         own.is_some()
@@ -230,7 +228,8 @@
 
     fn has_lost_lender_claim(&self) -> bool {
         let own = self.lending.own.borrow();
-        own.as_ref().is_some_and(|own| own.ownership.is_lapsed())
+        own.as_ref()
+            .is_some_and(|own| own.ownership.has_lost_claim())
     }
 
     fn release_lender(&self, why: &str) {
@@ -285,8 +284,8 @@
 impl OwnLender {
     /// Records that the key, lost when the store was restored, was written again.
     fn reclaim(&mut self, revision: Revision, asked_at: Duration, now: Duration) {
-        self.ownership = self.ownership.retaken(*revision, RULES, asked_at, now);
-        self.begins_anew_at = self.ownership.begins_anew_at(now);
+        self.ownership = self.ownership.reclaimed(*revision, RULES, asked_at, now);
+        self.resumes_at = self.ownership.resumes_at(now);
     }
 
     fn may_lend(&self, now: Duration) -> bool {
@@ -353,9 +352,9 @@
         _ => {
             *own = Some(OwnLender {
                 lender: control.new_lender(first_fill),
-                ownership: Ownership::taken(*revision, predecessor, RULES, asked_at, now),
+                ownership: Ownership::claimed(*revision, predecessor, RULES, asked_at, now),
                 is_key_seen: false,
-                begins_anew_at: None,
+                resumes_at: None,
             });
             lending.version.set(0);
         }
--- a/crates/relay-node/src/control/limit_gossip.rs
+++ b/crates/relay-node/src/control/limit_gossip.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::UpstreamId;
-use nutmegsail_relay::LimitTold;
+use nutmegsail_relay::LimitUpdate;
 
 use super::control_state::ControlState;
 use super::suspect_gossip::{other_nodes, random_nodes};
@@ -21,7 +21,7 @@
 pub(crate) struct LimitGossip {
     /// The number of changes that were sent.
     changes: u64,
-    own_changes: u64,
+    own_change_count: u64,
     resent_at: Option<Instant>,
 }
 
@@ -33,14 +33,15 @@
     pub(super) fn next_messages(
         &mut self,
         control: &ControlState,
-    ) -> Vec<(Vec<LimitTold>, SocketAddr)> {
+    ) -> Vec<(Vec<LimitUpdate>, SocketAddr)> {
         let now = Instant::now();
         let limits = control.shared.limits();
-        let (changes, own_changes) = (limits.changes(), limits.own_changes());
-        let known = limits.told(now);
+        let (changes, own_change_count) = (limits.change_count(), limits.own_change_count());
+        let known = limits.updates(now);
         drop(limits);
         let has_changed = std::mem::replace(&mut self.changes, changes) != changes;
-        let is_own = std::mem::replace(&mut self.own_changes, own_changes) != own_changes;
+        let is_own =
+            std::mem::replace(&mut self.own_change_count, own_change_count) != own_change_count;
         if has_changed {
             // Which upstreams have a slot issuer depends on the limits.
             control.publish();
@@ -73,7 +74,7 @@
 
 impl ControlState {
     /// Applies limits that another node sent.
-    pub(crate) fn apply_limits(&self, received: &[LimitTold]) {
+    pub(crate) fn apply_limits(&self, received: &[LimitUpdate]) {
         let (mut limits, now) = (self.shared.limits(), Instant::now());
         for limit in received
             .iter()
--- a/crates/relay-node/src/control/load_aggregator.rs
+++ b/crates/relay-node/src/control/load_aggregator.rs
@@ -13,7 +13,7 @@
 
 use nutmegsail_base::UpstreamId;
 use nutmegsail_relay::{
-    DomainAge, FarNews, HoldingsTold, NodeRecord, RestFilter, readers_by_domain,
+    DomainAge, HoldingsReport, IdleFilter, NodeRecord, RemoteLoadFilter, readers_by_domain,
 };
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
@@ -71,8 +71,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct LoadAggregator {
     loads: HashMap<EngineDigest, ReceivedLoad>,
-    idle_filter: RestFilter<EngineDigest>,
-    remote_filter: FarNews<EngineDigest>,
+    idle_filter: IdleFilter<EngineDigest>,
+    remote_filter: RemoteLoadFilter<EngineDigest>,
 }
 
 impl LoadAggregator {
@@ -111,7 +111,7 @@
         }
         let known = self.loads.iter();
         let known = known.map(|(engine, received)| (*engine, received.load.is_idle()));
-        let news = self.idle_filter.turn(known);
+        let news = self.idle_filter.due_engines(known);
         let local = news.iter().filter_map(|engine| {
             let received = self.loads.get(engine)?;
             received
@@ -119,7 +119,7 @@
                 .then_some((*engine, received.load.in_flight))
         });
         let local: Vec<_> = local.collect();
-        let to_remote = self.remote_filter.turn(local);
+        let to_remote = self.remote_filter.due_engines(local);
         let local = self.batch(&to_remote, |received| received.is_local);
         let mut all = self.batch(&news, |received| received.is_local || received.is_new);
         for received in self.loads.values_mut() {
@@ -206,14 +206,16 @@
     let is_known = load.holdings_version > 0
         && load.holdings_version == control.known_holdings_version(engine);
     let holdings = match is_known {
-        true => HoldingsTold::Unchanged,
-        false => HoldingsTold::Untold,
+        true => HoldingsReport::Unchanged,
+        false => HoldingsReport::NotReported,
     };
     // The aggregated load includes this node's own requests; subtract them.
     let own_usage = control.shared.uses.peek(engine);
     let mut report = load.into_report();
     report.in_flight_of_others = report.in_flight_of_others.saturating_sub(own_usage.0);
-    report.unread_tokens_of_others = report.unread_tokens_of_others.saturating_sub(own_usage.1);
+    report.pending_prompt_tokens_of_others = report
+        .pending_prompt_tokens_of_others
+        .saturating_sub(own_usage.1);
     control.shared.news.put(EngineNews {
         engine: engine.clone(),
         report,
--- a/crates/relay-node/src/control/loader.rs
+++ b/crates/relay-node/src/control/loader.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::{NodeId, UpstreamId};
-use nutmegsail_relay::{Holdings, LoadPlace, LoadRefusal, ModelRef};
+use nutmegsail_relay::{Holdings, LoadCandidate, LoadRefusal, ModelRef};
 use nutmegsail_telemetry::{Event, log_event};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
@@ -110,7 +110,11 @@
         }
     }
 
-    async fn load_at_first_available(&self, wanted: &Wanted, engines: Vec<LoadPlace>) -> Loaded {
+    async fn load_at_first_available(
+        &self,
+        wanted: &Wanted,
+        engines: Vec<LoadCandidate>,
+    ) -> Loaded {
         let ranked = self.rank_engines(&wanted.model, engines);
         for candidate in ranked.into_iter().take(MAX_ENGINES_TRIED) {
             let engine = &candidate.engine;
@@ -145,14 +149,18 @@
     /// Two nodes may miss the same adapter at the same time, before either learns of the other's
     /// load. Engines with about the same expected wait are therefore ordered by a hash that all
     /// nodes compute alike, so that both nodes ask the same owner, which loads the adapter once.
-    fn rank_engines(&self, model: &ModelRef, mut engines: Vec<LoadPlace>) -> Vec<LoadPlace> {
+    fn rank_engines(
+        &self,
+        model: &ModelRef,
+        mut engines: Vec<LoadCandidate>,
+    ) -> Vec<LoadCandidate> {
         engines.retain(|candidate| self.is_reachable(&candidate.engine));
-        let min_ms = engines.iter().map(|candidate| candidate.wait_ms);
+        let min_ms = engines.iter().map(|candidate| candidate.cost_ms);
         let min_ms = min_ms.fold(f64::INFINITY, f64::min);
-        let load = self.control.load_times.get().usual(0.0);
+        let load = self.control.load_times.get().expected(0.0);
         let step_ms = load.as_secs_f64() * 1_000.0 * WAIT_STEP_LOADS;
         engines.sort_by_cached_key(|candidate| {
-            let steps = ((candidate.wait_ms - min_ms) / step_ms) as u64;
+            let steps = ((candidate.cost_ms - min_ms) / step_ms) as u64;
             let hash = xxh3_64(format!("{model} {}", candidate.engine).as_bytes());
             (steps, hash)
         });
@@ -181,7 +189,7 @@
 
     async fn load_through_owner(
         &self,
-        candidate: &LoadPlace,
+        candidate: &LoadCandidate,
         wanted: &Wanted,
     ) -> Result<Holdings, LoadFailure> {
         let address = self.owner_address(&candidate.engine);
--- a/crates/relay-node/src/control/maintenance.rs
+++ b/crates/relay-node/src/control/maintenance.rs
@@ -52,7 +52,7 @@
         control.drop_missing_nodes();
         control.check_config();
         control.check_owners();
-        if control.lease.get() == LeaseId::default() || control.eras.awaits_word() {
+        if control.lease.get() == LeaseId::default() || control.eras.awaits_update() {
             continue;
         }
         write_settled_era(&control).await;
--- a/crates/relay-node/src/control/orders.rs
+++ b/crates/relay-node/src/control/orders.rs
@@ -6,7 +6,7 @@
 use http::{Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
 use nutmegsail_base::UpstreamId;
-use nutmegsail_relay::{LoadKind, ModelRef, OrderPermit, Upstream};
+use nutmegsail_relay::{LoadSource, ModelRef, OrderPermit, Upstream};
 use nutmegsail_telemetry::{Event, log_event};
 use tokio::time::timeout;
 
@@ -46,7 +46,7 @@
     /// Reads an engine's report and applies it.
     pub(crate) async fn read_report(&self, engine: &OwnedEngine) -> Option<EngineState> {
         let upstream = self.upstream(&engine.id)?;
-        if self.is_resting(&engine.id) {
+        if self.is_backing_off(&engine.id) {
             return None;
         }
         let call = self.dialect.write_report_call(&upstream.name);
@@ -127,8 +127,8 @@
         }
         match early_use {
             EarlyUse::None => {}
-            EarlyUse::Sent => times.note_relied(),
-            EarlyUse::ReturnedUnserved => times.note_early(),
+            EarlyUse::Sent => times.record_used_on_time(),
+            EarlyUse::ReturnedUnserved => times.record_used_too_early(),
         }
         self.load_times.set(times);
     }
@@ -143,8 +143,11 @@
     pub(crate) fn expected_finish(&self, load: &PendingLoad) -> Instant {
         load.accepted_at
             + match load.kind {
-                LoadKind::FromStore => self.load_times.get().usual(self.average_loads_during(load)),
-                LoadKind::Recent => self.load_times.get().recent(),
+                LoadSource::FromStore => self
+                    .load_times
+                    .get()
+                    .expected(self.average_loads_during(load)),
+                LoadSource::HostMemory => self.load_times.get().recent(),
             }
     }
 
@@ -153,7 +156,7 @@
     /// The store may have removed the owner key without this node noticing, so an old confirmation
     /// is renewed first.
     pub(crate) async fn order_fencing_token(&self, engine: &OwnedEngine) -> Option<u64> {
-        if !self.is_to_stay(&engine.id) || self.is_resting(&engine.id) {
+        if !self.is_staying(&engine.id) || self.is_backing_off(&engine.id) {
             return None;
         }
         let permit = engine.ownership.borrow().permit(boot_time());
--- a/crates/relay-node/src/control/owner_loads.rs
+++ b/crates/relay-node/src/control/owner_loads.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_relay::{
-    EngineContents, HeldAdapter, Holdings, LoadKind, LoadPlan, LoadStep, LoadTicket, LoadTurn,
-    Room, StoreUse, WaitingLoad,
+    EngineCapacity, EngineContents, HeldAdapter, Holdings, LoadDecision, LoadPlan, LoadSource,
+    LoadStep, LoadTicket, WaitingLoad, WeightStoreLoads,
 };
 
 use super::control_state::ControlState;
@@ -43,7 +43,7 @@
         let load = WaitingLoad {
             model: model.clone(),
             version,
-            kind: LoadKind::of(is_recent),
+            kind: LoadSource::of(is_recent),
             purpose: wanted.purpose,
             priority: wanted.priority,
         };
@@ -104,10 +104,10 @@
             // Decide again, as the engine's state may have changed while this task waited for the
             // lock.
             let plan = match self.turn(entry.ticket)? {
-                LoadTurn::Order(plan) => plan,
-                LoadTurn::NotNeeded => return Ok(()),
-                LoadTurn::Wait => continue,
-                LoadTurn::Refuse(why) => return Err(why.into()),
+                LoadDecision::Order(plan) => plan,
+                LoadDecision::NotNeeded => return Ok(()),
+                LoadDecision::Wait => continue,
+                LoadDecision::Refuse(why) => return Err(why.into()),
             };
             match self.execute(plan, load.kind, fence).await {
                 Err(LoadFailure::NoAnswer) => tries_left -= 1,
@@ -121,9 +121,9 @@
     async fn wait_for_turn(&self, entry: &QueueEntry<'_>) -> Result<(), LoadFailure> {
         loop {
             match self.turn(entry.ticket)? {
-                LoadTurn::Order(_) | LoadTurn::NotNeeded => return Ok(()),
-                LoadTurn::Refuse(why) => return Err(why.into()),
-                LoadTurn::Wait => {}
+                LoadDecision::Order(_) | LoadDecision::NotNeeded => return Ok(()),
+                LoadDecision::Refuse(why) => return Err(why.into()),
+                LoadDecision::Wait => {}
             }
             let until = self
                 .deadline
@@ -136,7 +136,7 @@
     }
 
     /// Decides what the load does next, by the current state.
-    fn turn(&self, ticket: LoadTicket) -> Result<LoadTurn, LoadFailure> {
+    fn turn(&self, ticket: LoadTicket) -> Result<LoadDecision, LoadFailure> {
         let (control, engine) = (self.control, self.engine);
         let upstream = control.upstream(&engine.id);
         let upstream = upstream.ok_or(LoadFailure::EngineGone)?;
@@ -144,24 +144,24 @@
         let spec = service.as_ref().and_then(|service| service.engine.as_ref());
         let spec = spec.ok_or(LoadFailure::EngineGone)?;
         let holdings = engine.holdings();
-        let coming = engine.loading_models();
+        let loading = engine.loading_models();
         let is_in_use = |adapter: &_| control.is_in_use(engine, adapter);
         let demand = control.demand.borrow();
         let contents = EngineContents {
             holdings: &holdings,
-            coming: &coming,
+            loading: &loading,
             transfers: engine.count_transfers(|_| true),
-            room: Room {
+            room: EngineCapacity {
                 adapter_slots: spec.adapters_beside(&holdings),
                 transfers: MAX_TRANSFERS,
             },
             demand: &demand,
             is_in_use: &is_in_use,
         };
-        let store = StoreUse {
+        let store = WeightStoreLoads {
             times: control.load_times.get(),
-            at_engine: control.transfers_in_progress(engine),
-            over_all: control.loads_in_progress(),
+            engine_loads: control.transfers_in_progress(engine),
+            fleet_loads: control.loads_in_progress(),
         };
         Ok(engine.turn(ticket, &contents, &store))
     }
@@ -192,7 +192,12 @@
         }
     }
 
-    async fn execute(&self, plan: LoadPlan, kind: LoadKind, fence: u64) -> Result<(), LoadFailure> {
+    async fn execute(
+        &self,
+        plan: LoadPlan,
+        kind: LoadSource,
+        fence: u64,
+    ) -> Result<(), LoadFailure> {
         let (control, engine) = (self.control, self.engine);
         let upstream = control.upstream(&engine.id);
         let upstream = upstream.ok_or(LoadFailure::EngineGone)?;
--- a/crates/relay-node/src/control/slots.rs
+++ b/crates/relay-node/src/control/slots.rs
@@ -88,7 +88,7 @@
                 continue;
             }
             gate.set_rate(per_s, now);
-            send_answers(upstream, gate.turn(now), &send);
+            send_answers(upstream, gate.grant_due(now), &send);
         }
     }
 
--- a/crates/relay-node/src/control/stored_config.rs
+++ b/crates/relay-node/src/control/stored_config.rs
@@ -4,7 +4,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 
-use nutmegsail_relay::{ModelRef, TextKnown, Versions};
+use nutmegsail_relay::{ModelRef, TextVersion, Versions};
 
 use super::control_state::ControlState;
 
@@ -49,9 +49,9 @@
 impl ControlState {
     /// The configuration and model versions that this node knows, as a summary to compare with
     /// other nodes.
-    pub(crate) fn config_known(&self) -> TextKnown {
+    pub(crate) fn config_known(&self) -> TextVersion {
         let versions = self.versions.borrow();
-        TextKnown {
+        TextVersion {
             configuration: self.configuration_version(),
             versions: versions
                 .latest()
--- a/crates/relay-node/src/control/suspect_gossip.rs
+++ b/crates/relay-node/src/control/suspect_gossip.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::NodeId;
-use nutmegsail_relay::{Audience, NodeRecord, SuspectTold, homes_of};
+use nutmegsail_relay::{NodeRecord, Recipients, SuspectUpdate, collectors_of};
 use rand::seq::IteratorRandom as _;
 
 use super::control_state::ControlState;
@@ -43,15 +43,15 @@
     pub(super) fn next_messages(
         &mut self,
         control: &ControlState,
-    ) -> Vec<(Vec<SuspectTold>, SocketAddr)> {
+    ) -> Vec<(Vec<SuspectUpdate>, SocketAddr)> {
         let now = Instant::now();
         let mut suspects = control.shared.suspects();
-        let new = suspects.news(now);
+        let new = suspects.due_updates(now);
         let is_due = self
             .resent_at
             .is_none_or(|at| now.duration_since(at) >= RESEND_INTERVAL);
         let resent = match is_due {
-            true => suspects.standing(SUSPECTS_PER_DATAGRAM, now),
+            true => suspects.repeated_updates(SUSPECTS_PER_DATAGRAM, now),
             false => Vec::new(),
         };
         drop(suspects);
@@ -69,7 +69,7 @@
 
 impl ControlState {
     /// Applies suspects that another node sent.
-    pub(crate) fn apply_suspects(&self, from: &NodeId, suspects: &[SuspectTold]) {
+    pub(crate) fn apply_suspects(&self, from: &NodeId, suspects: &[SuspectUpdate]) {
         let (mut known, now) = (self.shared.suspects(), Instant::now());
         for suspect in suspects {
             known.take(from, suspect, now);
@@ -78,11 +78,11 @@
 }
 
 /// This node's suspects in datagram-sized parts; a single empty part if there are none.
-pub(super) fn all_suspects(control: &ControlState) -> Vec<Vec<SuspectTold>> {
+pub(super) fn all_suspects(control: &ControlState) -> Vec<Vec<SuspectUpdate>> {
     let suspects = control.shared.suspects();
-    let all = suspects.standing(MAX_QUERIED_SUSPECTS, Instant::now());
+    let all = suspects.repeated_updates(MAX_QUERIED_SUSPECTS, Instant::now());
     drop(suspects);
-    let parts: Vec<Vec<SuspectTold>> = all
+    let parts: Vec<Vec<SuspectUpdate>> = all
         .chunks(SUSPECTS_PER_DATAGRAM)
         .map(<[_]>::to_vec)
         .collect();
@@ -95,14 +95,14 @@
 /// Groups new suspects by the nodes to send them to, in datagram-sized parts.
 fn group_by_node(
     control: &ControlState,
-    new: Vec<(Audience, SuspectTold)>,
-) -> Vec<(Vec<SuspectTold>, SocketAddr)> {
+    new: Vec<(Recipients, SuspectUpdate)>,
+) -> Vec<(Vec<SuspectUpdate>, SocketAddr)> {
     let nodes = control.nodes.borrow();
-    let mut by_node: HashMap<SocketAddr, Vec<SuspectTold>> = HashMap::new();
+    let mut by_node: HashMap<SocketAddr, Vec<SuspectUpdate>> = HashMap::new();
     for (audience, suspect) in new {
         let receivers: Vec<&NodeRecord> = match audience {
-            Audience::All => nodes.values().collect(),
-            Audience::Homes => homes_of(suspect.digest(), nodes.values()),
+            Recipients::All => nodes.values().collect(),
+            Recipients::Collectors => collectors_of(suspect.digest(), nodes.values()),
         };
         for node in receivers.into_iter().filter(|node| !is_self(control, node)) {
             by_node
--- a/crates/relay-node/src/control/upstreams_watch.rs
+++ b/crates/relay-node/src/control/upstreams_watch.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::UpstreamId;
-use nutmegsail_relay::{EntryFault, Listing, Upstream};
+use nutmegsail_relay::{EntryFault, Upstream, UpstreamList};
 use nutmegsail_store::{Change, Item, Revision};
 use nutmegsail_telemetry::{Event, log_event};
 use tokio::task::spawn_local;
@@ -26,7 +26,7 @@
 /// Applies changes of the list of upstreams.
 pub(crate) struct UpstreamsWatcher {
     control: Rc<ControlState>,
-    listing: RefCell<Listing>,
+    listing: RefCell<UpstreamList>,
     /// The revisions of unusable entries, by key.
     rejected: RefCell<HashMap<Arc<str>, Revision>>,
     /// When the store last failed to answer.
--- a/crates/relay-node/src/dialect.rs
+++ b/crates/relay-node/src/dialect.rs
@@ -6,7 +6,8 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
 use nutmegsail_relay::{
-    CallerKey, Holdings, LimitSaid, ModelRef, PromptPart, RestSaid, RouteTable, UpstreamEntry,
+    AnnouncedLimit, CallerKey, Holdings, ModelRef, PromptPart, RequestedBackoff, RouteTable,
+    UpstreamEntry,
 };
 use thiserror::Error;
 
@@ -77,9 +78,9 @@
     /// Whether it is leaving, that is, about to stop.
     pub is_leaving: bool,
     /// For how long it asks this node to send it nothing more.
-    pub rest: RestSaid,
+    pub rest: RequestedBackoff,
     /// Its rate limit for all nodes together.
-    pub limit: LimitSaid,
+    pub limit: AnnouncedLimit,
 }
 
 /// The content of an engine's report.
@@ -92,7 +93,7 @@
     /// The models and adapters that it holds.
     pub holdings: Holdings,
     /// Adapters that are being loaded into it.
-    pub coming: Vec<ModelRef>,
+    pub loading: Vec<ModelRef>,
     /// Whether an order is being carried out.
     pub is_busy: bool,
     /// Number of running requests.
--- a/crates/relay-node/src/node.rs
+++ b/crates/relay-node/src/node.rs
@@ -175,7 +175,7 @@
     pub async fn shutdown(self) {
         let began = Instant::now();
         log_event!(self.log, Event::NodeLeaving, "connections" => self.gateway.connections());
-        self.shared.note_leaving();
+        self.shared.record_leaving();
         self.gateway.leaving_since.set(Some(began));
         sleep(ROTATION_REMOVAL_TIME.min(self.grace / 2)).await;
         self.close.cancel();
--- a/crates/relay-node/src/shared.rs
+++ b/crates/relay-node/src/shared.rs
@@ -9,8 +9,9 @@
 use arc_swap::ArcSwap;
 use nutmegsail_base::{FailureDomain, ServiceName, UpstreamId};
 use nutmegsail_relay::{
-    AccessRules, DomainsHeard, Holdings, HoldingsTold, Limits, LoadPlace, LoadPurpose, LoadTimes,
-    ModelDigest, ModelRef, Notices, Report, RouteTable, Suspects, Upstream, Versions, WantedCopies,
+    AccessRules, DomainContacts, Holdings, HoldingsReport, LoadCandidate, LoadPurpose, LoadReport,
+    LoadTimes, ModelDigest, ModelRef, RateLimits, RouteTable, Suspects, Upstream, UpstreamNotices,
+    Versions, WantedCopies,
 };
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot};
@@ -62,7 +63,7 @@
 pub(crate) struct Want {
     pub(crate) wanted: Wanted,
     /// The engines that could load it.
-    pub(crate) engines: Vec<LoadPlace>,
+    pub(crate) engines: Vec<LoadCandidate>,
     /// The number of engines that should load it, in addition to those that already hold it.
     pub(crate) copies: usize,
     /// Receives the result of the load. Dropped without a result if the request was lost.
@@ -78,7 +79,7 @@
     /// Requests in flight.
     pub(crate) in_flight: u32,
     /// Prompt tokens of the requests in flight whose answers have not begun.
-    pub(crate) unread_tokens: u64,
+    pub(crate) pending_prompt_tokens: u64,
     /// Requests in flight for each adapter.
     pub(crate) models: HashMap<ModelRef, u32>,
     /// The demand for each adapter since the last call of [`Uses::take`].
@@ -103,7 +104,7 @@
         let mut uses = self.lock();
         let used = uses.entry(engine.clone()).or_default();
         used.in_flight += 1;
-        used.unread_tokens += prompt_tokens;
+        used.pending_prompt_tokens += prompt_tokens;
         *used.models.entry(model.clone()).or_default() += 1;
         let asked = used.asked.entry(model.clone()).or_default();
         asked.requests += 1;
@@ -114,7 +115,7 @@
     /// Counts a prompt as processed, so that its tokens are no longer pending.
     pub(crate) fn read(&self, engine: &UpstreamId, prompt_tokens: u64) {
         if let Some(used) = self.lock().get_mut(engine) {
-            used.unread_tokens = used.unread_tokens.saturating_sub(prompt_tokens);
+            used.pending_prompt_tokens = used.pending_prompt_tokens.saturating_sub(prompt_tokens);
         }
     }
 
@@ -144,7 +145,7 @@
     pub(crate) fn peek(&self, engine: &UpstreamId) -> (u32, u64) {
         let uses = self.lock();
         uses.get(engine)
-            .map_or((0, 0), |used| (used.in_flight, used.unread_tokens))
+            .map_or((0, 0), |used| (used.in_flight, used.pending_prompt_tokens))
     }
 
     /// Returns the use of `engine` and resets the demand counts.
@@ -157,7 +158,7 @@
         let taken = EngineUse {
             asked,
             in_flight: used.in_flight,
-            unread_tokens: used.unread_tokens,
+            pending_prompt_tokens: used.pending_prompt_tokens,
             models: used.models.clone(),
         };
         if used.in_flight == 0 {
@@ -196,9 +197,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EngineNews {
     pub(crate) engine: UpstreamId,
-    pub(crate) report: Report,
+    pub(crate) report: LoadReport,
     /// The part of the update about the engine's holdings.
-    pub(crate) holdings: HoldingsTold,
+    pub(crate) holdings: HoldingsReport,
 }
 
 /// Copies of an adapter that an engine's owner asks for.
@@ -214,7 +215,7 @@
     /// The newest update of each engine.
     pub(crate) engines: HashMap<UpstreamId, EngineNews>,
     /// The last contact with each failure domain.
-    pub(crate) domains: DomainsHeard,
+    pub(crate) domains: DomainContacts,
     /// The copies that owners ask for.
     pub(crate) copies: Vec<CopyNews>,
 }
@@ -230,7 +231,7 @@
     }
 
     /// Records contacts with failure domains.
-    pub(crate) fn put_domains(&self, domains: &DomainsHeard) {
+    pub(crate) fn put_domains(&self, domains: &DomainContacts) {
         self.lock().domains.merge(domains);
     }
 
@@ -274,8 +275,8 @@
     pub(crate) models_asked: ModelsAsked,
     pub(crate) news: News,
     suspects: Mutex<Suspects>,
-    limits: Mutex<Limits>,
-    notices: Mutex<Notices>,
+    limits: Mutex<RateLimits>,
+    notices: Mutex<UpstreamNotices>,
     pub(crate) wants: mpsc::Sender<Want>,
     pub(crate) metrics: RelayMetrics,
     /// Number of open caller connections.
@@ -335,12 +336,12 @@
     }
 
     /// The rate limits that upstreams have stated.
-    pub(crate) fn limits(&self) -> MutexGuard<'_, Limits> {
+    pub(crate) fn limits(&self) -> MutexGuard<'_, RateLimits> {
         self.limits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Upstreams' notices about themselves: leaving and backoff.
-    pub(crate) fn notices(&self) -> MutexGuard<'_, Notices> {
+    pub(crate) fn notices(&self) -> MutexGuard<'_, UpstreamNotices> {
         self.notices.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -351,7 +352,7 @@
     }
 
     /// Records that the node shuts down.
-    pub(crate) fn note_leaving(&self) {
+    pub(crate) fn record_leaving(&self) {
         self.readiness().is_leaving = true;
     }
 
--- a/crates/relay-node/src/traffic/adapter_loads.rs
+++ b/crates/relay-node/src/traffic/adapter_loads.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use nutmegsail_relay::{Choice, CopyPlace, LoadPlace, LoadPurpose, WantedCopies};
+use nutmegsail_relay::{Choice, CopyScope, LoadCandidate, LoadPurpose, WantedCopies};
 use tokio::sync::oneshot;
 
 use super::call::Call;
@@ -37,13 +37,13 @@
             is_urgent,
         } = news.wanted;
         let dispatcher = self.dispatcher.borrow();
-        if let CopyPlace::Domain(domain) = &place
+        if let CopyScope::Domain(domain) = &place
             && dispatcher.is_held_in(domain, service, &model, now)
         {
             return;
         }
         let rule = view.versions.rule(&model, self.version_overlap(), now);
-        let engines = dispatcher.engines_to_load(service, &model, rule, &place, now);
+        let engines = dispatcher.load_candidates(service, &model, rule, &place, now);
         let (ready, _) = oneshot::channel();
         let load_request = Want {
             wanted: Wanted {
@@ -79,7 +79,7 @@
         match tokio::time::timeout(wait, ready).await {
             Ok(Ok(Some((engine, holdings)))) => {
                 let mut dispatcher = self.dispatcher.borrow_mut();
-                dispatcher.note_holdings(&engine, &holdings, Instant::now());
+                dispatcher.record_holdings(&engine, &holdings, Instant::now());
                 true
             }
             _ => false,
@@ -112,13 +112,13 @@
     }
 
     /// Engines on which the adapter could be loaded.
-    fn candidate_engines(&self, call: &Call, now: Instant) -> Vec<LoadPlace> {
+    fn candidate_engines(&self, call: &Call, now: Instant) -> Vec<LoadCandidate> {
         let Some(model) = &call.meta.model else {
             return Vec::new();
         };
         let dispatcher = self.dispatcher.borrow();
-        let place = &CopyPlace::Anywhere;
-        dispatcher.engines_to_load(&call.service, model, call.version, place, now)
+        let place = &CopyScope::Anywhere;
+        dispatcher.load_candidates(&call.service, model, call.version, place, now)
     }
 }
 
--- a/crates/relay-node/src/traffic/admission.rs
+++ b/crates/relay-node/src/traffic/admission.rs
@@ -5,7 +5,7 @@
 
 use nutmegsail_base::ResultCode;
 use nutmegsail_quota::Reservation;
-use nutmegsail_relay::{Caller, CallerKey, Denied, Route, Team};
+use nutmegsail_relay::{AccessDenied, Caller, CallerKey, Route, Team};
 use nutmegsail_telemetry::{Event, log_event};
 use tokio::time::sleep;
 
@@ -28,14 +28,14 @@
 /// Retry-After when another node may be able to serve the request.
 const OTHER_NODE_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-impl From<Denied> for RefusalReason {
-    fn from(denied: Denied) -> Self {
+impl From<AccessDenied> for RefusalReason {
+    fn from(denied: AccessDenied) -> Self {
         match denied {
-            Denied::NoKey { .. } => Self {
+            AccessDenied::NoKey { .. } => Self {
                 code: ResultCode::KeyRejected,
                 retry_after: None,
             },
-            Denied::Stale => Self {
+            AccessDenied::Stale => Self {
                 code: ResultCode::KeysStale,
                 retry_after: Some(OTHER_NODE_RETRY_AFTER),
             },
@@ -83,38 +83,44 @@
         &self,
         route: &Route,
         key: &CallerKey,
-    ) -> Result<Caller, Denied> {
+    ) -> Result<Caller, AccessDenied> {
         let began = Instant::now();
         loop {
             let authenticated = self.authenticate(route, key);
-            let may_be_new = matches!(authenticated, Err(Denied::NoKey { may_be_new: true }));
+            let may_be_new = matches!(authenticated, Err(AccessDenied::NoKey { may_be_new: true }));
             if !may_be_new || self.shared.news_age() < began.elapsed() {
                 return authenticated;
             }
             if began.elapsed() >= NEW_KEY_TIMEOUT || self.key_waiters.get() >= MAX_NEW_KEY_WAITERS {
-                return Err(Denied::Stale);
+                return Err(AccessDenied::Stale);
             }
             let _wait = super::model_wait::WaiterCount::begin(&self.key_waiters);
             sleep(NEW_KEY_POLL_INTERVAL).await;
         }
     }
 
-    fn authenticate(&self, route: &Route, key: &CallerKey) -> Result<Caller, Denied> {
+    fn authenticate(&self, route: &Route, key: &CallerKey) -> Result<Caller, AccessDenied> {
         // Read the age before the view: a view published between the two reads is then newer than
         // `age` says, never older.
         let age = self.shared.news_age();
         let view = self.shared.view.load();
         let Some(table) = &view.table else {
-            return Err(Denied::Stale);
+            return Err(AccessDenied::Stale);
         };
         self.shared.access().caller_on(table, route, key, age)
     }
 
-    pub(super) fn log_denied(&self, request: &str, route: &Route, key: &CallerKey, denied: Denied) {
+    pub(super) fn log_denied(
+        &self,
+        request: &str,
+        route: &Route,
+        key: &CallerKey,
+        denied: AccessDenied,
+    ) {
         let view = self.shared.view.load();
         let version = view.table.as_ref().map(|table| table.version);
         let why = match (denied, key) {
-            (Denied::Stale, _) => "news too old",
+            (AccessDenied::Stale, _) => "news too old",
             (_, CallerKey::Absent) => "no key",
             (_, CallerKey::Malformed) => "malformed key",
             (_, CallerKey::Given(_)) => "key unknown",
@@ -136,13 +142,13 @@
         let is_same = |caller: &Caller| caller.team().is_some_and(|now| now.name == team.name);
         match caller {
             Ok(caller) if is_same(&caller) => {}
-            Ok(_) => return Err(self.deny(call, Denied::NoKey { may_be_new: false })),
+            Ok(_) => return Err(self.deny(call, AccessDenied::NoKey { may_be_new: false })),
             Err(denied) => return Err(self.deny(call, denied)),
         }
         self.reserve_tokens(call, team).await
     }
 
-    fn deny(&self, call: &Call, denied: Denied) -> RefusalReason {
+    fn deny(&self, call: &Call, denied: AccessDenied) -> RefusalReason {
         self.log_denied(&call.id, &call.route, &call.meta.key, denied);
         denied.into()
     }
@@ -160,7 +166,7 @@
         let tokens = quota.cost_tokens(call.meta.all_tokens);
         let lenders = self.shared.view.load().lenders.clone();
         // A longer wait would use up the request's latency objective before it is sent.
-        let wait_limit = call.route.objective / 2;
+        let wait_limit = call.route.latency_objective / 2;
         let reserved = self
             .quotas
             .reserve(&team.name, tokens, &lenders, wait_limit);
--- a/crates/relay-node/src/traffic/call.rs
+++ b/crates/relay-node/src/traffic/call.rs
@@ -9,7 +9,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Request, Uri, header};
 use http_body_util::Full;
 use nutmegsail_base::{RequestId, ServiceName};
-use nutmegsail_relay::{CallKind, Caller, PromptChain, RequestDigest, Route, VersionRule};
+use nutmegsail_relay::{CallKind, Caller, PromptPrefix, RequestDigest, Route, VersionRule};
 
 use super::admission::QuotaTokens;
 use super::slot_client::SlotPermit;
@@ -61,7 +61,7 @@
     /// Its tokens of the team's quota.
     pub(super) tokens: QuotaTokens,
     /// The parts of its prompt, which guide the choice of an engine.
-    pub(crate) prompt: PromptChain,
+    pub(crate) prompt: PromptPrefix,
     /// The versions of the model that it may start on.
     pub(crate) version: VersionRule,
     /// Its concurrency slot at a plain upstream, until it is sent.
@@ -91,7 +91,7 @@
     pub(crate) fn first_event_timeout(&self) -> Duration {
         let wait_limit = self.deadline_at.duration_since(self.began);
         match self.route.kind {
-            CallKind::Stream { .. } => wait_limit.min(self.route.event_patience),
+            CallKind::Stream { .. } => wait_limit.min(self.route.event_timeout),
             CallKind::Idempotent | CallKind::Once => wait_limit,
         }
     }
--- a/crates/relay-node/src/traffic/crash_check.rs
+++ b/crates/relay-node/src/traffic/crash_check.rs
@@ -7,7 +7,9 @@
 
 use nutmegsail_base::ResultCode;
 use nutmegsail_http_pool::OpenError;
-use nutmegsail_relay::{BrokenRequest, CrashStep, Reach, RequestDigest, Suspicion, Upstream};
+use nutmegsail_relay::{
+    BrokenRequest, BrokenRequestAction, ProbeResult, RequestDigest, Suspicion, Upstream,
+};
 use nutmegsail_telemetry::{Event, log_event};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -74,7 +76,7 @@
     }
 
     fn suspicion(&self, digest: &RequestDigest) -> Suspicion {
-        match self.crash_watch.borrow().is_checking(digest) {
+        match self.crash_watch.borrow().is_probing(digest) {
             true => Suspicion::OnTrial,
             false => self.shared.suspects().suspicion(digest, Instant::now()),
         }
@@ -97,47 +99,47 @@
         upstream: &Arc<Upstream>,
         broken: BrokenRequest,
     ) {
-        if !self.is_to_stay(upstream) {
+        if !self.is_staying(upstream) {
             return;
         }
         let mut watch = self.crash_watch.borrow_mut();
         let step = watch.note_broken(&upstream.id, broken, Instant::now());
         drop(watch);
         match step {
-            CrashStep::Check => {
+            BrokenRequestAction::Check => {
                 spawn_local(Rc::clone(self).check_upstream(Arc::clone(upstream)));
             }
-            CrashStep::Strike => self.record_crash(upstream, &[broken.digest]),
-            CrashStep::Wait | CrashStep::Ignore => {}
+            BrokenRequestAction::Strike => self.record_crash(upstream, &[broken.digest]),
+            BrokenRequestAction::Wait | BrokenRequestAction::Ignore => {}
         }
     }
 
     /// Whether `upstream` was expected to keep running. One that is leaving ends without a crash.
-    fn is_to_stay(&self, upstream: &Upstream) -> bool {
+    fn is_staying(&self, upstream: &Upstream) -> bool {
         let dispatcher = self.dispatcher.borrow();
         let tracked = dispatcher.tracked(&upstream.id);
-        tracked.is_some_and(|tracked| tracked.is_to_stay())
+        tracked.is_some_and(|tracked| tracked.is_staying())
     }
 
     async fn check_upstream(self: Rc<Self>, upstream: Arc<Upstream>) {
         let mut reach = self.probe(&upstream).await;
-        if reach == Reach::Connected {
+        if reach == ProbeResult::Connected {
             sleep(SOCKET_CLOSE_TIME).await;
             reach = self.probe(&upstream).await;
         }
         let mut watch = self.crash_watch.borrow_mut();
-        let struck = watch.note_reach(&upstream.id, reach, Instant::now());
+        let struck = watch.record_probe(&upstream.id, reach, Instant::now());
         drop(watch);
         if !struck.is_empty() {
             self.record_crash(&upstream, &struck);
         }
     }
 
-    async fn probe(&self, upstream: &Upstream) -> Reach {
+    async fn probe(&self, upstream: &Upstream) -> ProbeResult {
         match self.pool.open(&upstream.address.to_string()).await {
-            Ok(()) | Err(OpenError::AtLimit) => Reach::Connected,
-            Err(OpenError::Refused) => Reach::Refused,
-            Err(OpenError::Silent) => Reach::Silent,
+            Ok(()) | Err(OpenError::AtLimit) => ProbeResult::Connected,
+            Err(OpenError::Refused) => ProbeResult::Refused,
+            Err(OpenError::Silent) => ProbeResult::Silent,
         }
     }
 
--- a/crates/relay-node/src/traffic/gateway.rs
+++ b/crates/relay-node/src/traffic/gateway.rs
@@ -11,8 +11,8 @@
 use nutmegsail_base::{FailureDomain, ResultCode, RunState, ServiceName, UpstreamId};
 use nutmegsail_http_pool::{Pool, PoolSettings};
 use nutmegsail_relay::{
-    Choice, CrashWatch, Dispatcher, LoadPurpose, Need, Refusal as NoChoice, RetryBudget,
-    RetryBudgetRules, StatedPatience, return_after,
+    Choice, ChooseError as NoChoice, CrashWatch, DispatchRequest, Dispatcher, LoadPurpose,
+    RetryBudget, RetryBudgetRules, UsualTimeout, jittered_retry_after,
 };
 use nutmegsail_request::{AfterFailure, Dispatched, Queued, Refusal, Request, Uncertain};
 use nutmegsail_telemetry::{Event, log_event};
@@ -76,18 +76,18 @@
     pub(crate) dispatcher: RefCell<Dispatcher>,
     pub(super) crash_watch: RefCell<CrashWatch>,
     pub(super) local_rate_buckets: RefCell<LocalRateBuckets>,
-    /// The [`Limits`](nutmegsail_relay::Limits) change count that the dispatcher was last updated
-    /// to.
-    applied_limits: Cell<u64>,
-    /// The [`Notices`](nutmegsail_relay::Notices) backoff count that the dispatcher was last
+    /// The [`RateLimits`](nutmegsail_relay::RateLimits) change count that the dispatcher was last
     /// updated to.
+    applied_limits: Cell<u64>,
+    /// The [`UpstreamNotices`](nutmegsail_relay::UpstreamNotices) backoff count that the dispatcher
+    /// was last updated to.
     applied_backoffs: Cell<u64>,
     pub(crate) bounds: BoundSettings,
     pub(crate) peer_socket: Rc<PeerSocket>,
     pub(crate) quotas: Rc<QuotaClient>,
     pub(crate) slots: Rc<SlotClient>,
     /// Per route, the wait limits that callers have stated.
-    pub(super) stated_patience: RefCell<HashMap<Arc<str>, StatedPatience>>,
+    pub(super) stated_patience: RefCell<HashMap<Arc<str>, UsualTimeout>>,
     pub(crate) log: Logger,
     /// When the node began to shut down.
     pub(crate) leaving_since: Cell<Option<Instant>>,
@@ -214,9 +214,9 @@
         self.apply_backoffs(is_new);
         let news = self.shared.news.take();
         let mut dispatcher = self.dispatcher.borrow_mut();
-        dispatcher.note_domains_heard(&news.domains);
+        dispatcher.merge_domain_contacts(&news.domains);
         for (engine, news) in news.engines {
-            dispatcher.note_told(&engine, &news.holdings, news.report);
+            dispatcher.record_owner_report(&engine, &news.holdings, news.report);
         }
         drop(dispatcher);
         for copies in news.copies {
@@ -228,7 +228,7 @@
     /// Applies changed upstream rate limits to the dispatcher.
     fn apply_limits(&self) {
         let limits = self.shared.limits();
-        if self.applied_limits.replace(limits.changes()) != limits.changes() {
+        if self.applied_limits.replace(limits.change_count()) != limits.change_count() {
             let mut dispatcher = self.dispatcher.borrow_mut();
             dispatcher.set_limited(|upstream| limits.per_s(upstream).is_some());
         }
@@ -238,10 +238,12 @@
     /// again.
     fn apply_backoffs(&self, is_new_view: bool) {
         let (notices, now) = (self.shared.notices(), Instant::now());
-        if self.applied_backoffs.replace(notices.rests()) != notices.rests() || is_new_view {
+        if self.applied_backoffs.replace(notices.backoff_count()) != notices.backoff_count()
+            || is_new_view
+        {
             let mut dispatcher = self.dispatcher.borrow_mut();
-            dispatcher.set_rests(|upstream| {
-                let until = notices.rest_until(upstream);
+            dispatcher.set_backoffs(|upstream| {
+                let until = notices.backoff_until(upstream);
                 until.filter(|until| now < *until)
             });
         }
@@ -267,7 +269,7 @@
                 }
             };
             let dispatched = pending.dispatch(&choice.upstream.id);
-            let has_alternative = self.may_repeat(call, &sends, &choice);
+            let has_alternative = self.may_retry(call, &sends, &choice);
             let run_state = match self.send(call, &choice, has_alternative, None).await {
                 SendOutcome::Answer(received) => {
                     let resumption = (received.answer.status() == StatusCode::OK)
@@ -275,7 +277,7 @@
                     return self.forward(call, received, resumption.flatten());
                 }
                 SendOutcome::Failed(received) => {
-                    if !self.may_repeat(call, &sends, &choice) {
+                    if !self.may_retry(call, &sends, &choice) {
                         return self.forward(call, received, None);
                     }
                     sends.arrived += 1;
@@ -309,9 +311,9 @@
             pending = dispatched.refused_by_node(run_state).into();
             sends.tried.push(choice.upstream.id.clone());
             let is_lost = matches!(pending, PendingRequest::MayHaveRun(_));
-            let may_repeat =
-                call.route.kind.may_repeat() && sends.may_have_run < call.route.max_attempts;
-            if is_lost && !may_repeat {
+            let may_retry =
+                call.route.kind.may_retry() && sends.may_have_run < call.route.max_attempts;
+            if is_lost && !may_retry {
                 let refusal = pending.give_up(ResultCode::UpstreamFailed, "");
                 return self.give_up(call, &refusal, &sends);
             }
@@ -320,9 +322,9 @@
 
     /// Whether `call` may be sent again if the send to `last` fails: its kind, the attempts left
     /// and the retry budget allow it, and another upstream is available.
-    fn may_repeat(&self, call: &Call, sends: &SendHistory, last: &Choice) -> bool {
+    fn may_retry(&self, call: &Call, sends: &SendHistory, last: &Choice) -> bool {
         let is_allowed =
-            call.route.kind.may_repeat() && sends.may_have_run + 1 < call.route.max_attempts;
+            call.route.kind.may_retry() && sends.may_have_run + 1 < call.route.max_attempts;
         is_allowed && self.has_alternative(call, sends, last)
     }
 
@@ -332,7 +334,7 @@
         let now = Instant::now();
         let dispatcher = self.dispatcher.borrow();
         let choice = dispatcher.choose(&need(call, &tried), now, &mut rand::rng());
-        choice.is_ok() && self.with_budget(call, |budget, nodes| budget.has_further(nodes, now))
+        choice.is_ok() && self.with_budget(call, |budget, nodes| budget.has_retry(nodes, now))
     }
 
     /// Records a refusal in metrics and the log, and builds the answer.
@@ -455,11 +457,11 @@
         now: Instant,
     ) -> RefusalReason {
         let dispatcher = self.dispatcher.borrow();
-        let Some(backoff_end) = dispatcher.rest_ends(&need(call, &sends.tried), now) else {
+        let Some(backoff_end) = dispatcher.backoff_ends(&need(call, &sends.tried), now) else {
             return RefusalReason::retry_in(ResultCode::NoUpstream, UNAVAILABLE_RETRY_AFTER);
         };
         let wait = backoff_end.saturating_duration_since(now);
-        let after = return_after(wait, call.priority(), &mut rand::rng());
+        let after = jittered_retry_after(wait, call.priority(), &mut rand::rng());
         RefusalReason::retry_in(ResultCode::UpstreamRefused, after)
     }
 
@@ -524,7 +526,7 @@
                 budget.count_first(now);
                 true
             }
-            _ => budget.take_further(nodes, now),
+            _ => budget.take_retry(nodes, now),
         })
     }
 
@@ -551,8 +553,8 @@
     RefusalReason::retry_in(code, BUSY_RETRY_AFTER)
 }
 
-fn need<'a>(call: &'a Call, tried: &'a [UpstreamId]) -> Need<'a> {
-    Need {
+fn need<'a>(call: &'a Call, tried: &'a [UpstreamId]) -> DispatchRequest<'a> {
+    DispatchRequest {
         service: &call.service,
         model: call.meta.model.as_ref(),
         version: call.version,
--- a/crates/relay-node/src/traffic/in_flight.rs
+++ b/crates/relay-node/src/traffic/in_flight.rs
@@ -6,7 +6,7 @@
 
 use nutmegsail_base::{RequestId, ResultCode, TeamName};
 use nutmegsail_relay::{
-    BEGINNING, BrokenRequest, Choice, ModelRef, Outcome, RequestDigest, Upstream,
+    BrokenRequest, Choice, ModelRef, Outcome, RequestDigest, STARTUP_PERIOD, Upstream,
 };
 use nutmegsail_telemetry::{Event, log_event};
 
@@ -21,7 +21,7 @@
     gateway: Rc<Gateway>,
     upstream: Arc<Upstream>,
     model: Option<ModelRef>,
-    unread_tokens: u64,
+    pending_prompt_tokens: u64,
     expected_ms: f64,
     sent: Instant,
     /// When the first part of the answer's body arrived.
@@ -48,19 +48,22 @@
     pub(crate) fn begin(gateway: &Rc<Gateway>, call: &Call, choice: &Choice) -> Self {
         let now = Instant::now();
         let upstream = &choice.upstream.id;
-        let unread_tokens = choice.unread_tokens;
+        let pending_prompt_tokens = choice.uncached_tokens;
         let mut dispatcher = gateway.dispatcher.borrow_mut();
-        dispatcher.sent(upstream, unread_tokens, now);
+        dispatcher.record_sent(upstream, pending_prompt_tokens, now);
         drop(dispatcher);
         let model = call.meta.model.as_ref();
         if let Some(model) = model {
-            gateway.shared.uses.begin(upstream, model, unread_tokens);
+            gateway
+                .shared
+                .uses
+                .begin(upstream, model, pending_prompt_tokens);
         }
         Self {
             gateway: Rc::clone(gateway),
             upstream: Arc::clone(&choice.upstream),
             model: model.cloned(),
-            unread_tokens,
+            pending_prompt_tokens,
             expected_ms: choice.expected_ms,
             sent: now,
             first: None,
@@ -87,7 +90,7 @@
     /// Called when a part of the answer's body arrives.
     pub(crate) fn record_progress(&mut self) {
         if let Some(first) = self.first {
-            self.trial.take_if(|_| first.elapsed() > BEGINNING);
+            self.trial.take_if(|_| first.elapsed() > STARTUP_PERIOD);
             return;
         }
         let now = Instant::now();
@@ -96,10 +99,10 @@
         self.gateway
             .shared
             .uses
-            .read(&self.upstream.id, self.unread_tokens);
+            .read(&self.upstream.id, self.pending_prompt_tokens);
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        dispatcher.prompt_read(&self.upstream.id, self.unread_tokens);
-        dispatcher.answer_began(&self.upstream.id, self.expected_ms, took, now);
+        dispatcher.record_prompt_read(&self.upstream.id, self.pending_prompt_tokens);
+        dispatcher.record_answer_started(&self.upstream.id, self.expected_ms, took, now);
     }
 
     /// Called when the answer is complete: with its last byte, and again if the body is polled
@@ -110,7 +113,7 @@
         }
         if let (Some(_), Some(first)) = (&self.model, self.first) {
             let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-            dispatcher.note_run(first.elapsed());
+            dispatcher.record_slot_time(first.elapsed());
         }
         // Only plain requests report their duration: that of an engine's answer does not tell when
         // a rate limit has room again.
@@ -150,7 +153,7 @@
         self.record_broken();
         let broken = BrokenRequest {
             digest: self.digest,
-            began_ago: self.first.map(|first| first.elapsed()),
+            since_first_event: self.first.map(|first| first.elapsed()),
         };
         self.gateway.check_for_crash(&self.upstream, broken);
     }
@@ -165,7 +168,7 @@
             self.has_outcome = true;
             self.gateway.shared.metrics.sent(outcome.name());
             let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-            dispatcher.note_outcome(&self.upstream.id, outcome, Instant::now());
+            dispatcher.record_outcome(&self.upstream.id, outcome, Instant::now());
         }
     }
 }
@@ -175,10 +178,10 @@
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         let uses = &self.gateway.shared.uses;
         if self.first.is_none() {
-            dispatcher.prompt_read(&self.upstream.id, self.unread_tokens);
-            uses.read(&self.upstream.id, self.unread_tokens);
+            dispatcher.record_prompt_read(&self.upstream.id, self.pending_prompt_tokens);
+            uses.read(&self.upstream.id, self.pending_prompt_tokens);
         }
-        dispatcher.ended(&self.upstream.id);
+        dispatcher.record_ended(&self.upstream.id);
         if let Some(model) = &self.model {
             uses.end(&self.upstream.id, model);
         }
@@ -194,7 +197,7 @@
             "waited_ms" => self.waited.as_millis(), "expected_ms" => self.expected_ms,
             "first_ms" => first.map(|first| first.as_millis()),
             "took_ms" => self.sent.elapsed().as_millis(), "is_settled" => self.has_outcome,
-            "tokens" => self.unread_tokens,
+            "tokens" => self.pending_prompt_tokens,
             "model" => self.model.as_ref().map(ToString::to_string)
         );
     }
--- a/crates/relay-node/src/traffic/limits.rs
+++ b/crates/relay-node/src/traffic/limits.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::UpstreamId;
-use nutmegsail_relay::{LimitChange, LimitSaid, RateBucket, Upstream};
+use nutmegsail_relay::{AnnouncedLimit, LimitChange, RateBucket, Upstream};
 use nutmegsail_telemetry::{Event, log_event};
 
 use super::call::Call;
@@ -59,7 +59,7 @@
         // A limit close to zero gives a wait that an `Instant` cannot represent.
         let until = now.checked_add(wait.min(MAX_WAIT)).unwrap_or(now);
         let mut dispatcher = self.dispatcher.borrow_mut();
-        dispatcher.note_limited(upstream, until);
+        dispatcher.record_rate_limited(upstream, until);
         drop(dispatcher);
         log_event!(
             self.log, Event::HeldBack,
@@ -69,7 +69,7 @@
     }
 
     /// Records what an answer to `call` states about its upstream's rate limit.
-    pub(super) fn record_limit(&self, call: &Call, upstream: &Upstream, stated: LimitSaid) {
+    pub(super) fn record_limit(&self, call: &Call, upstream: &Upstream, stated: AnnouncedLimit) {
         let change = self
             .shared
             .limits()
@@ -84,7 +84,7 @@
                 self.log, Event::LimitEnded,
                 "upstream" => upstream.id.to_string(), "request" => call.id.to_string()
             ),
-            None if stated == LimitSaid::Malformed => log_event!(
+            None if stated == AnnouncedLimit::Malformed => log_event!(
                 self.log, Event::LimitMalformed,
                 "upstream" => upstream.id.to_string(), "request" => call.id.to_string()
             ),
--- a/crates/relay-node/src/traffic/listener.rs
+++ b/crates/relay-node/src/traffic/listener.rs
@@ -16,7 +16,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use nutmegsail_base::{RequestId, ResultCode};
 use nutmegsail_http_pool::prepare_socket;
-use nutmegsail_relay::{PromptChain, RequestContent, RequestDigest, RouteTable};
+use nutmegsail_relay::{PromptPrefix, RequestContent, RequestDigest, RouteTable};
 use nutmegsail_request::{Refusal, Request as RequestState};
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
@@ -198,7 +198,7 @@
                 view.versions.rule(model, overlap, Instant::now())
             });
         let model = meta.model.as_ref();
-        let prompt = model.map(|model| PromptChain::new(model, &meta.prompt_parts));
+        let prompt = model.map(|model| PromptPrefix::new(model, &meta.prompt_parts));
         let id = request_id(Some(&meta));
         let waited_before = self.waited_before(&route.name, meta.deadline);
         let wait_limit = meta.deadline.unwrap_or(DEFAULT_DEADLINE);
--- a/crates/relay-node/src/traffic/plain_slot.rs
+++ b/crates/relay-node/src/traffic/plain_slot.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::ResultCode;
-use nutmegsail_relay::{Choice, Refusal as NoChoice, SlotAsk};
+use nutmegsail_relay::{Choice, ChooseError as NoChoice, SlotRequest};
 
 use super::call::Call;
 use super::gateway::{Gateway, SendHistory};
@@ -96,7 +96,7 @@
     ) -> PermitResult {
         let (view, now) = (self.shared.view.load_full(), Instant::now());
         let upstream = &choice.upstream.id;
-        let limit = self.shared.limits().told_of(upstream, now);
+        let limit = self.shared.limits().update_for(upstream, now);
         let per_s = limit.as_ref().and_then(|limit| limit.per_s);
         let taken = match view.slot_nodes.get(upstream) {
             Some(node) => {
@@ -124,14 +124,14 @@
         result
     }
 
-    fn slot_request(&self, call: &Call, may_queue: bool, now: Instant) -> SlotAsk {
+    fn slot_request(&self, call: &Call, may_queue: bool, now: Instant) -> SlotRequest {
         let elapsed = now.duration_since(call.began) + call.waited_before;
-        let in_time = call.route.objective.saturating_sub(elapsed);
-        SlotAsk {
-            in_time_ms: whole_millis(in_time),
-            patience_ms: whole_millis(call.remaining(now).min(in_time + MAX_LATENESS)),
+        let in_time = call.route.latency_objective.saturating_sub(elapsed);
+        SlotRequest {
+            due_in_ms: whole_millis(in_time),
+            wait_limit_ms: whole_millis(call.remaining(now).min(in_time + MAX_LATENESS)),
             may_queue,
-            rank: call.priority(),
+            priority: call.priority(),
         }
     }
 
--- a/crates/relay-node/src/traffic/resumable_body.rs
+++ b/crates/relay-node/src/traffic/resumable_body.rs
@@ -175,7 +175,7 @@
             reading.in_flight.record_complete();
         }
         self.state = State::Ended;
-        let rest = self.events.take_rest();
+        let rest = self.events.take_partial();
         match rest.is_empty() {
             true => Poll::Ready(None),
             false => Poll::Ready(Some(Ok(Frame::data(rest.into())))),
--- a/crates/relay-node/src/traffic/resume.rs
+++ b/crates/relay-node/src/traffic/resume.rs
@@ -43,7 +43,7 @@
         sends: &SendHistory,
         upstream: &UpstreamId,
     ) -> Option<Self> {
-        let is_resumable = call.route.kind.is_stream() && call.route.kind.may_repeat();
+        let is_resumable = call.route.kind.is_stream() && call.route.kind.may_retry();
         let mut sends = sends.clone();
         sends.record_uncertain_send(upstream);
         let resumption = Self {
--- a/crates/relay-node/src/traffic/send.rs
+++ b/crates/relay-node/src/traffic/send.rs
@@ -44,8 +44,8 @@
 const NON_RETRYABLE_MAX_IDLE: Duration = Duration::from_secs(3);
 
 /// The timeout of an idempotent request that another upstream could serve, as a multiple of its
-/// latency objective. The slowest normal answers take about 1.5 times the objective (220 ms where it
-/// is 150 ms). Waiting longer for an upstream that does not respond uses up the caller's time.
+/// latency objective. The slowest normal answers take about 1.5 times the objective (220 ms where
+/// it is 150 ms). Waiting longer for an upstream that does not respond uses up the caller's time.
 const IDEMPOTENT_TIMEOUT_FACTOR: u32 = 3;
 
 impl Gateway {
@@ -74,10 +74,10 @@
         let mut in_flight = InFlight::begin(self, call, choice);
         self.dispatcher
             .borrow_mut()
-            .note_prompt(&upstream.id, &call.prompt, now);
+            .record_prompt(&upstream.id, &call.prompt, now);
         let address = upstream.address.to_string();
         let head_timeout = head_timeout(call, has_alternative, remaining);
-        let max_idle = match call.route.kind.may_repeat() {
+        let max_idle = match call.route.kind.may_retry() {
             true => Duration::MAX,
             false => NON_RETRYABLE_MAX_IDLE,
         };
@@ -86,7 +86,7 @@
             Ok(Ok(answer)) => answer,
             Ok(Err(SendError::NotSent)) => {
                 let mut dispatcher = self.dispatcher.borrow_mut();
-                dispatcher.note_unreachable(&upstream.id, Instant::now());
+                dispatcher.record_unreachable(&upstream.id, Instant::now());
                 return SendOutcome::NotArrived;
             }
             Ok(Err(SendError::AtLimit)) => return SendOutcome::NotArrived,
@@ -174,9 +174,9 @@
             .is_some_and(|answered| answered != intended);
         match &call.meta.model {
             Some(model) if !is_other => {
-                dispatcher.note_absent(&choice.upstream.id, model, Instant::now());
+                dispatcher.record_adapter_missing(&choice.upstream.id, model, Instant::now());
             }
-            _ => dispatcher.note_gone(&choice.upstream.id, Instant::now()),
+            _ => dispatcher.record_replaced(&choice.upstream.id, Instant::now()),
         }
     }
 
@@ -210,7 +210,7 @@
 fn head_timeout(call: &Call, has_alternative: bool, remaining: Duration) -> Duration {
     match call.route.kind {
         CallKind::Idempotent if has_alternative => {
-            remaining.min(call.route.objective * IDEMPOTENT_TIMEOUT_FACTOR)
+            remaining.min(call.route.latency_objective * IDEMPOTENT_TIMEOUT_FACTOR)
         }
         _ => remaining,
     }
--- a/crates/relay-node/src/traffic/slot_client.rs
+++ b/crates/relay-node/src/traffic/slot_client.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::UpstreamId;
-use nutmegsail_relay::{LimitTold, SlotAnswer, SlotAsk};
+use nutmegsail_relay::{LimitUpdate, SlotAnswer, SlotRequest};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
@@ -95,8 +95,8 @@
         self: &Rc<Self>,
         upstream: &UpstreamId,
         node: SocketAddr,
-        ask: SlotAsk,
-        limit: Option<LimitTold>,
+        ask: SlotRequest,
+        limit: Option<LimitUpdate>,
     ) -> SlotOutcome {
         if self.is_unresponsive(node) {
             return SlotOutcome::NoAnswer;
@@ -115,7 +115,7 @@
                     return SlotOutcome::Refused(millis(wait_ms));
                 }
                 Ok(Some(SlotAnswer::Queued)) => {
-                    wait_limit = millis(ask.patience_ms) + QUEUE_MARGIN;
+                    wait_limit = millis(ask.wait_limit_ms) + QUEUE_MARGIN;
                 }
                 Ok(None) | Err(_) if wait_limit == ANSWER_TIMEOUT => {
                     self.unresponsive.borrow_mut().insert(node, Instant::now());
@@ -136,8 +136,8 @@
         self: &Rc<Self>,
         upstream: &UpstreamId,
         node: SocketAddr,
-        ask: SlotAsk,
-        limit: Option<LimitTold>,
+        ask: SlotRequest,
+        limit: Option<LimitUpdate>,
     ) -> (SlotPermit, Answers) {
         let id = self.last_id.get().wrapping_add(1);
         self.last_id.set(id);
--- a/crates/relay-node/src/traffic/upstream_notices.rs
+++ b/crates/relay-node/src/traffic/upstream_notices.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use nutmegsail_relay::{RestSaid, Upstream};
+use nutmegsail_relay::{RequestedBackoff, Upstream};
 use nutmegsail_telemetry::{Event, log_event};
 
 use super::call::Call;
@@ -32,8 +32,10 @@
 
     fn record_leaving(&self, call: &Call, upstream: &Upstream) {
         let now = Instant::now();
-        self.dispatcher.borrow_mut().note_leaving(&upstream.id, now);
-        if self.shared.notices().note_leaving(&upstream.id, now) {
+        self.dispatcher
+            .borrow_mut()
+            .record_leaving(&upstream.id, now);
+        if self.shared.notices().record_leaving(&upstream.id, now) {
             log_event!(
                 self.log, Event::UpstreamLeaving,
                 "upstream" => upstream.id.to_string(), "told_by" => "answer",
@@ -42,15 +44,15 @@
         }
     }
 
-    fn record_backoff(&self, call: &Call, upstream: &Upstream, stated: RestSaid) {
+    fn record_backoff(&self, call: &Call, upstream: &Upstream, stated: RequestedBackoff) {
         match stated {
-            RestSaid::None | RestSaid::For(Duration::ZERO) => {}
-            RestSaid::For(rest) => {
+            RequestedBackoff::None | RequestedBackoff::For(Duration::ZERO) => {}
+            RequestedBackoff::For(rest) => {
                 let (mut notices, now) = (self.shared.notices(), Instant::now());
-                let until = notices.note_rest(&upstream.id, rest, now, &mut rand::rng());
+                let until = notices.record_backoff(&upstream.id, rest, now, &mut rand::rng());
                 drop(notices);
                 let mut dispatcher = self.dispatcher.borrow_mut();
-                dispatcher.note_rest(&upstream.id, until);
+                dispatcher.record_backoff(&upstream.id, until);
                 drop(dispatcher);
                 log_event!(
                     self.log, Event::RestAsked,
@@ -58,7 +60,7 @@
                     "request" => call.id.to_string()
                 );
             }
-            RestSaid::Malformed => log_event!(
+            RequestedBackoff::Malformed => log_event!(
                 self.log, Event::RestMalformed,
                 "upstream" => upstream.id.to_string(), "request" => call.id.to_string()
             ),
--- a/crates/relay-node/src/traffic_message.rs
+++ b/crates/relay-node/src/traffic_message.rs
@@ -2,7 +2,7 @@
 
 use nutmegsail_base::UpstreamId;
 use nutmegsail_quota::QuotaMessage;
-use nutmegsail_relay::{LimitTold, SlotAnswer, SlotAsk};
+use nutmegsail_relay::{LimitUpdate, SlotAnswer, SlotRequest};
 use serde::{Deserialize, Serialize};
 
 /// Identifies a slot request of one node.
@@ -15,9 +15,9 @@
     Ask {
         id: SlotAskId,
         upstream: UpstreamId,
-        ask: SlotAsk,
+        ask: SlotRequest,
         /// What the sender knows of the upstream's rate limit.
-        limit: Option<LimitTold>,
+        limit: Option<LimitUpdate>,
     },
     /// The answer to an `Ask`; one that follows [`SlotAnswer::Queued`] has the same id.
     Answer {
--- a/crates/relay/src/access.rs
+++ b/crates/relay/src/access.rs
@@ -39,7 +39,7 @@
 
 /// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
+pub enum AccessDenied {
     /// The request has no valid key.
     NoKey {
         /// Whether the next update of the configuration might contain the key.
@@ -62,18 +62,18 @@
     ///
     /// # Errors
     ///
-    /// [`Denied`] if the request must not be served.
+    /// [`AccessDenied`] if the request must not be served.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use nutmegsail_relay::{AccessRules, CallerKey, Caller, Denied, Teams};
+    /// use nutmegsail_relay::{AccessDenied, AccessRules, Caller, CallerKey, Teams};
     /// let rules = AccessRules { revocation: Some(Duration::from_secs(5)) };
     /// let (teams, now) = (Teams::default(), Duration::ZERO);
     /// let key = CallerKey::Absent;
     /// assert_eq!(rules.caller(None, false, &key, now), Ok(Caller::Anonymous));
     /// assert_eq!(
     ///     rules.caller(Some(&teams), false, &key, now),
-    ///     Err(Denied::NoKey { may_be_new: false }),
+    ///     Err(AccessDenied::NoKey { may_be_new: false }),
     /// );
     /// ```
     pub fn caller(
@@ -82,17 +82,17 @@
         allows_anonymous: bool,
         key: &CallerKey,
         news_age: Duration,
-    ) -> Result<Caller, Denied> {
+    ) -> Result<Caller, AccessDenied> {
         let Some(teams) = teams else {
             return Ok(Caller::Anonymous);
         };
         let is_stale = !self.accepts_keys(news_age);
         let denied = match key {
-            CallerKey::Absent | CallerKey::Malformed => Denied::NoKey { may_be_new: false },
-            CallerKey::Given(_) if is_stale => Denied::Stale,
+            CallerKey::Absent | CallerKey::Malformed => AccessDenied::NoKey { may_be_new: false },
+            CallerKey::Given(_) if is_stale => AccessDenied::Stale,
             CallerKey::Given(key) => match teams.by_key(key) {
                 Some(team) => return Ok(Caller::Team(Arc::clone(team))),
-                None => Denied::NoKey {
+                None => AccessDenied::NoKey {
                     may_be_new: news_age > FRESH_CONFIG_AGE,
                 },
             },
@@ -107,14 +107,14 @@
     ///
     /// # Errors
     ///
-    /// [`Denied`] if the request must not be served.
+    /// [`AccessDenied`] if the request must not be served.
     pub fn caller_on(
         &self,
         table: &RouteTable,
         route: &Route,
         key: &CallerKey,
         news_age: Duration,
-    ) -> Result<Caller, Denied> {
+    ) -> Result<Caller, AccessDenied> {
         self.caller(table.teams(), route.allows_anonymous, key, news_age)
     }
 
--- a/crates/relay/src/rest.rs
+++ b/crates/relay/src/backoff.rs
@@ -12,7 +12,7 @@
 /// The backoff that an upstream requested. After it, a single trial request must be answered before
 /// other requests are sent.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Rest {
+pub(crate) struct Backoff {
     until: Option<Instant>,
     trial: Trial,
 }
@@ -29,7 +29,7 @@
     Sent(Instant),
 }
 
-impl Rest {
+impl Backoff {
     /// Starts a backoff that ends at `until`. Ignored if a longer one is in effect.
     pub(crate) fn begin(&mut self, until: Instant) {
         if self.until < Some(until) {
--- a/crates/relay/src/call_kind.rs
+++ b/crates/relay/src/call_kind.rs
@@ -22,10 +22,10 @@
     ///
     /// ```
     /// use nutmegsail_relay::CallKind;
-    /// assert!(CallKind::Idempotent.may_repeat());
-    /// assert!(!CallKind::Stream { is_resumable: false }.may_repeat());
+    /// assert!(CallKind::Idempotent.may_retry());
+    /// assert!(!CallKind::Stream { is_resumable: false }.may_retry());
     /// ```
-    pub fn may_repeat(self) -> bool {
+    pub fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { is_resumable: true })
     }
 
--- a/crates/relay/src/copies.rs
+++ b/crates/relay/src/copies.rs
@@ -7,18 +7,18 @@
 use crate::dispatcher::CROSS_DOMAIN_COST_MS;
 use crate::eligibility::Eligibility;
 use crate::load_times::RESTORE_TIME_FRACTION;
-use crate::{Dispatcher, LoadTimes, ModelRef, Need, Tracked, VersionRule};
+use crate::{DispatchRequest, Dispatcher, LoadTimes, ModelRef, Tracked, VersionRule};
 
 /// Where a further copy of an adapter should be loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CopyPlace {
+pub enum CopyScope {
     /// At an engine in this failure domain.
     Domain(FailureDomain),
     /// At any engine.
     Anywhere,
 }
 
-impl CopyPlace {
+impl CopyScope {
     fn includes(&self, domain: &FailureDomain) -> bool {
         match self {
             Self::Domain(wanted) => wanted == domain,
@@ -29,11 +29,11 @@
 
 /// An engine that could load an adapter.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LoadPlace {
+pub struct LoadCandidate {
     /// The engine.
     pub engine: UpstreamId,
     /// Cost in milliseconds of expected wait. Only meaningful for comparing engines.
-    pub wait_ms: f64,
+    pub cost_ms: f64,
     /// Whether the engine dropped the adapter recently and can restore it from host memory.
     pub is_recent: bool,
 }
@@ -77,21 +77,26 @@
     /// Most adapters of a busy engine are held nowhere else. Without a further copy, their requests
     /// queue there for two seconds or more, missing every latency objective, while other engines
     /// are idle.
-    pub fn is_sooner_elsewhere(&self, need: &Need<'_>, expected_ms: f64, now: Instant) -> bool {
+    pub fn is_sooner_elsewhere(
+        &self,
+        need: &DispatchRequest<'_>,
+        expected_ms: f64,
+        now: Instant,
+    ) -> bool {
         let Some(model) = need.model else {
             return false;
         };
         if expected_ms < LONG_WAIT_MS {
             return false;
         }
-        let scope = &CopyPlace::Anywhere;
-        let engines = self.engines_to_load(need.service, model, VersionRule::ANY, scope, now);
+        let scope = &CopyScope::Anywhere;
+        let engines = self.load_candidates(need.service, model, VersionRule::ANY, scope, now);
         let holds = |id: &UpstreamId| {
             let tracked = self.tracked(id);
             tracked.is_some_and(|tracked| tracked.version_of(model, now).is_some())
         };
         let others = engines.iter().filter(|candidate| !holds(&candidate.engine));
-        let shortest_ms = others.map(|candidate| candidate.wait_ms);
+        let shortest_ms = others.map(|candidate| candidate.cost_ms);
         let shortest_ms = shortest_ms.fold(f64::INFINITY, f64::min);
         let prompt_ms = self.prompt_time_ms(need.prompt_tokens);
         shortest_ms - NOT_LOADING_COST_MS + prompt_ms < expected_ms * MAX_WAIT_RATIO
@@ -127,14 +132,14 @@
     ///
     /// Engines without the base model cannot load an adapter. As they are idle too, they would be
     /// the first choice of every request, and all would wait for an order that cannot be given.
-    pub fn engines_to_load(
+    pub fn load_candidates(
         &self,
         service: &ServiceName,
         model: &ModelRef,
         version: VersionRule,
-        scope: &CopyPlace,
+        scope: &CopyScope,
         now: Instant,
-    ) -> Vec<LoadPlace> {
+    ) -> Vec<LoadCandidate> {
         let can_load = |tracked: &&Tracked| {
             let has_base = tracked.has_base(model, now);
             let held_version = tracked.version_of(model, now);
@@ -144,12 +149,12 @@
                 && has_base
                 && scope.includes(&tracked.upstream.failure_domain)
                 && !held_version.is_some_and(|held| version.prefers(held))
-                && (tracked.coming(now).len() < MAX_QUEUED_LOADS
-                    || tracked.coming(now).contains(&model.digest()))
+                && (tracked.loading(now).len() < MAX_QUEUED_LOADS
+                    || tracked.loading(now).contains(&model.digest()))
         };
         let engines: Vec<&Tracked> = self.upstreams.values().filter(can_load).collect();
         let engines = preferred(engines, |tracked| !tracked.is_limited);
-        let is_loading = |tracked: &Tracked| tracked.coming(now).contains(&model.digest());
+        let is_loading = |tracked: &Tracked| tracked.loading(now).contains(&model.digest());
         let has_room = |tracked: &Tracked| tracked.has_room(now) || is_loading(tracked);
         preferred(engines, has_room)
             .into_iter()
@@ -163,15 +168,15 @@
         model: &ModelRef,
         version: VersionRule,
         now: Instant,
-    ) -> LoadPlace {
+    ) -> LoadCandidate {
         let is_recent = tracked.dropped_recently(model, version);
-        let candidate = |wait_ms| LoadPlace {
+        let candidate = |cost_ms| LoadCandidate {
             engine: tracked.upstream.id.clone(),
-            wait_ms,
+            cost_ms,
             is_recent,
         };
         // An engine that is already loading the adapter has it soonest and at no further cost.
-        if tracked.coming(now).contains(&model.digest()) {
+        if tracked.loading(now).contains(&model.digest()) {
             return candidate(0.0);
         }
         let queue_ms = NOT_LOADING_COST_MS + tracked.expected_first_event_ms(0, now);
@@ -190,7 +195,7 @@
                     + domain_cost_ms,
             );
         }
-        let queued_loads_ms = tracked.coming(now).len() as f64 * self.load_ms;
+        let queued_loads_ms = tracked.loading(now).len() as f64 * self.load_ms;
         let load_ms = self.load_ms
             + ORDER_ROUND_TRIP_MS
             + STORE_USE_COST_MS
@@ -212,8 +217,8 @@
 
     /// Updates the expected load times.
     pub fn set_load_times(&mut self, times: &LoadTimes) {
-        self.are_loads_quick = times.are_quick();
-        self.load_ms = times.usual(0.0).as_secs_f64() * 1_000.0;
+        self.are_loads_quick = times.are_uncongested();
+        self.load_ms = times.expected(0.0).as_secs_f64() * 1_000.0;
     }
 }
 
--- a/crates/relay/src/crash_watch.rs
+++ b/crates/relay/src/crash_watch.rs
@@ -11,7 +11,7 @@
 ///
 /// A request that crashes its upstream does so while it is read or starts to run. Streams run for
 /// seconds, so most requests that an upstream runs when it ends started long before.
-pub const BEGINNING: Duration = Duration::from_secs(1);
+pub const STARTUP_PERIOD: Duration = Duration::from_secs(1);
 
 /// How long an upstream that was found to have ended counts as ended. Its connections break within
 /// milliseconds, but some breaks are noticed only after the probe.
@@ -23,19 +23,20 @@
     /// The digest of its content.
     pub digest: RequestDigest,
     /// Time since its first event, if one arrived.
-    pub began_ago: Option<Duration>,
+    pub since_first_event: Option<Duration>,
 }
 
 impl BrokenRequest {
     /// Whether the request was still starting, so that it may have crashed the upstream.
-    pub fn is_beginning(&self) -> bool {
-        self.began_ago.is_none_or(|ago| ago < BEGINNING)
+    pub fn is_starting(&self) -> bool {
+        self.since_first_event
+            .is_none_or(|ago| ago < STARTUP_PERIOD)
     }
 }
 
 /// What to do about a broken request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CrashStep {
+pub enum BrokenRequestAction {
     /// Probe the upstream now.
     Check,
     /// Wait for the probe that is under way.
@@ -48,7 +49,7 @@
 
 /// Result of probing an upstream's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum ProbeResult {
     /// It accepts connections.
     Connected,
     /// It refuses connections: nothing listens there any more.
@@ -65,12 +66,14 @@
 ///
 /// ```
 /// use std::time::Instant;
-/// use nutmegsail_relay::{BrokenRequest, CrashStep, CrashWatch, Reach, RequestContent, RequestDigest};
+/// use nutmegsail_relay::{
+///     BrokenRequest, BrokenRequestAction, CrashWatch, ProbeResult, RequestContent, RequestDigest,
+/// };
 /// let content = RequestContent { method: "POST", host: "spa", path: "/", team: None, body: b"" };
-/// let broken = BrokenRequest { digest: RequestDigest::of(&content), began_ago: None };
+/// let broken = BrokenRequest { digest: RequestDigest::of(&content), since_first_event: None };
 /// let (mut watch, now) = (CrashWatch::default(), Instant::now());
-/// assert_eq!(watch.note_broken(&"engine-1".into(), broken, now), CrashStep::Check);
-/// let struck = watch.note_reach(&"engine-1".into(), Reach::Refused, now);
+/// assert_eq!(watch.note_broken(&"engine-1".into(), broken, now), BrokenRequestAction::Check);
+/// let struck = watch.record_probe(&"engine-1".into(), ProbeResult::Refused, now);
 /// assert_eq!(struck, [broken.digest]);
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -93,36 +96,36 @@
         upstream: &UpstreamId,
         broken: BrokenRequest,
         now: Instant,
-    ) -> CrashStep {
-        if !broken.is_beginning() {
-            return CrashStep::Ignore;
+    ) -> BrokenRequestAction {
+        if !broken.is_starting() {
+            return BrokenRequestAction::Ignore;
         }
         self.forget_ended(now);
         match self.upstreams.get_mut(upstream) {
-            Some(ProbeState::Ended(_)) => CrashStep::Strike,
+            Some(ProbeState::Ended(_)) => BrokenRequestAction::Strike,
             Some(ProbeState::Probing(broken_requests)) => {
                 broken_requests.push(broken.digest);
-                CrashStep::Wait
+                BrokenRequestAction::Wait
             }
             None => {
                 let probing = ProbeState::Probing(vec![broken.digest]);
                 self.upstreams.insert(upstream.clone(), probing);
-                CrashStep::Check
+                BrokenRequestAction::Check
             }
         }
     }
 
     /// Records the result of a probe, and returns the requests to add a strike to.
-    pub fn note_reach(
+    pub fn record_probe(
         &mut self,
         upstream: &UpstreamId,
-        reach: Reach,
+        reach: ProbeResult,
         now: Instant,
     ) -> Vec<RequestDigest> {
         let Some(ProbeState::Probing(mut broken)) = self.upstreams.remove(upstream) else {
             return Vec::new();
         };
-        if reach != Reach::Refused {
+        if reach != ProbeResult::Refused {
             return Vec::new();
         }
         self.upstreams
@@ -133,7 +136,7 @@
     }
 
     /// Whether a probe is under way of an upstream that `digest` may have crashed.
-    pub fn is_checking(&self, digest: &RequestDigest) -> bool {
+    pub fn is_probing(&self, digest: &RequestDigest) -> bool {
         self.upstreams.values().any(|state| match state {
             ProbeState::Probing(broken) => broken.contains(digest),
             ProbeState::Ended(_) => false,
--- a/crates/relay/src/dispatcher.rs
+++ b/crates/relay/src/dispatcher.rs
@@ -11,13 +11,13 @@
 use crate::load_times::INITIAL_LOAD_MS;
 use crate::tracked::{INITIAL_SLOT_TIME_MS, PROMPT_TOKEN_MS};
 use crate::{
-    DomainsHeard, Holdings, HoldingsTold, ModelRef, Outcome, PromptChain, Report, Tracked,
+    DomainContacts, Holdings, HoldingsReport, LoadReport, ModelRef, Outcome, PromptPrefix, Tracked,
     Upstream, VersionRule,
 };
 
 /// What a request requires of an upstream.
 #[derive(Clone, Debug)]
-pub struct Need<'a> {
+pub struct DispatchRequest<'a> {
     /// The service that the route leads to.
     pub service: &'a ServiceName,
     /// The model, for requests to a model engine.
@@ -27,7 +27,7 @@
     /// Length of the prompt in tokens; 0 for plain services.
     pub prompt_tokens: u64,
     /// The prompt's parts, if the caller identified them.
-    pub prompt: &'a PromptChain,
+    pub prompt: &'a PromptPrefix,
     /// Upstreams that already received this request.
     pub tried: &'a [UpstreamId],
 }
@@ -40,8 +40,9 @@
     /// The version of the requested model that the upstream holds.
     pub version: Option<u64>,
     /// Prompt tokens that the upstream has to process, without those it is expected to have cached.
-    pub unread_tokens: u64,
-    /// Expected time to the first event, in milliseconds. Pass it to [`Dispatcher::answer_began`].
+    pub uncached_tokens: u64,
+    /// Expected time to the first event, in milliseconds. Pass it to
+    /// [`Dispatcher::record_answer_started`].
     pub expected_ms: f64,
     /// Whether the upstream holds the version that new requests should start on.
     pub is_preferred: bool,
@@ -51,7 +52,7 @@
 
 /// Why no upstream can serve a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum ChooseError {
     /// No known upstream of the service accepts requests.
     NoUpstream,
     /// No upstream that accepts requests holds the adapter in an allowed version.
@@ -119,7 +120,7 @@
     /// Observed over assumed time for engines to process prompts and run steps.
     latency_factor: f64,
     /// The last contact with a node of each failure domain.
-    domains_heard: DomainsHeard,
+    domains_heard: DomainContacts,
     /// How long an upstream that announced its shutdown still gets requests that no other can
     /// serve.
     pub(crate) leaving_grace: Duration,
@@ -135,7 +136,7 @@
             load_ms: INITIAL_LOAD_MS,
             slot_time_ms: INITIAL_SLOT_TIME_MS,
             latency_factor: 1.0,
-            domains_heard: DomainsHeard::default(),
+            domains_heard: DomainContacts::default(),
             leaving_grace: Duration::ZERO,
         }
     }
@@ -164,30 +165,35 @@
     }
 
     /// Records what an engine holds after an adapter was loaded.
-    pub fn note_holdings(&mut self, id: &UpstreamId, holdings: &Holdings, now: Instant) {
+    pub fn record_holdings(&mut self, id: &UpstreamId, holdings: &Holdings, now: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
-            tracked.note_holdings(holdings, now);
+            tracked.record_holdings(holdings, now);
         }
     }
 
     /// Records a report from an engine's owner.
-    pub fn note_told(&mut self, id: &UpstreamId, holdings: &HoldingsTold, report: Report) {
+    pub fn record_owner_report(
+        &mut self,
+        id: &UpstreamId,
+        holdings: &HoldingsReport,
+        report: LoadReport,
+    ) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
-            tracked.note_told(holdings, report);
+            tracked.record_owner_report(holdings, report);
         }
     }
 
     /// Records that an engine does not hold `model`.
-    pub fn note_absent(&mut self, id: &UpstreamId, model: &ModelRef, now: Instant) {
+    pub fn record_adapter_missing(&mut self, id: &UpstreamId, model: &ModelRef, now: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
-            tracked.note_absent(model, now);
+            tracked.record_adapter_missing(model, now);
         }
     }
 
     /// Records that another process now answers at an upstream's address.
-    pub fn note_gone(&mut self, id: &UpstreamId, now: Instant) {
+    pub fn record_replaced(&mut self, id: &UpstreamId, now: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
-            tracked.note_gone(now);
+            tracked.record_replaced(now);
         }
     }
 
@@ -195,7 +201,7 @@
     ///
     /// Has no effect if the list of upstreams already says so, as such an upstream gets no
     /// requests.
-    pub fn note_leaving(&mut self, id: &UpstreamId, now: Instant) {
+    pub fn record_leaving(&mut self, id: &UpstreamId, now: Instant) {
         let tracked = self.upstreams.get_mut(id);
         if let Some(tracked) = tracked.filter(|tracked| tracked.upstream.takes_work()) {
             tracked.leaving_since.get_or_insert(now);
@@ -203,14 +209,14 @@
     }
 
     /// Records that an upstream asked this node to back off until `until`.
-    pub fn note_rest(&mut self, id: &UpstreamId, until: Instant) {
+    pub fn record_backoff(&mut self, id: &UpstreamId, until: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.rest.begin(until);
         }
     }
 
     /// Updates until when each upstream asked this node to back off.
-    pub fn set_rests(&mut self, until: impl Fn(&UpstreamId) -> Option<Instant>) {
+    pub fn set_backoffs(&mut self, until: impl Fn(&UpstreamId) -> Option<Instant>) {
         for (id, tracked) in &mut self.upstreams {
             if let Some(until) = until(id) {
                 tracked.rest.begin(until);
@@ -232,9 +238,9 @@
     }
 
     /// Records that an upstream's limit is exhausted until `until`.
-    pub fn note_limited(&mut self, id: &UpstreamId, until: Instant) {
+    pub fn record_rate_limited(&mut self, id: &UpstreamId, until: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
-            tracked.note_limited(until);
+            tracked.record_rate_limited(until);
         }
     }
 
@@ -252,13 +258,13 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal`] if no upstream can serve the request now.
+    /// [`ChooseError`] if no upstream can serve the request now.
     pub fn choose(
         &self,
-        need: &Need<'_>,
+        need: &DispatchRequest<'_>,
         now: Instant,
         random: &mut dyn Rng,
-    ) -> Result<Choice, Refusal> {
+    ) -> Result<Choice, ChooseError> {
         let candidates = self.candidates(need, now)?;
         let preferred = affinity_engine(need, &candidates);
         let scored = candidates.into_iter().map(|candidate| {
@@ -271,39 +277,39 @@
             )
         });
         let best = scored.min_by(|(a, _), (b, _)| a.total_cmp(b));
-        let (score, best) = best.ok_or(Refusal::AllBusy)?;
+        let (score, best) = best.ok_or(ChooseError::AllBusy)?;
         let (tracked, version) = (best.tracked, best.version);
         if score >= PAUSED_PENALTY_MS && !need.tried.is_empty() {
-            return Err(Refusal::AllBusy);
+            return Err(ChooseError::AllBusy);
         }
         let cached_tokens = tracked.cached_tokens(need.prompt, now);
-        let unread_tokens = need.prompt_tokens.saturating_sub(cached_tokens);
+        let uncached_tokens = need.prompt_tokens.saturating_sub(cached_tokens);
         Ok(Choice {
             upstream: Arc::clone(&tracked.upstream),
             version,
-            unread_tokens,
-            expected_ms: tracked.expected_first_event_ms(unread_tokens, now),
+            uncached_tokens,
+            expected_ms: tracked.expected_first_event_ms(uncached_tokens, now),
             is_preferred: version.is_none_or(|version| need.version.prefers(version)),
             is_leaving: best.eligibility == Eligibility::Leaving,
         })
     }
 
-    /// The upstreams that can serve the request. Those that are leaving are returned only if no other
-    /// can, and those with an older version only if none holds the version that new requests should
-    /// start on.
+    /// The upstreams that can serve the request. Those that are leaving are returned only if no
+    /// other can, and those with an older version only if none holds the version that new requests
+    /// should start on.
     fn candidates<'a>(
         &'a self,
-        need: &Need<'_>,
+        need: &DispatchRequest<'_>,
         now: Instant,
-    ) -> Result<Vec<Candidate<'a>>, Refusal> {
-        let mut refusal = Refusal::NoUpstream;
+    ) -> Result<Vec<Candidate<'a>>, ChooseError> {
+        let mut refusal = ChooseError::NoUpstream;
         let mut candidates = Vec::new();
         for tracked in self.untried_upstreams(need) {
             let eligibility = self.eligibility(tracked, now);
             if eligibility == Eligibility::Ineligible {
                 continue;
             }
-            refusal = refusal.more_specific(Refusal::AdapterAbsent);
+            refusal = refusal.more_specific(ChooseError::AdapterAbsent);
             let version = need.model.and_then(|model| tracked.version_of(model, now));
             if need.model.is_some() && !version.is_some_and(|version| need.version.allows(version))
             {
@@ -338,7 +344,10 @@
     }
 
     /// The upstreams of the service that the request has not been sent to yet.
-    pub(crate) fn untried_upstreams(&self, need: &Need<'_>) -> impl Iterator<Item = &Tracked> {
+    pub(crate) fn untried_upstreams(
+        &self,
+        need: &DispatchRequest<'_>,
+    ) -> impl Iterator<Item = &Tracked> {
         let upstreams = self.upstreams.values();
         upstreams.filter(|tracked| {
             tracked.upstream.service == *need.service && !need.tried.contains(&tracked.upstream.id)
@@ -348,7 +357,7 @@
     fn score(
         &self,
         candidate: &Candidate<'_>,
-        need: &Need<'_>,
+        need: &DispatchRequest<'_>,
         has_affinity: bool,
         now: Instant,
     ) -> f64 {
@@ -357,9 +366,9 @@
             true => need.prompt.shared_tokens(),
             false => tracked.cached_tokens(need.prompt, now),
         };
-        let unread_tokens = need.prompt_tokens.saturating_sub(cached_tokens);
+        let uncached_tokens = need.prompt_tokens.saturating_sub(cached_tokens);
         let mut score = match need.model {
-            Some(_) => tracked.expected_first_event_ms(unread_tokens, now),
+            Some(_) => tracked.expected_first_event_ms(uncached_tokens, now),
             None => self.plain_score(tracked, now),
         };
         if tracked.upstream.failure_domain != self.failure_domain {
@@ -411,7 +420,7 @@
 
     /// Engine time that one request to `service` takes, in milliseconds: the time to process its
     /// prompt plus its share of the time in which all slots are occupied.
-    pub fn engine_ms(&self, service: &ServiceName, prompt_tokens: u64) -> f64 {
+    pub fn engine_time_ms(&self, service: &ServiceName, prompt_tokens: u64) -> f64 {
         let engines = self.upstreams.values();
         let slots = engines
             .filter(|tracked| tracked.upstream.service == *service)
@@ -427,35 +436,35 @@
     }
 
     /// Merges the last contacts with other failure domains.
-    pub fn note_domains_heard(&mut self, heard: &DomainsHeard) {
+    pub fn merge_domain_contacts(&mut self, heard: &DomainContacts) {
         self.domains_heard.merge(heard);
     }
 
     /// Records that a request was sent.
-    pub fn sent(&mut self, id: &UpstreamId, prompt_tokens: u64, now: Instant) {
+    pub fn record_sent(&mut self, id: &UpstreamId, prompt_tokens: u64, now: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
-            tracked.sent(prompt_tokens, now);
+            tracked.record_sent(prompt_tokens, now);
         }
     }
 
     /// Records the prompt sent to an engine, so that prompts with the same parts are sent there
     /// too.
-    pub fn note_prompt(&mut self, id: &UpstreamId, prompt: &PromptChain, now: Instant) {
+    pub fn record_prompt(&mut self, id: &UpstreamId, prompt: &PromptPrefix, now: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
-            tracked.note_prompt(prompt, now);
+            tracked.record_prompt(prompt, now);
         }
     }
 
     /// Records that a request's prompt is no longer pending: its answer started, or it ended
     /// without one.
-    pub fn prompt_read(&mut self, id: &UpstreamId, prompt_tokens: u64) {
+    pub fn record_prompt_read(&mut self, id: &UpstreamId, prompt_tokens: u64) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
-            tracked.prompt_read(prompt_tokens);
+            tracked.record_prompt_read(prompt_tokens);
         }
     }
 
     /// Records that an answer started.
-    pub fn answer_began(
+    pub fn record_answer_started(
         &mut self,
         id: &UpstreamId,
         expected_ms: f64,
@@ -492,14 +501,14 @@
     }
 
     /// Records that a request ended.
-    pub fn ended(&mut self, id: &UpstreamId) {
+    pub fn record_ended(&mut self, id: &UpstreamId) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.in_flight = tracked.in_flight.saturating_sub(1);
         }
     }
 
     /// Records how long a request occupied an engine slot, up to the end of its answer.
-    pub fn note_run(&mut self, took: Duration) {
+    pub fn record_slot_time(&mut self, took: Duration) {
         let took_ms = took.as_secs_f64() * 1_000.0;
         self.slot_time_ms += SLOT_TIME_WEIGHT * (took_ms - self.slot_time_ms);
         for tracked in self.upstreams.values_mut() {
@@ -508,7 +517,7 @@
     }
 
     /// Records the outcome of sending a request.
-    pub fn note_outcome(&mut self, id: &UpstreamId, outcome: Outcome, now: Instant) {
+    pub fn record_outcome(&mut self, id: &UpstreamId, outcome: Outcome, now: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
             tracked.health.note(outcome, now);
             if outcome != Outcome::Answered {
@@ -518,9 +527,9 @@
     }
 
     /// Records that no connection to an upstream could be made.
-    pub fn note_unreachable(&mut self, id: &UpstreamId, now: Instant) {
+    pub fn record_unreachable(&mut self, id: &UpstreamId, now: Instant) {
         if let Some(tracked) = self.upstreams.get_mut(id) {
-            tracked.health.note_unreachable(now);
+            tracked.health.record_unreachable(now);
             tracked.rest.note_not_answered();
         }
     }
@@ -536,7 +545,10 @@
 
 /// The engine preferred for requests that share the leading parts of their prompt, if queues are
 /// equal.
-fn affinity_engine<'a>(need: &Need<'_>, candidates: &[Candidate<'a>]) -> Option<&'a UpstreamId> {
+fn affinity_engine<'a>(
+    need: &DispatchRequest<'_>,
+    candidates: &[Candidate<'a>],
+) -> Option<&'a UpstreamId> {
     if candidates.len() < 2 {
         return None;
     }
@@ -547,7 +559,7 @@
     hashed.max().map(|(_, id)| id)
 }
 
-impl Refusal {
+impl ChooseError {
     /// The reason of the two that came closer to serving the request.
     fn more_specific(self, other: Self) -> Self {
         let rank = |reason| match reason {
--- a/crates/relay/src/domains_heard.rs
+++ b/crates/relay/src/domain_contacts.rs
@@ -24,23 +24,23 @@
 ///
 /// ```
 /// use std::time::{Duration, Instant};
-/// use nutmegsail_relay::DomainsHeard;
+/// use nutmegsail_relay::DomainContacts;
 /// let ms = Duration::from_millis;
 /// let now = Instant::now();
-/// let mut reader = DomainsHeard::default();
+/// let mut reader = DomainContacts::default();
 /// reader.note(&"west".into(), now);
-/// let mut node = DomainsHeard::default();
+/// let mut node = DomainContacts::default();
 /// node.take(&reader.ages(now + ms(100)), now + ms(120));
 /// assert_eq!(node.heard(&"west".into()), Some(now + ms(20)));
 /// node.take(&reader.ages(now + ms(900)), now + ms(910));
 /// assert_eq!(node.heard(&"west".into()), Some(now + ms(20)), "the later time wins");
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct DomainsHeard {
+pub struct DomainContacts {
     heard: HashMap<FailureDomain, Instant>,
 }
 
-impl DomainsHeard {
+impl DomainContacts {
     /// Records a contact with a node of `domain` at `at`.
     pub fn note(&mut self, domain: &FailureDomain, at: Instant) {
         match self.heard.get_mut(domain) {
--- a/crates/relay/src/eligibility.rs
+++ b/crates/relay/src/eligibility.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use crate::{Dispatcher, Need, Tracked, UpstreamState};
+use crate::{DispatchRequest, Dispatcher, Tracked, UpstreamState};
 
 /// Whether an upstream may be sent requests, according to the list of upstreams, its own
 /// announcements and the outcome of earlier requests. Ordered from worst to best.
@@ -26,10 +26,10 @@
     pub(crate) fn eligibility(&self, tracked: &Tracked, now: Instant) -> Eligibility {
         let by_state = self.eligibility_by_state(tracked, now);
         let is_backing_off = tracked.rest.ends(now).is_some();
-        if by_state == Eligibility::Ineligible || tracked.is_gone(now) || is_backing_off {
+        if by_state == Eligibility::Ineligible || tracked.is_replaced(now) || is_backing_off {
             return Eligibility::Ineligible;
         }
-        let is_unresponsive = tracked.unread_tokens > 0 && tracked.is_silent(now);
+        let is_unresponsive = tracked.pending_prompt_tokens > 0 && tracked.is_silent(now);
         match tracked.health.is_paused(now)
             || is_unresponsive
             || self.is_domain_unreachable(tracked, now)
@@ -41,10 +41,10 @@
 
     /// When the earliest backoff among the upstreams that could serve `need` ends; `None` if one of
     /// them asked for no backoff.
-    pub fn rest_ends(&self, need: &Need<'_>, now: Instant) -> Option<Instant> {
+    pub fn backoff_ends(&self, need: &DispatchRequest<'_>, now: Instant) -> Option<Instant> {
         let untried_upstreams = self.untried_upstreams(need);
         let available = untried_upstreams.filter(|tracked| {
-            !tracked.is_gone(now)
+            !tracked.is_replaced(now)
                 && self.eligibility_by_state(tracked, now) != Eligibility::Ineligible
         });
         let ends = available.map(|tracked| tracked.rest.ends(now));
--- a/crates/relay/src/engine_demand.rs
+++ b/crates/relay/src/engine_demand.rs
@@ -6,7 +6,7 @@
 use nutmegsail_base::FailureDomain;
 
 use crate::tracked::PROMPT_TOKEN_MS;
-use crate::{CopyPlace, Demand, HeldModel, Holdings, ModelRef};
+use crate::{CopyScope, Demand, HeldModel, Holdings, ModelRef};
 
 /// Half-life of demand. It is long enough to cover several requests for a popular adapter, and
 /// short enough that a copy is loaded within a second or two of a shift in demand.
@@ -38,7 +38,7 @@
     /// The adapter.
     pub model: ModelRef,
     /// Where the copies should be loaded.
-    pub place: CopyPlace,
+    pub place: CopyScope,
     /// How many copies to load.
     pub copies: usize,
     /// Whether this engine is too small for the adapter's demand, so that callers wait for a copy
@@ -48,7 +48,7 @@
 
 /// Properties of an engine as its owner knows them.
 #[derive(Clone, Copy, Debug)]
-pub struct EngineLoadNow<'a> {
+pub struct EngineLoadSample<'a> {
     /// Its failure domain.
     pub failure_domain: &'a FailureDomain,
     /// Number of requests that it can run at the same time.
@@ -98,7 +98,7 @@
     /// gives the number of requests in flight for an adapter at the engine.
     pub fn copies_wanted(
         &mut self,
-        engine: EngineLoadNow<'_>,
+        engine: EngineLoadSample<'_>,
         in_flight: impl Fn(&ModelRef) -> u32,
         now: Instant,
     ) -> Vec<WantedCopies> {
@@ -124,7 +124,7 @@
 
     fn needed_copies(
         &self,
-        engine: EngineLoadNow<'_>,
+        engine: EngineLoadSample<'_>,
         model: &ModelRef,
         in_flight: u32,
         now: Instant,
@@ -137,7 +137,7 @@
         if further > 0 {
             return Some(WantedCopies {
                 model: model.clone(),
-                place: CopyPlace::Anywhere,
+                place: CopyScope::Anywhere,
                 copies: further.min(MAX_COPIES_PER_ORDER),
                 is_urgent: used_share > URGENT_THRESHOLD,
             });
@@ -148,7 +148,7 @@
             .find(|(_, requests)| requests.rate_per_s(model, now) > DOMAIN_COPY_REQUESTS_PER_S)?;
         Some(WantedCopies {
             model: model.clone(),
-            place: CopyPlace::Domain(domain.clone()),
+            place: CopyScope::Domain(domain.clone()),
             copies: 1,
             is_urgent: false,
         })
--- a/crates/relay/src/era_watch.rs
+++ b/crates/relay/src/era_watch.rs
@@ -19,13 +19,13 @@
 /// How recent the operators' text is that a node knows.
 ///
 /// ```
-/// use nutmegsail_relay::TextKnown;
-/// let known = TextKnown { configuration: 4, versions: 30 };
-/// assert!(known.covers(TextKnown { configuration: 4, versions: 29 }));
-/// assert!(!known.covers(TextKnown { configuration: 5, versions: 0 }));
+/// use nutmegsail_relay::TextVersion;
+/// let known = TextVersion { configuration: 4, versions: 30 };
+/// assert!(known.covers(TextVersion { configuration: 4, versions: 29 }));
+/// assert!(!known.covers(TextVersion { configuration: 5, versions: 0 }));
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TextKnown {
+pub struct TextVersion {
     /// The version of the configuration.
     pub configuration: u64,
     /// The sum of the versions named for all models. It shows progress because each version only
@@ -33,7 +33,7 @@
     pub versions: u128,
 }
 
-impl TextKnown {
+impl TextVersion {
     /// Whether it is at least as recent as `other`.
     pub fn covers(self, other: Self) -> bool {
         self.configuration >= other.configuration && self.versions >= other.versions
@@ -49,13 +49,13 @@
 
 /// An update on the store's era that nodes send to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EraTold {
+pub struct EraUpdate {
     /// The era in force.
     pub era: StoreEra,
     /// How long the era is known to be in force, in milliseconds.
     pub age_ms: u32,
     /// How recent the operators' text is that the node applies.
-    pub text: TextKnown,
+    pub text: TextVersion,
 }
 
 /// The store was restored from an older copy.
@@ -84,9 +84,9 @@
 /// use nutmegsail_relay::{EraRise, EraWatch};
 /// let seconds = Duration::from_secs;
 /// let mut watch = EraWatch::new(seconds(7), false);
-/// assert_eq!(watch.see(Some(StoreEra(1)), seconds(10)), None);
+/// assert_eq!(watch.observe(Some(StoreEra(1)), seconds(10)), None);
 /// assert!(!watch.is_settled(seconds(16)) && watch.is_settled(seconds(17)));
-/// let rise = watch.see(Some(StoreEra(2)), seconds(60));
+/// let rise = watch.observe(Some(StoreEra(2)), seconds(60));
 /// assert_eq!(rise, Some(EraRise { from: StoreEra(1), to: StoreEra(2) }));
 /// assert!(!watch.is_settled(seconds(66)));
 /// ```
@@ -105,14 +105,14 @@
     /// When the first update on this era came from another node.
     first_update_at: Option<Duration>,
     /// The most recent text that other nodes apply.
-    newest_peer_text: TextKnown,
+    newest_peer_text: TextVersion,
     /// Whether this node applies the text that it knows.
-    has_text: bool,
+    applies_text: bool,
 }
 
 impl EraWatch {
-    /// Creates a watch with no known era. After `settling_time`, claims of an earlier era are no longer
-    /// valid.
+    /// Creates a watch with no known era. After `settling_time`, claims of an earlier era are no
+    /// longer valid.
     pub fn new(settling_time: Duration, is_first_start: bool) -> Self {
         Self {
             settling_time,
@@ -122,8 +122,8 @@
             has_risen: false,
             mark: None,
             first_update_at: None,
-            newest_peer_text: TextKnown::default(),
-            has_text: false,
+            newest_peer_text: TextVersion::default(),
+            applies_text: false,
         }
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// Processes the era that the store reports. Returns the change if the era has risen.
-    pub fn see(&mut self, era: Option<StoreEra>, now: Duration) -> Option<EraRise> {
+    pub fn observe(&mut self, era: Option<StoreEra>, now: Duration) -> Option<EraRise> {
         let (from, to) = (self.era, era?);
         if from.is_some_and(|from| from >= to) {
             return None;
@@ -147,13 +147,13 @@
     }
 
     /// Records the era that the store's mark names.
-    pub fn take_mark(&mut self, mark: StoreEra) {
+    pub fn record_settled_era(&mut self, mark: StoreEra) {
         self.mark = Some(mark);
     }
 
     /// Applies an update from another node. Returns whether the store must be read, because the
     /// other node knows of a later era.
-    pub fn take_told(&mut self, received: EraTold, now: Duration) -> bool {
+    pub fn apply_update(&mut self, received: EraUpdate, now: Duration) -> bool {
         let Some(era) = self.era else {
             return false;
         };
@@ -176,19 +176,19 @@
 
     /// Whether to wait for an update from another node, which says how long this era has been in
     /// force.
-    pub fn awaits_word(&self, now: Duration) -> bool {
+    pub fn awaits_update(&self, now: Duration) -> bool {
         let has_timed_out = now.saturating_sub(self.since) >= PEER_TIMEOUT;
         !self.has_risen && self.first_update_at.is_none() && !has_timed_out && !self.is_settled(now)
     }
 
     /// Whether to ask other nodes for an update.
     pub fn asks(&self, now: Duration) -> bool {
-        self.awaits_word(now) || (self.era.is_some() && !self.has_text)
+        self.awaits_update(now) || (self.era.is_some() && !self.applies_text)
     }
 
     /// Decides whether this node may apply the operators' text that it knows, `known`. Once it may,
     /// that is final, because the text that it knows never gets older.
-    pub fn goes_by(&mut self, known: TextKnown, now: Duration) -> bool {
+    pub fn may_apply(&mut self, known: TextVersion, now: Duration) -> bool {
         let needs_no_update = self.era.is_none() || self.is_marked() || self.is_first_era();
         let has_caught_up = match self.first_update_at {
             Some(at) => {
@@ -196,33 +196,33 @@
             }
             None => now.saturating_sub(self.since) >= NO_PEER_TIMEOUT,
         };
-        self.has_text |= needs_no_update || has_caught_up;
-        self.has_text
+        self.applies_text |= needs_no_update || has_caught_up;
+        self.applies_text
     }
 
     /// Whether this node applies the text that it knows.
-    pub fn has_text(&self) -> bool {
-        self.has_text
+    pub fn applies_text(&self) -> bool {
+        self.applies_text
     }
 
     /// Whether other nodes apply more recent text than `known`.
-    pub fn is_behind(&self, known: TextKnown) -> bool {
+    pub fn is_behind(&self, known: TextVersion) -> bool {
         !known.covers(self.newest_peer_text)
     }
 
     /// The update to send to other nodes, with `known` as the text that this node applies; `None`
     /// while it does not apply its text.
-    pub fn told(&self, known: TextKnown, now: Duration) -> Option<EraTold> {
+    pub fn update(&self, known: TextVersion, now: Duration) -> Option<EraUpdate> {
         let age = now.saturating_sub(self.since);
-        Some(EraTold {
-            era: self.era.filter(|_| self.has_text)?,
+        Some(EraUpdate {
+            era: self.era.filter(|_| self.applies_text)?,
             age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
             text: known,
         })
     }
 
     /// Whether the era rose so recently that nodes that are cut off may not know.
-    pub fn is_news(&self, now: Duration) -> bool {
+    pub fn is_recent_rise(&self, now: Duration) -> bool {
         self.has_risen && now.saturating_sub(self.since) < self.settling_time * 2
     }
 
@@ -233,8 +233,8 @@
 
     /// The era to write into the store's mark, if any. `is_behind` says whether the operators' text
     /// in the store is older than what this node knows.
-    pub fn mark_due(&self, is_behind: bool, now: Duration) -> Option<StoreEra> {
-        let is_resolved = self.has_text && !is_behind && self.is_settled(now);
+    pub fn era_to_settle(&self, is_behind: bool, now: Duration) -> Option<StoreEra> {
+        let is_resolved = self.applies_text && !is_behind && self.is_settled(now);
         self.era.filter(|_| is_resolved && !self.is_marked())
     }
 
--- a/crates/relay/src/event_splitter.rs
+++ b/crates/relay/src/event_splitter.rs
@@ -67,7 +67,7 @@
     }
 
     /// Takes the bytes after the last complete event, when the stream ended normally.
-    pub fn take_rest(&mut self) -> Vec<u8> {
+    pub fn take_partial(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.partial)
     }
 }
--- a/crates/relay/src/health.rs
+++ b/crates/relay/src/health.rs
@@ -95,7 +95,7 @@
     }
 
     /// Records that no connection could be made, and pauses the upstream at once.
-    pub fn note_unreachable(&mut self, now: Instant) {
+    pub fn record_unreachable(&mut self, now: Instant) {
         self.failure_rate = self.failure_rate.max(FAILURE_RATE_LIMIT);
         self.note(Outcome::Failed, now);
     }
--- a/crates/relay/src/rest_filter.rs
+++ b/crates/relay/src/idle_filter.rs
@@ -14,23 +14,23 @@
 /// engines would make up most of what a gathering node sends in a large fleet.
 ///
 /// ```
-/// use nutmegsail_relay::RestFilter;
-/// let mut filter = RestFilter::default();
-/// assert_eq!(filter.turn([("e1", false), ("e2", false)]), ["e1", "e2"]);
+/// use nutmegsail_relay::IdleFilter;
+/// let mut filter = IdleFilter::default();
+/// assert_eq!(filter.due_engines([("e1", false), ("e2", false)]), ["e1", "e2"]);
 /// let idle = || [("e1", false), ("e2", true)];
 /// for _ in 0..3 {
-///     assert_eq!(filter.turn(idle()), ["e1", "e2"], "a change to idle is repeated");
+///     assert_eq!(filter.due_engines(idle()), ["e1", "e2"], "a change to idle is repeated");
 /// }
-/// assert_eq!(filter.turn(idle()), ["e1"]);
-/// assert_eq!(filter.turn([("e2", false)]), ["e2"]);
+/// assert_eq!(filter.due_engines(idle()), ["e1"]);
+/// assert_eq!(filter.due_engines([("e2", false)]), ["e2"]);
 /// ```
 #[derive(Clone, Debug)]
-pub struct RestFilter<K> {
+pub struct IdleFilter<K> {
     /// How many updates in a row have included each idle engine.
     updates_sent: HashMap<K, u8>,
 }
 
-impl<K> Default for RestFilter<K> {
+impl<K> Default for IdleFilter<K> {
     fn default() -> Self {
         Self {
             updates_sent: HashMap::new(),
@@ -38,10 +38,10 @@
     }
 }
 
-impl<K: Clone + Eq + Hash> RestFilter<K> {
+impl<K: Clone + Eq + Hash> IdleFilter<K> {
     /// Returns the engines to include in the next update. `engines` lists all known engines and
     /// whether each is idle.
-    pub fn turn(&mut self, engines: impl IntoIterator<Item = (K, bool)>) -> Vec<K> {
+    pub fn due_engines(&mut self, engines: impl IntoIterator<Item = (K, bool)>) -> Vec<K> {
         let mut idle = HashMap::new();
         let mut included = Vec::new();
         for (engine, is_idle) in engines {
--- a/crates/relay/src/load_plan.rs
+++ b/crates/relay/src/load_plan.rs
@@ -9,7 +9,7 @@
 
 /// Capacity of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Room {
+pub struct EngineCapacity {
     /// Adapters that fit into its memory, including those being loaded.
     pub adapter_slots: usize,
     /// Loads from the weight store that may run at the same time.
@@ -57,11 +57,11 @@
     /// The models and adapters that it holds.
     pub holdings: &'a Holdings,
     /// Adapters being loaded.
-    pub coming: &'a [ModelRef],
+    pub loading: &'a [ModelRef],
     /// How many of those come from the weight store.
     pub transfers: usize,
     /// Its capacity.
-    pub room: Room,
+    pub room: EngineCapacity,
     /// Demand for each adapter.
     pub demand: &'a Demand,
     /// Whether any node has requests in flight for the adapter there.
@@ -76,13 +76,15 @@
 ///
 /// ```
 /// use std::time::{Duration, Instant};
-/// use nutmegsail_relay::{Demand, EngineContents, HeldModel, Holdings, LoadStep, ModelRef, Room, plan_load};
+/// use nutmegsail_relay::{
+///     Demand, EngineContents, HeldModel, Holdings, LoadStep, ModelRef, EngineCapacity, plan_load,
+/// };
 /// let base = HeldModel { name: "llama".into(), version: 1, adapters: Vec::new() };
 /// let engine = EngineContents {
 ///     holdings: &Holdings { models: vec![base] },
-///     coming: &[],
+///     loading: &[],
 ///     transfers: 0,
-///     room: Room { adapter_slots: 2, transfers: 1 },
+///     room: EngineCapacity { adapter_slots: 2, transfers: 1 },
 ///     demand: &Demand::new(Duration::from_secs(10)),
 ///     is_in_use: &|_| false,
 /// };
@@ -109,7 +111,7 @@
     }
     let load = LoadStep::Load(wanted.clone(), version);
     let is_replacement = holdings.version_of(wanted).is_some();
-    let held = holdings.adapter_count() + engine.coming.len();
+    let held = holdings.adapter_count() + engine.loading.len();
     if is_replacement || held < engine.room.adapter_slots {
         return Ok(LoadPlan { steps: vec![load] });
     }
--- a/crates/relay/src/load_queue.rs
+++ b/crates/relay/src/load_queue.rs
@@ -29,20 +29,20 @@
 
 /// Where an engine loads an adapter from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LoadKind {
+pub enum LoadSource {
     /// The weight store, whose bandwidth all engines share.
     FromStore,
     /// The memory of the engine's host, which still has an adapter that the engine dropped
     /// recently.
-    Recent,
+    HostMemory,
 }
 
-impl LoadKind {
-    /// [`Recent`](Self::Recent) if the engine dropped the adapter recently, otherwise
+impl LoadSource {
+    /// [`HostMemory`](Self::HostMemory) if the engine dropped the adapter recently, otherwise
     /// [`FromStore`](Self::FromStore).
     pub fn of(is_recent: bool) -> Self {
         match is_recent {
-            true => Self::Recent,
+            true => Self::HostMemory,
             false => Self::FromStore,
         }
     }
@@ -56,7 +56,7 @@
     /// The version to load; `None` for the newest.
     pub version: Option<u64>,
     /// Where it is loaded from.
-    pub kind: LoadKind,
+    pub kind: LoadSource,
     /// Why it is loaded.
     pub purpose: LoadPurpose,
     /// Priority of the requests that wait for it; 0 is the most urgent.
@@ -69,7 +69,7 @@
 
 /// What to do with a waiting load.
 #[derive(Clone, Debug, PartialEq)]
-pub enum LoadTurn {
+pub enum LoadDecision {
     /// Send these orders to the engine.
     Order(LoadPlan),
     /// Keep waiting.
@@ -82,13 +82,13 @@
 
 /// The loads from the weight store in progress, with the expected load times.
 #[derive(Clone, Copy, Debug)]
-pub struct StoreUse {
+pub struct WeightStoreLoads {
     /// Expected load times.
     pub times: LoadTimes,
     /// Loads expected to be in progress at this engine.
-    pub at_engine: usize,
+    pub engine_loads: usize,
     /// Estimated loads in progress at all engines.
-    pub over_all: f64,
+    pub fleet_loads: f64,
 }
 
 /// The adapter loads that wait at one engine.
@@ -101,23 +101,23 @@
 /// ```
 /// use std::time::{Duration, Instant};
 /// use nutmegsail_relay::{
-///     Demand, EngineContents, HeldModel, Holdings, LoadKind, LoadPurpose, LoadQueue, LoadTimes,
-///     LoadTurn, ModelRef, Room, StoreUse, WaitingLoad,
+///     Demand, EngineContents, HeldModel, Holdings, LoadSource, LoadPurpose, LoadQueue, LoadTimes,
+///     LoadDecision, ModelRef, EngineCapacity, WeightStoreLoads, WaitingLoad,
 /// };
 /// let base = HeldModel { name: "llama".into(), version: 1, adapters: Vec::new() };
 /// let engine = EngineContents {
 ///     holdings: &Holdings { models: vec![base] },
-///     coming: &[],
+///     loading: &[],
 ///     transfers: 0,
-///     room: Room { adapter_slots: 2, transfers: 1 },
+///     room: EngineCapacity { adapter_slots: 2, transfers: 1 },
 ///     demand: &Demand::new(Duration::from_secs(10)),
 ///     is_in_use: &|_| false,
 /// };
-/// let store = StoreUse { times: LoadTimes::default(), at_engine: 0, over_all: 0.0 };
+/// let store = WeightStoreLoads { times: LoadTimes::default(), engine_loads: 0, fleet_loads: 0.0 };
 /// let load = |name: &str, priority| WaitingLoad {
 ///     model: ModelRef::parse(name),
 ///     version: None,
-///     kind: LoadKind::FromStore,
+///     kind: LoadSource::FromStore,
 ///     purpose: LoadPurpose::Miss,
 ///     priority,
 /// };
@@ -125,8 +125,8 @@
 /// let routine = queue.join(load("llama/a1", 2)).unwrap();
 /// let urgent = queue.join(load("llama/a2", 0)).unwrap();
 /// let now = Instant::now();
-/// assert_eq!(queue.turn(routine, &engine, &store, now), LoadTurn::Wait);
-/// assert!(matches!(queue.turn(urgent, &engine, &store, now), LoadTurn::Order(_)));
+/// assert_eq!(queue.decide(routine, &engine, &store, now), LoadDecision::Wait);
+/// assert!(matches!(queue.decide(urgent, &engine, &store, now), LoadDecision::Order(_)));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct LoadQueue {
@@ -163,34 +163,36 @@
     }
 
     /// Decides what to do now with the load of `ticket`.
-    pub fn turn(
+    pub fn decide(
         &self,
         ticket: LoadTicket,
         engine: &EngineContents<'_>,
-        store: &StoreUse,
+        store: &WeightStoreLoads,
         now: Instant,
-    ) -> LoadTurn {
+    ) -> LoadDecision {
         let mut waiting = self.waiting.iter();
         let Some((_, load)) = waiting.find(|(waiting, _)| *waiting == ticket) else {
             // The ticket was removed. The caller has to add the load again.
-            return LoadTurn::Refuse(LoadRefusal::QueueFull);
+            return LoadDecision::Refuse(LoadRefusal::QueueFull);
         };
         if is_loaded_or_loading(load, engine) {
-            return LoadTurn::NotNeeded;
+            return LoadDecision::NotNeeded;
         }
-        if load.kind == LoadKind::FromStore {
-            if load.purpose == LoadPurpose::Copy && !store.times.has_room_for_copy(store.over_all) {
-                return LoadTurn::Refuse(LoadRefusal::LeftToMisses);
+        if load.kind == LoadSource::FromStore {
+            if load.purpose == LoadPurpose::Copy
+                && !store.times.has_room_for_copy(store.fleet_loads)
+            {
+                return LoadDecision::Refuse(LoadRefusal::LeftToMisses);
             }
             let has_capacity =
-                engine.transfers < engine.room.transfers && store.at_engine < MAX_STORE_LOADS;
+                engine.transfers < engine.room.transfers && store.engine_loads < MAX_STORE_LOADS;
             if self.has_more_urgent(ticket, load) || !has_capacity {
-                return LoadTurn::Wait;
+                return LoadDecision::Wait;
             }
         }
         match plan_load(&load.model, load.version, engine, now) {
-            Ok(plan) => LoadTurn::Order(plan),
-            Err(reason) => LoadTurn::Refuse(reason),
+            Ok(plan) => LoadDecision::Order(plan),
+            Err(reason) => LoadDecision::Refuse(reason),
         }
     }
 
@@ -199,7 +201,7 @@
         let rank = |ticket: LoadTicket, load: &WaitingLoad| (load.purpose, load.priority, ticket);
         let mut others = self.waiting.iter();
         others.any(|(other, waiting)| {
-            waiting.kind == LoadKind::FromStore && rank(*other, waiting) < rank(ticket, load)
+            waiting.kind == LoadSource::FromStore && rank(*other, waiting) < rank(ticket, load)
         })
     }
 }
@@ -209,5 +211,5 @@
     let held = engine.holdings.version_of(&load.model);
     let is_held = held.is_some_and(|held| load.version.is_none_or(|version| held >= version));
     // The version being loaded is not known here.
-    is_held || (load.version.is_none() && engine.coming.contains(&load.model))
+    is_held || (load.version.is_none() && engine.loading.contains(&load.model))
 }
--- a/crates/relay/src/load_times.rs
+++ b/crates/relay/src/load_times.rs
@@ -102,9 +102,12 @@
 /// for took_ms in [480, 480, 480] {
 ///     times.note(Duration::from_millis(took_ms), 2.0);
 /// }
-/// assert!(times.usual(2.0) < Duration::from_millis(280), "the rest is report delay");
-/// assert!(times.usual(16.0) > Duration::from_millis(480), "twice as many as run at full speed");
-/// assert!(times.are_quick());
+/// assert!(times.expected(2.0) < Duration::from_millis(280), "the rest is report delay");
+/// assert!(
+///     times.expected(16.0) > Duration::from_millis(480),
+///     "twice as many as run at full speed"
+/// );
+/// assert!(times.are_uncongested());
 /// ```
 ///
 /// Reports don't show which part of the quick time was the load itself. But requests are sent as
@@ -118,12 +121,12 @@
 /// let mut times = LoadTimes::default();
 /// let takes = Duration::from_millis(330);
 /// for _ in 0..200 {
-///     match times.usual(1.0) < takes {
-///         true => times.note_early(),
-///         false => times.note_relied(),
+///     match times.expected(1.0) < takes {
+///         true => times.record_used_too_early(),
+///         false => times.record_used_on_time(),
 ///     }
 /// }
-/// let told = times.usual(1.0).as_secs_f64() / takes.as_secs_f64();
+/// let told = times.expected(1.0).as_secs_f64() / takes.as_secs_f64();
 /// assert!((0.95..1.1).contains(&told));
 /// ```
 #[derive(Clone, Copy, Debug)]
@@ -190,7 +193,7 @@
     }
 
     /// Records that requests were sent for an adapter as soon as its load was expected to be done.
-    pub fn note_relied(&mut self) {
+    pub fn record_used_on_time(&mut self) {
         let step = match self.was_too_early {
             true => SHRINK_RATE,
             false => INITIAL_SHRINK_RATE,
@@ -199,7 +202,7 @@
     }
 
     /// Records that such a request came back unserved because the load was not done.
-    pub fn note_early(&mut self) {
+    pub fn record_used_too_early(&mut self) {
         let step = match self.was_too_early {
             true => GROWTH_RATE,
             false => INITIAL_GROWTH_RATE,
@@ -210,7 +213,7 @@
 
     /// The load time without congestion to share with other nodes, in milliseconds; `None` until it
     /// is learned.
-    pub fn to_tell(&self) -> Option<f32> {
+    pub fn learned_load_ms(&self) -> Option<f32> {
         self.was_too_early.then_some(self.load_ms as f32)
     }
 
@@ -222,12 +225,12 @@
     /// ```
     /// use nutmegsail_relay::LoadTimes;
     /// let (mut one, mut other) = (LoadTimes::default(), LoadTimes::default());
-    /// assert_eq!(one.to_tell(), None);
-    /// one.note_early();
-    /// other.take_told(one.to_tell().unwrap());
-    /// assert_eq!(other.usual(1.0), one.usual(1.0));
+    /// assert_eq!(one.learned_load_ms(), None);
+    /// one.record_used_too_early();
+    /// other.merge_peer_load_ms(one.learned_load_ms().unwrap());
+    /// assert_eq!(other.expected(1.0), one.expected(1.0));
     /// ```
-    pub fn take_told(&mut self, load_ms: f32) {
+    pub fn merge_peer_load_ms(&mut self, load_ms: f32) {
         let step = match self.was_too_early {
             true => PEER_WEIGHT,
             false => 1.0,
@@ -257,7 +260,7 @@
 
     /// Fraction of the loads not yet reported as done that are really still in progress; the rest
     /// only wait for their report.
-    pub fn under_way_share(&self) -> f64 {
+    pub fn in_progress_share(&self) -> f64 {
         self.observed.map_or(1.0, |observed| {
             let delay_ms = observed.quick_ms - self.load_ms;
             (1.0 - delay_ms / observed.mean_ms).clamp(MIN_IN_PROGRESS_FRACTION, 1.0)
@@ -275,7 +278,7 @@
 
     /// Expected time until an adapter can be used, with `in_progress` loads in progress over all
     /// engines, including this one.
-    pub fn usual(&self, in_progress: f64) -> Duration {
+    pub fn expected(&self, in_progress: f64) -> Duration {
         let ms = self.load_ms * (in_progress / self.full_speed_loads).max(1.0);
         Duration::from_secs_f64(ms / 1_000.0)
     }
@@ -296,7 +299,7 @@
     }
 
     /// Whether loads take hardly longer than a quick load.
-    pub fn are_quick(&self) -> bool {
+    pub fn are_uncongested(&self) -> bool {
         self.observed
             .is_some_and(|observed| observed.mean_ms < observed.quick_ms + QUICK_MARGIN_MS)
     }
--- a/crates/relay/src/at_hand.rs
+++ b/crates/relay/src/local_weights.rs
@@ -16,21 +16,24 @@
 /// Base models that an engine can load without the weight store.
 ///
 /// ```
-/// use nutmegsail_relay::{AtHand, CopySource};
-/// let at_hand = AtHand { in_memory: vec!["llama".into()], on_disk: vec!["llama".into(), "phi".into()] };
-/// assert_eq!(at_hand.source_of("llama"), CopySource::Memory);
-/// assert_eq!(at_hand.source_of("phi"), CopySource::Disk);
-/// assert_eq!(at_hand.source_of("mistral"), CopySource::Store);
+/// use nutmegsail_relay::{CopySource, LocalWeights};
+/// let local_weights = LocalWeights {
+///     in_memory: vec!["llama".into()],
+///     on_disk: vec!["llama".into(), "phi".into()],
+/// };
+/// assert_eq!(local_weights.source_of("llama"), CopySource::Memory);
+/// assert_eq!(local_weights.source_of("phi"), CopySource::Disk);
+/// assert_eq!(local_weights.source_of("mistral"), CopySource::Store);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AtHand {
+pub struct LocalWeights {
     /// Models in the memory of its host.
     pub in_memory: Vec<Arc<str>>,
     /// Models on its disk, which outlives the engine's process.
     pub on_disk: Vec<Arc<str>>,
 }
 
-impl AtHand {
+impl LocalWeights {
     /// Where `model` would be loaded from.
     pub fn source_of(&self, model: &str) -> CopySource {
         let has = |copies: &[Arc<str>]| copies.iter().any(|copy| &**copy == model);
--- a/crates/relay/src/model_plan.rs
+++ b/crates/relay/src/model_plan.rs
@@ -6,7 +6,7 @@
 use nutmegsail_base::{FailureDomain, UpstreamId};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{AtHand, CopySource, EngineSpec, ModelSpec};
+use crate::{CopySource, EngineSpec, LocalWeights, ModelSpec};
 
 /// Work above which a model is in demand, in engines. A single request of 100 ms in the last
 /// half-minute exceeds it, because every requested model should be held somewhere.
@@ -60,7 +60,7 @@
     /// Fraction of its slots in use. A base model is only unloaded once its requests have ended.
     pub busy_share: f64,
     /// Copies of weights in host memory or on local disk.
-    pub at_hand: &'a AtHand,
+    pub local_weights: &'a LocalWeights,
 }
 
 /// A change of the base models that an engine holds.
@@ -98,14 +98,15 @@
 /// weights are preferred, because loads from the weight store are limited.
 ///
 /// ```
-/// use nutmegsail_relay::{AtHand, EngineSpec, HostedModel, ModelHost, ModelPlan, ModelSpec};
+/// use nutmegsail_relay::{EngineSpec, HostedModel, LocalWeights, ModelHost, ModelPlan, ModelSpec};
 /// let spec = EngineSpec {
 ///     adapter_slots: 8,
 ///     weights_mb: 50_000.0,
 ///     models: vec![ModelSpec::of("llama", 40_000.0), ModelSpec::of("mistral", 40_000.0)],
 ///     ..EngineSpec::default()
 /// };
-/// let (one, two, domain, at_hand) = ("e-1".into(), "e-2".into(), "a".into(), AtHand::default());
+/// let (one, two, domain) = ("e-1".into(), "e-2".into(), "a".into());
+/// let local_weights = LocalWeights::default();
 /// let host = |id| ModelHost {
 ///     id,
 ///     failure_domain: &domain,
@@ -114,7 +115,7 @@
 ///     is_changing: false,
 ///     uses_store: false,
 ///     busy_share: 0.0,
-///     at_hand: &at_hand,
+///     local_weights: &local_weights,
 /// };
 /// let work = |model: &str| if model == "mistral" { 0.02 } else { 0.2 };
 /// let plan = ModelPlan::new(&spec, vec![host(&one), host(&two)], work).changes(4);
@@ -220,7 +221,7 @@
                 return None;
             }
             let unload = self.models_to_unload(host, model, reason)?;
-            let source = host.at_hand.source_of(&model.name);
+            let source = host.local_weights.source_of(&model.name);
             if source == CopySource::Store && !may_use_store {
                 return None;
             }
@@ -255,7 +256,7 @@
         empty
             .filter_map(|host| {
                 let is_loadable = |model: &&ModelSpec| {
-                    may_use_store || host.at_hand.source_of(&model.name) != CopySource::Store
+                    may_use_store || host.local_weights.source_of(&model.name) != CopySource::Store
                 };
                 let models = self.spec.models.iter().filter(is_loadable);
                 let fitting = models.filter(|model| self.can_load(host, model));
@@ -367,7 +368,7 @@
         let mut hosts = self.hosts.iter();
         let host = hosts.find(|host| *host.id == change.engine);
         host.map_or(CopySource::Store, |host| {
-            host.at_hand.source_of(&change.load)
+            host.local_weights.source_of(&change.load)
         })
     }
 
--- a/crates/relay/src/ownership.rs
+++ b/crates/relay/src/ownership.rs
@@ -73,13 +73,13 @@
     /// store was restored from an older copy.
     previous_claim_until: Duration,
     /// When the claim was lost because the store was restored from an older copy.
-    lapsed_at: Option<Duration>,
+    claim_lost_at: Option<Duration>,
 }
 
 impl Ownership {
     /// Ownership of an engine whose key was written at revision `claim` by a call sent at
     /// `asked_at`.
-    pub fn taken(
+    pub fn claimed(
         claim: StoreNumber,
         predecessor: Predecessor,
         rules: OwnershipRules,
@@ -97,7 +97,7 @@
             confirmed_at: asked_at,
             may_order_from,
             previous_claim_until: Duration::ZERO,
-            lapsed_at: None,
+            claim_lost_at: None,
         }
     }
 
@@ -108,13 +108,13 @@
 
     /// Records that the claim was lost because the store was restored from an older copy. No order
     /// may be sent until the engine is [`retaken`](Self::retaken).
-    pub fn lapse(&mut self, now: Duration) {
-        self.lapsed_at.get_or_insert(now);
+    pub fn lose_claim(&mut self, now: Duration) {
+        self.claim_lost_at.get_or_insert(now);
     }
 
     /// Whether the claim was lost because the store was restored from an older copy.
-    pub fn is_lapsed(&self) -> bool {
-        self.lapsed_at.is_some()
+    pub fn has_lost_claim(&self) -> bool {
+        self.claim_lost_at.is_some()
     }
 
     /// Ownership of the same engine under a new claim, written at revision `claim` by a call sent
@@ -131,24 +131,27 @@
     /// use std::time::Duration;
     /// use nutmegsail_base::{StoreEra, StoreNumber};
     /// use nutmegsail_relay::{OrderPermit, Ownership, OwnershipRules, Predecessor};
-    /// let claim = StoreNumber::of(StoreEra(1), 7);
+    /// let claim = StoreNumber::in_era(StoreEra(1), 7);
     /// let seconds = Duration::from_secs;
     /// let rules = OwnershipRules { hand_over: seconds(3), confirmation: seconds(4) };
-    /// let mut owned = Ownership::taken(claim, Predecessor::None, rules, seconds(10), seconds(10));
-    /// owned.lapse(seconds(11));
+    /// let now = seconds(10);
+    /// let mut owned = Ownership::claimed(claim, Predecessor::None, rules, now, now);
+    /// owned.lose_claim(seconds(11));
     /// assert_eq!(owned.permit(seconds(11)), OrderPermit::Unconfirmed);
-    /// let anew = StoreNumber::of(StoreEra(2), 5);
-    /// let again = owned.retaken(anew, rules, seconds(12), seconds(12));
+    /// let anew = StoreNumber::in_era(StoreEra(2), 5);
+    /// let again = owned.reclaimed(anew, rules, seconds(12), seconds(12));
     /// assert_eq!(again.permit(seconds(12)), OrderPermit::Granted { claim: anew });
     /// ```
-    pub fn retaken(
+    pub fn reclaimed(
         &self,
         claim: StoreNumber,
         rules: OwnershipRules,
         asked_at: Duration,
         now: Duration,
     ) -> Self {
-        let could_order = self.lapsed_at.is_some_and(|at| at >= self.may_order_from);
+        let could_order = self
+            .claim_lost_at
+            .is_some_and(|at| at >= self.may_order_from);
         let age = now.saturating_sub(self.confirmed_at);
         let predecessor = match could_order && age <= rules.hand_over + ORDER_TRANSIT {
             true => Predecessor::None,
@@ -160,7 +163,7 @@
         };
         Self {
             previous_claim_until,
-            ..Self::taken(claim, predecessor, rules, asked_at, now)
+            ..Self::claimed(claim, predecessor, rules, asked_at, now)
         }
     }
 
@@ -171,7 +174,7 @@
 
     /// When orders may start again, if this process still sends orders under its previous claim at
     /// `now` and has to interrupt them when that expires.
-    pub fn begins_anew_at(&self, now: Duration) -> Option<Duration> {
+    pub fn resumes_at(&self, now: Duration) -> Option<Duration> {
         let is_on_previous_claim = now < self.previous_claim_until && now < self.may_order_from;
         is_on_previous_claim.then_some(self.may_order_from)
     }
@@ -192,15 +195,16 @@
     /// use std::time::Duration;
     /// use nutmegsail_base::{StoreEra, StoreNumber};
     /// use nutmegsail_relay::{OrderPermit, Ownership, OwnershipRules, Predecessor};
-    /// let claim = StoreNumber::of(StoreEra(1), 7);
+    /// let claim = StoreNumber::in_era(StoreEra(1), 7);
     /// let seconds = Duration::from_secs;
     /// let rules = OwnershipRules { hand_over: seconds(3), confirmation: seconds(2) };
-    /// let mut owned = Ownership::taken(claim, Predecessor::None, rules, seconds(10), seconds(10));
+    /// let now = seconds(10);
+    /// let mut owned = Ownership::claimed(claim, Predecessor::None, rules, now, now);
     /// assert_eq!(owned.permit(seconds(11)), OrderPermit::Granted { claim });
     /// assert_eq!(owned.permit(seconds(13)), OrderPermit::Unconfirmed);
     /// ```
     pub fn permit(&self, now: Duration) -> OrderPermit {
-        if self.is_lapsed() {
+        if self.has_lost_claim() {
             return OrderPermit::Unconfirmed;
         }
         if now < self.may_order_from && now < self.previous_claim_until {
--- a/crates/relay/src/prompt.rs
+++ b/crates/relay/src/prompt.rs
@@ -36,22 +36,22 @@
 ///
 /// ```
 /// use std::time::{Duration, Instant};
-/// use nutmegsail_relay::{CachedPrompts, ModelRef, PromptChain, PromptPart};
+/// use nutmegsail_relay::{CachedPrompts, ModelRef, PromptPart, PromptPrefix};
 /// let (now, model) = (Instant::now(), ModelRef::parse("llama/a7"));
 /// let prompt = |own| [PromptPart { id: 1, tokens: 800 }, PromptPart { id: own, tokens: 250 }];
 /// let mut cached = CachedPrompts::default();
-/// cached.note(&PromptChain::new(&model, &prompt(2)), now);
-/// let next = PromptChain::new(&model, &prompt(3));
+/// cached.note(&PromptPrefix::new(&model, &prompt(2)), now);
+/// let next = PromptPrefix::new(&model, &prompt(3));
 /// assert_eq!(next.shared_tokens(), 800);
 /// assert_eq!(cached.cached_tokens_of(&next, now), 800);
 /// assert_eq!(cached.cached_tokens_of(&next, now + Duration::from_secs(60)), 0);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PromptChain {
+pub struct PromptPrefix {
     parts: Vec<(PartDigest, u32)>,
 }
 
-impl PromptChain {
+impl PromptPrefix {
     /// Creates the chain of a prompt's parts for `model`.
     pub fn new(model: &ModelRef, parts: &[PromptPart]) -> Self {
         let mut before = match parts {
@@ -93,7 +93,7 @@
 
 impl CachedPrompts {
     /// Records a prompt sent to the engine.
-    pub fn note(&mut self, chain: &PromptChain, now: Instant) {
+    pub fn note(&mut self, chain: &PromptPrefix, now: Instant) {
         for (part, tokens) in &chain.parts {
             self.parts.insert(*part, (*tokens, now));
         }
@@ -115,7 +115,7 @@
     }
 
     /// Prompt tokens that the engine is expected to have cached.
-    pub fn cached_tokens_of(&self, chain: &PromptChain, now: Instant) -> u64 {
+    pub fn cached_tokens_of(&self, chain: &PromptPrefix, now: Instant) -> u64 {
         let cached = chain.parts.iter().map_while(|(part, tokens)| {
             let (cached, at) = self.parts.get(part)?;
             (now.duration_since(*at) < CACHE_TTL).then_some(u64::from(*tokens.min(cached)))
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/rate_limits.rs
@@ -17,7 +17,7 @@
 
 /// The limit that an answer announces.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum LimitSaid {
+pub enum AnnouncedLimit {
     /// No limit is announced.
     #[default]
     None,
@@ -38,7 +38,7 @@
 
 /// An update on one upstream's limit that nodes send to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LimitTold {
+pub struct LimitUpdate {
     /// The upstream.
     pub upstream: UpstreamId,
     /// Requests per second, or `None` if the limit was lifted.
@@ -51,21 +51,21 @@
 ///
 /// ```
 /// use std::time::Instant;
-/// use nutmegsail_relay::{LimitChange, LimitSaid, Limits};
-/// let (mut limits, now) = (Limits::default(), Instant::now());
+/// use nutmegsail_relay::{AnnouncedLimit, LimitChange, RateLimits};
+/// let (mut limits, now) = (RateLimits::default(), Instant::now());
 /// let engine = "engine-1@7".into();
-/// let announced = LimitSaid::PerSecond(1.5);
+/// let announced = AnnouncedLimit::PerSecond(1.5);
 /// assert_eq!(limits.note_answer(&engine, announced, now), Some(LimitChange::Named(1.5)));
 /// assert_eq!(limits.note_answer(&engine, announced, now), None);
 /// assert_eq!(limits.per_s(&engine), Some(1.5));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Limits {
+pub struct RateLimits {
     known: HashMap<UpstreamId, KnownLimit>,
     /// Number of changes, from answers or from other nodes.
     changes: u64,
     /// Number of changes from answers to this node.
-    own_changes: u64,
+    own_change_count: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -79,21 +79,21 @@
     pending_rise: Option<(Instant, Option<f64>)>,
 }
 
-impl Limits {
+impl RateLimits {
     /// Processes the limit that an answer of `upstream` announces. Returns the change, if any.
     ///
     /// A lower limit applies at once; a higher one, or none, applies after `RAISE_DELAY`.
     pub fn note_answer(
         &mut self,
         upstream: &UpstreamId,
-        announced: LimitSaid,
+        announced: AnnouncedLimit,
         now: Instant,
     ) -> Option<LimitChange> {
         let per_s = match announced {
-            LimitSaid::PerSecond(per_s) => Some(per_s),
-            LimitSaid::None => None,
+            AnnouncedLimit::PerSecond(per_s) => Some(per_s),
+            AnnouncedLimit::None => None,
             // A malformed value shows that there is a limit, but not which.
-            LimitSaid::Malformed => return None,
+            AnnouncedLimit::Malformed => return None,
         };
         let change = match self.known.get_mut(upstream) {
             Some(known) => known.record(per_s, now),
@@ -105,18 +105,18 @@
             }
         };
         self.changes += u64::from(change.is_some());
-        self.own_changes += u64::from(change.is_some());
+        self.own_change_count += u64::from(change.is_some());
         change
     }
 
     /// Number of changes to the known limits, from answers or from other nodes.
-    pub fn changes(&self) -> u64 {
+    pub fn change_count(&self) -> u64 {
         self.changes
     }
 
     /// Number of changes that answers to this node caused.
-    pub fn own_changes(&self) -> u64 {
-        self.own_changes
+    pub fn own_change_count(&self) -> u64 {
+        self.own_change_count
     }
 
     /// Upstreams with a limit in force, and those limits in requests per second.
@@ -147,13 +147,13 @@
     }
 
     /// The update to send to other nodes about `upstream`, if it is known.
-    pub fn told_of(&self, upstream: &UpstreamId, now: Instant) -> Option<LimitTold> {
+    pub fn update_for(&self, upstream: &UpstreamId, now: Instant) -> Option<LimitUpdate> {
         let known = self.known.get(upstream)?;
         Some(known.told(upstream, now))
     }
 
     /// Updates to send to other nodes about all known upstreams.
-    pub fn told(&self, now: Instant) -> Vec<LimitTold> {
+    pub fn updates(&self, now: Instant) -> Vec<LimitUpdate> {
         let known = self.known.iter();
         known
             .map(|(upstream, known)| known.told(upstream, now))
@@ -161,13 +161,13 @@
     }
 
     /// Applies an update from another node. Returns the change, if any.
-    pub fn take(&mut self, update: &LimitTold, now: Instant) -> Option<LimitChange> {
+    pub fn take(&mut self, update: &LimitUpdate, now: Instant) -> Option<LimitChange> {
         let change = self.merge_update(update, now);
         self.changes += u64::from(change.is_some());
         change
     }
 
-    fn merge_update(&mut self, update: &LimitTold, now: Instant) -> Option<LimitChange> {
+    fn merge_update(&mut self, update: &LimitUpdate, now: Instant) -> Option<LimitChange> {
         let age = Duration::from_millis(u64::from(update.age_ms));
         let announced_at = now.checked_sub(age).unwrap_or(now);
         let per_s = update.per_s.filter(|per_s| is_rate(*per_s));
@@ -196,9 +196,9 @@
         }
     }
 
-    fn told(&self, upstream: &UpstreamId, now: Instant) -> LimitTold {
+    fn told(&self, upstream: &UpstreamId, now: Instant) -> LimitUpdate {
         let age_ms = now.duration_since(self.announced_at).as_millis();
-        LimitTold {
+        LimitUpdate {
             upstream: upstream.clone(),
             per_s: self.per_s,
             age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
@@ -244,13 +244,13 @@
     per_s.is_finite() && per_s >= 0.0
 }
 
-impl LimitSaid {
+impl AnnouncedLimit {
     /// Parses an announced limit.
     ///
     /// ```
-    /// use nutmegsail_relay::LimitSaid;
-    /// assert_eq!(LimitSaid::parse("1.5"), LimitSaid::PerSecond(1.5));
-    /// assert_eq!(LimitSaid::parse("-1"), LimitSaid::Malformed);
+    /// use nutmegsail_relay::AnnouncedLimit;
+    /// assert_eq!(AnnouncedLimit::parse("1.5"), AnnouncedLimit::PerSecond(1.5));
+    /// assert_eq!(AnnouncedLimit::parse("-1"), AnnouncedLimit::Malformed);
     /// ```
     pub fn parse(text: &str) -> Self {
         match text.trim().parse() {
--- a/crates/relay/src/far_news.rs
+++ b/crates/relay/src/remote_load_filter.rs
@@ -18,20 +18,20 @@
 /// would keep sending requests to an engine that their outdated loads show as free.
 ///
 /// ```
-/// use nutmegsail_relay::FarNews;
-/// let mut included = FarNews::default();
-/// assert_eq!(included.turn([("e1", 2), ("e2", 0)]), ["e1", "e2"]);
-/// assert_eq!(included.turn([("e1", 3), ("e2", 0)]), [""; 0]);
-/// assert_eq!(included.turn([("e1", 6), ("e2", 0)]), ["e1"]);
+/// use nutmegsail_relay::RemoteLoadFilter;
+/// let mut included = RemoteLoadFilter::default();
+/// assert_eq!(included.due_engines([("e1", 2), ("e2", 0)]), ["e1", "e2"]);
+/// assert_eq!(included.due_engines([("e1", 3), ("e2", 0)]), [""; 0]);
+/// assert_eq!(included.due_engines([("e1", 6), ("e2", 0)]), ["e1"]);
 /// ```
 #[derive(Clone, Debug)]
-pub struct FarNews<K> {
+pub struct RemoteLoadFilter<K> {
     /// The number of requests at each engine when its load was last sent.
     last_sent: HashMap<K, u32>,
     turns: u32,
 }
 
-impl<K> Default for FarNews<K> {
+impl<K> Default for RemoteLoadFilter<K> {
     fn default() -> Self {
         Self {
             last_sent: HashMap::new(),
@@ -40,10 +40,10 @@
     }
 }
 
-impl<K: Copy + Eq + Hash> FarNews<K> {
+impl<K: Copy + Eq + Hash> RemoteLoadFilter<K> {
     /// Returns the engines to include in the next update. `engines` lists all known engines and the
     /// number of requests at each.
-    pub fn turn(&mut self, engines: impl IntoIterator<Item = (K, u32)>) -> Vec<K> {
+    pub fn due_engines(&mut self, engines: impl IntoIterator<Item = (K, u32)>) -> Vec<K> {
         let is_full_update = self.turns.is_multiple_of(FULL_UPDATE_EVERY);
         self.turns = self.turns.wrapping_add(1);
         let previous = std::mem::take(&mut self.last_sent);
--- a/crates/relay/src/return_time.rs
+++ b/crates/relay/src/retry_after.rs
@@ -21,13 +21,13 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use nutmegsail_relay::return_after;
+/// use nutmegsail_relay::jittered_retry_after;
 /// let wait = Duration::from_secs(3);
-/// let urgent = return_after(wait, 0, &mut rand::rng());
-/// let routine = return_after(wait, 2, &mut rand::rng());
+/// let urgent = jittered_retry_after(wait, 0, &mut rand::rng());
+/// let routine = jittered_retry_after(wait, 2, &mut rand::rng());
 /// assert!(wait <= urgent && urgent < routine);
 /// ```
-pub fn return_after(wait: Duration, rank: u8, random: &mut dyn Rng) -> Duration {
+pub fn jittered_retry_after(wait: Duration, rank: u8, random: &mut dyn Rng) -> Duration {
     let spread = wait.mul_f64(SPREAD_SHARE).max(MIN_SPREAD);
     let place = f64::from(rank.min(PRIORITIES - 1)) + random.random::<f64>();
     wait + spread.mul_f64(place / f64::from(PRIORITIES))
--- a/crates/relay/src/retry_budget.rs
+++ b/crates/relay/src/retry_budget.rs
@@ -14,8 +14,8 @@
     pub window: Duration,
 }
 
-/// Share of the fleet's budget that nodes use. The remainder is a margin, so that windows that are not
-/// aligned, and attempts in flight, do not add up to more than the whole.
+/// Share of the fleet's budget that nodes use. The remainder is a margin, so that windows that are
+/// not aligned, and attempts in flight, do not add up to more than the whole.
 const USED_SHARE: f64 = 0.6;
 
 /// Number of steps that the window is counted in.
@@ -55,7 +55,7 @@
     }
 
     /// Whether the budget allows a retry, at one of `nodes` nodes.
-    pub fn has_further(&mut self, nodes: usize, now: Instant) -> bool {
+    pub fn has_retry(&mut self, nodes: usize, now: Instant) -> bool {
         self.step(now);
         let first_attempts: u32 = self.steps.iter().map(|step| step.first_attempts).sum();
         let retries: u32 = self.steps.iter().map(|step| step.retries).sum();
@@ -65,8 +65,8 @@
     }
 
     /// Counts a retry if the budget allows it. Returns whether it does.
-    pub fn take_further(&mut self, nodes: usize, now: Instant) -> bool {
-        let has_room = self.has_further(nodes, now);
+    pub fn take_retry(&mut self, nodes: usize, now: Instant) -> bool {
+        let has_room = self.has_retry(nodes, now);
         if has_room {
             self.step(now).retries += 1;
         }
--- a/crates/relay/src/route.rs
+++ b/crates/relay/src/route.rs
@@ -30,10 +30,10 @@
     /// How long a request may take until its answer is complete.
     pub timeout: Duration,
     /// The latency objective; for streams, that of the first event.
-    pub objective: Duration,
+    pub latency_objective: Duration,
     /// How long callers wait for the next event of a stream, including the first, before they
     /// disconnect.
-    pub event_patience: Duration,
+    pub event_timeout: Duration,
     /// The priority of its requests; 0 is the most urgent.
     pub priority: u8,
     /// The services to send requests to, with their weights. Never empty.
@@ -58,8 +58,8 @@
     ///     path_prefix: "/notes/".into(),
     ///     kind: CallKind::Idempotent,
     ///     timeout: Duration::from_secs(1),
-    ///     objective: Duration::from_millis(150),
-    ///     event_patience: Duration::from_secs(2),
+    ///     latency_objective: Duration::from_millis(150),
+    ///     event_timeout: Duration::from_secs(2),
     ///     priority: 2,
     ///     services: vec![split("old", 90.0), split("new", 10.0)],
     ///     max_attempts: 2,
--- a/crates/relay/src/slot_gate.rs
+++ b/crates/relay/src/slot_gate.rs
@@ -45,15 +45,15 @@
 
 /// A request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SlotAsk {
+pub struct SlotRequest {
     /// How much longer an answer is in time, in milliseconds; 0 for a request that is already late.
-    pub in_time_ms: u32,
+    pub due_in_ms: u32,
     /// How long the caller waits, in milliseconds.
-    pub patience_ms: u32,
+    pub wait_limit_ms: u32,
     /// Whether to queue the request if no slot is free.
     pub may_queue: bool,
     /// Priority; 0 is the most urgent.
-    pub rank: u8,
+    pub priority: u8,
 }
 
 /// The decision on a request for a slot.
@@ -91,9 +91,9 @@
 ///
 /// ```
 /// use std::time::Instant;
-/// use nutmegsail_relay::{SlotAnswer, SlotAsk, SlotGate};
+/// use nutmegsail_relay::{SlotAnswer, SlotGate, SlotRequest};
 /// let (mut gate, now) = (SlotGate::new(1), Instant::now());
-/// let ask = SlotAsk { in_time_ms: 300, patience_ms: 3_000, may_queue: true, rank: 0 };
+/// let ask = SlotRequest { due_in_ms: 300, wait_limit_ms: 3_000, may_queue: true, priority: 0 };
 /// assert_eq!(gate.ask("a", ask, now), SlotAnswer::Granted);
 /// assert_eq!(gate.ask("b", ask, now), SlotAnswer::Granted);
 /// assert_eq!(gate.ask("c", ask, now), SlotAnswer::Queued);
@@ -150,7 +150,7 @@
     }
 
     /// Grants a slot, queues the request or turns it away.
-    pub fn ask(&mut self, key: K, ask: SlotAsk, now: Instant) -> SlotAnswer {
+    pub fn ask(&mut self, key: K, ask: SlotRequest, now: Instant) -> SlotAnswer {
         self.drop_expired_slots(now);
         // Datagrams can be delivered twice.
         if self.granted.contains_key(&key) {
@@ -163,9 +163,9 @@
             self.granted.insert(key, now);
             return SlotAnswer::Granted;
         }
-        let in_time = Duration::from_millis(u64::from(ask.in_time_ms));
+        let in_time = Duration::from_millis(u64::from(ask.due_in_ms));
         let latest_start = now + in_time.saturating_sub(self.run_time.mul_f64(RESERVED_RUN_TIMES));
-        let wait_in_time = self.wait_behind(self.ahead_of(ask.rank, latest_start), now);
+        let wait_in_time = self.wait_behind(self.ahead_of(ask.priority, latest_start), now);
         let is_late = in_time.is_zero() || now + wait_in_time > latest_start;
         let wait = match is_late {
             false => wait_in_time,
@@ -175,7 +175,7 @@
         if !ask.may_queue {
             return SlotAnswer::Busy { wait_ms };
         }
-        let wait_limit = Duration::from_millis(u64::from(ask.patience_ms));
+        let wait_limit = Duration::from_millis(u64::from(ask.wait_limit_ms));
         if is_late && (wait > MAX_LATE_WAIT || wait + self.run_time > wait_limit) {
             return SlotAnswer::Refused { wait_ms };
         }
@@ -183,7 +183,7 @@
             key,
             latest_start,
             is_late,
-            rank: ask.rank,
+            rank: ask.priority,
             expires_at: now + wait_limit,
         });
         SlotAnswer::Queued
@@ -202,11 +202,11 @@
             update_average(&mut self.hold_time, now.saturating_duration_since(since));
             update_average(&mut self.run_time, took);
         }
-        self.turn(now)
+        self.grant_due(now)
     }
 
     /// Grants slots to queued requests while there is room, and returns the decisions made.
-    pub fn turn(&mut self, now: Instant) -> Vec<(K, SlotAnswer)> {
+    pub fn grant_due(&mut self, now: Instant) -> Vec<(K, SlotAnswer)> {
         self.drop_expired_slots(now);
         let mut answers = Vec::new();
         while self.has_capacity(now) {
--- a/crates/relay/src/suspect_homes.rs
+++ b/crates/relay/src/suspect_collectors.rs
@@ -11,7 +11,7 @@
 /// view choose the same ones, and a failure domain that is cut off still has one of its own.
 ///
 /// ```
-/// use nutmegsail_relay::{NodeRecord, RequestContent, RequestDigest, homes_of};
+/// use nutmegsail_relay::{NodeRecord, RequestContent, RequestDigest, collectors_of};
 /// let content = RequestContent { method: "POST", host: "spa", path: "/", team: None, body: b"" };
 /// let node = |name: &str, domain: &str| NodeRecord {
 ///     node: name.into(),
@@ -19,11 +19,11 @@
 ///     address: "10.0.0.1:80".parse().unwrap(),
 /// };
 /// let nodes = [node("east-1", "east"), node("east-2", "east"), node("west-1", "west")];
-/// let collectors = homes_of(&RequestDigest::of(&content), &nodes);
+/// let collectors = collectors_of(&RequestDigest::of(&content), &nodes);
 /// assert_eq!(collectors.len(), 2);
 /// assert_eq!(collectors[1].node.as_str(), "west-1");
 /// ```
-pub fn homes_of<'a>(
+pub fn collectors_of<'a>(
     digest: &RequestDigest,
     nodes: impl IntoIterator<Item = &'a NodeRecord>,
 ) -> Vec<&'a NodeRecord> {
--- a/crates/relay/src/suspects.rs
+++ b/crates/relay/src/suspects.rs
@@ -54,17 +54,17 @@
 
 /// Which nodes receive an update about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Audience {
+pub enum Recipients {
     /// One node of each failure domain, chosen by hash of the request, which collects what other
     /// nodes saw.
-    Homes,
+    Collectors,
     /// All nodes.
     All,
 }
 
 /// An update about one request that nodes send to each other. Ages are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectTold {
+pub struct SuspectUpdate {
     digest: RequestDigest,
     /// Upstreams that ended, by hash of their ids, and how long ago.
     strikes: Vec<(u64, u32)>,
@@ -74,7 +74,7 @@
     trials: u32,
 }
 
-impl SuspectTold {
+impl SuspectUpdate {
     /// The request.
     pub fn digest(&self) -> &RequestDigest {
         &self.digest
@@ -219,7 +219,7 @@
     }
 
     /// Returns the updates to send now, with the nodes to send each to.
-    pub fn news(&mut self, now: Instant) -> Vec<(Audience, SuspectTold)> {
+    pub fn due_updates(&mut self, now: Instant) -> Vec<(Recipients, SuspectUpdate)> {
         self.forget_old(now);
         let due = self.records.iter_mut();
         let due = due.filter(|(_, record)| record.is_send_due(now));
@@ -227,8 +227,8 @@
             record.sends_left = record.sends_left.saturating_sub(1);
             record.last_sent = Some(now);
             let audience = match record.is_broadcast {
-                true => Audience::All,
-                false => Audience::Homes,
+                true => Recipients::All,
+                false => Recipients::Collectors,
             };
             (audience, record.to_update(*digest, now))
         })
@@ -238,7 +238,7 @@
     /// Returns updates on up to `most` requests known to all nodes. They are sent repeatedly,
     /// because nodes start or become reachable late. Requests with the most strikes come first,
     /// then the most recent.
-    pub fn standing(&self, most: usize, now: Instant) -> Vec<SuspectTold> {
+    pub fn repeated_updates(&self, most: usize, now: Instant) -> Vec<SuspectUpdate> {
         let mut suspected: Vec<_> = self
             .records
             .iter()
@@ -256,7 +256,7 @@
     }
 
     /// Applies an update from another node.
-    pub fn take(&mut self, from: &NodeId, update: &SuspectTold, now: Instant) {
+    pub fn take(&mut self, from: &NodeId, update: &SuspectUpdate, now: Instant) {
         let record = self.records.entry(update.digest).or_default();
         if let Some(cleared) = update.cleared.and_then(|age_ms| before(now, age_ms)) {
             record.clear(cleared);
@@ -361,13 +361,13 @@
             || self.strikes(now).next().is_some()
     }
 
-    fn to_update(&self, digest: RequestDigest, now: Instant) -> SuspectTold {
+    fn to_update(&self, digest: RequestDigest, now: Instant) -> SuspectUpdate {
         let age_ms = |at: Instant| {
             let age = now.saturating_duration_since(at);
             u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
         };
         let strikes = self.strikes(now);
-        SuspectTold {
+        SuspectUpdate {
             digest,
             strikes: strikes
                 .map(|strike| (strike.upstream, age_ms(strike.at)))
