--- a/crates/relay/src/tracked.rs
+++ b/crates/relay/src/tracked.rs
@@ -5,50 +5,50 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::rest::Rest;
+use crate::backoff::Backoff;
 use crate::{
     CachedPrompts, DroppedAdapters, Health, HeldAdapter, Holdings, ModelDigest, ModelRef,
-    PromptChain, Upstream, VersionRule,
+    PromptPrefix, Upstream, VersionRule,
 };
 
 /// The load of an engine as other nodes reported it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests that other nodes have in flight there.
     pub in_flight_of_others: u32,
     /// Prompt tokens sent by other nodes whose answers have not started.
-    pub unread_tokens_of_others: u64,
+    pub pending_prompt_tokens_of_others: u64,
     /// Adapters being loaded, or queued for loading.
-    pub coming: Vec<ModelDigest>,
+    pub loading: Vec<ModelDigest>,
     /// Adapters that were loaded or unloaded recently.
-    pub moved: Vec<AdapterMove>,
+    pub recent_changes: Vec<AdapterChange>,
     /// Number of adapters that could be loaded now: free adapter slots plus those of unused
     /// adapters.
-    pub room: u32,
+    pub free_adapter_slots: u32,
     /// Whether the owner can order loads now.
     pub takes_loads: bool,
     /// When the report was received.
-    pub taken: Instant,
+    pub received_at: Instant,
 }
 
 /// What a message says about the adapters and models that an engine holds.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub enum HoldingsTold {
+pub enum HoldingsReport {
     /// The complete new holdings.
     Changed(Holdings),
     /// The same holdings as in the last message to this node.
     Unchanged,
     /// The message does not cover holdings.
     #[default]
-    Untold,
+    NotReported,
 }
 
-impl HoldingsTold {
+impl HoldingsReport {
     /// Combines this message with an `older` one.
     pub fn after(self, older: Self) -> Self {
         match (self, older) {
             (Self::Unchanged, older @ Self::Changed(_)) => older,
-            (Self::Untold, older) => older,
+            (Self::NotReported, older) => older,
             (newer, _) => newer,
         }
     }
@@ -56,7 +56,7 @@
 
 /// An adapter that was loaded into or unloaded from an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AdapterMove {
+pub struct AdapterChange {
     /// The adapter.
     pub model: ModelDigest,
     /// Whether the engine holds it now.
@@ -86,8 +86,8 @@
 /// Age up to which a load report is used: an engine works off its queue of prompts in about 300 ms.
 const LOAD_REPORT_TTL: Duration = Duration::from_millis(600);
 
-/// Assumed time for a healthy engine to process one prompt token, in milliseconds. The latency factor
-/// learned from answers corrects it for the deployment's engines.
+/// Assumed time for a healthy engine to process one prompt token, in milliseconds. The latency
+/// factor learned from answers corrects it for the deployment's engines.
 pub(crate) const PROMPT_TOKEN_MS: f64 = 0.052;
 
 /// Time to the first event of an empty prompt at an idle engine, in milliseconds: one step plus the
@@ -122,19 +122,19 @@
     /// Prompts that this node sent to it and that it may have cached.
     cached_prompts: CachedPrompts,
     /// Adapters that were recently loaded or unloaded, with the time of the report.
-    recent_changes: Vec<(AdapterMove, Instant)>,
+    recent_changes: Vec<(AdapterChange, Instant)>,
     /// When its owner last confirmed the holdings.
     holdings_reported_at: Option<Instant>,
     /// Requests that this node sent and that have not ended.
     pub in_flight: u32,
     /// Prompt tokens that this node sent and whose answers have not started.
-    pub unread_tokens: u64,
+    pub pending_prompt_tokens: u64,
     /// Its recent failures.
     pub health: Health,
     /// When it first announced its shutdown to this node.
     pub(crate) leaving_since: Option<Instant>,
     /// The backoff that it asked this node for.
-    pub(crate) rest: Rest,
+    pub(crate) rest: Backoff,
     /// Whether it limits the rate of its requests.
     pub(crate) is_limited: bool,
     /// Until when its limit is known to be exhausted.
@@ -142,7 +142,7 @@
     /// When another process answered at its address.
     replaced_at: Option<Instant>,
     /// The last load report.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// Average time for which a request occupies a slot, in milliseconds.
     slot_time_ms: f64,
     /// Observed over assumed time for engines to process prompts and run steps.
@@ -164,10 +164,10 @@
             holdings_reported_at: None,
             upstream,
             in_flight: 0,
-            unread_tokens: 0,
+            pending_prompt_tokens: 0,
             health: Health::default(),
             leaving_since: None,
-            rest: Rest::default(),
+            rest: Backoff::default(),
             is_limited: false,
             limited_until: None,
             replaced_at: None,
@@ -199,27 +199,35 @@
     /// confirmation that they are unchanged, outdated holdings stayed in place and the list of
     /// upstreams was ignored for good: adapters that the engine held were loaded on other engines,
     /// and requests were sent for adapters that it had unloaded.
-    pub fn note_told(&mut self, holdings: &HoldingsTold, report: Report) {
+    pub fn record_owner_report(&mut self, holdings: &HoldingsReport, report: LoadReport) {
         match holdings {
-            HoldingsTold::Changed(holdings) => {
+            HoldingsReport::Changed(holdings) => {
                 self.set_holdings(holdings);
-                self.holdings_reported_at = Some(report.taken);
+                self.holdings_reported_at = Some(report.received_at);
             }
-            HoldingsTold::Unchanged if self.holdings_reported_at.is_some() => {
-                self.holdings_reported_at = Some(report.taken);
+            HoldingsReport::Unchanged if self.holdings_reported_at.is_some() => {
+                self.holdings_reported_at = Some(report.received_at);
             }
-            HoldingsTold::Unchanged | HoldingsTold::Untold => {}
+            HoldingsReport::Unchanged | HoldingsReport::NotReported => {}
         }
         self.record_changes(&report);
         self.report = Some(report);
     }
 
-    fn record_changes(&mut self, report: &Report) {
-        let is_reported = |model| report.moved.iter().any(|moved| moved.model == model);
+    fn record_changes(&mut self, report: &LoadReport) {
+        let is_reported = |model| {
+            report
+                .recent_changes
+                .iter()
+                .any(|moved| moved.model == model)
+        };
         self.recent_changes.retain(|(moved, at)| {
-            report.taken.duration_since(*at) < CHANGE_TTL && !is_reported(moved.model)
+            report.received_at.duration_since(*at) < CHANGE_TTL && !is_reported(moved.model)
         });
-        let reported = report.moved.iter().map(|moved| (*moved, report.taken));
+        let reported = report
+            .recent_changes
+            .iter()
+            .map(|moved| (*moved, report.received_at));
         self.recent_changes.extend(reported);
     }
 
@@ -237,7 +245,7 @@
             return None;
         }
         let digest = wanted.digest();
-        let is_wanted = |(moved, at): &&(AdapterMove, Instant)| {
+        let is_wanted = |(moved, at): &&(AdapterChange, Instant)| {
             moved.model == digest && now.duration_since(*at) < CHANGE_TTL
         };
         match self.recent_changes.iter().find(is_wanted) {
@@ -259,7 +267,7 @@
     }
 
     /// Records the holdings that the owner reported after an adapter was loaded.
-    pub fn note_holdings(&mut self, holdings: &Holdings, now: Instant) {
+    pub fn record_holdings(&mut self, holdings: &Holdings, now: Instant) {
         self.set_holdings(holdings);
         self.holdings_reported_at = Some(now);
         // The owner's full report is newer than all recorded changes.
@@ -267,9 +275,9 @@
     }
 
     /// Records that the upstream itself said it does not hold `model`.
-    pub(crate) fn note_absent(&mut self, model: &ModelRef, now: Instant) {
+    pub(crate) fn record_adapter_missing(&mut self, model: &ModelRef, now: Instant) {
         self.holdings.forget(model);
-        let absent = AdapterMove {
+        let absent = AdapterChange {
             model: model.digest(),
             is_held: false,
         };
@@ -310,7 +318,8 @@
     /// Prompt tokens known to be processed before those of a new request.
     pub fn backlog_tokens(&self, now: Instant) -> u64 {
         let others = self.fresh_report(now);
-        self.unread_tokens + others.map_or(0, |report| report.unread_tokens_of_others)
+        self.pending_prompt_tokens
+            + others.map_or(0, |report| report.pending_prompt_tokens_of_others)
     }
 
     /// Number of requests known to be running there.
@@ -320,25 +329,25 @@
     }
 
     /// Records that a request was sent.
-    pub(crate) fn sent(&mut self, prompt_tokens: u64, now: Instant) {
+    pub(crate) fn record_sent(&mut self, prompt_tokens: u64, now: Instant) {
         self.in_flight += 1;
         self.rest.note_sent(now);
-        self.unread_tokens += prompt_tokens;
+        self.pending_prompt_tokens += prompt_tokens;
         self.waiting_since.get_or_insert(now);
     }
 
     /// Records that another process answered at its address.
-    pub(crate) fn note_gone(&mut self, now: Instant) {
+    pub(crate) fn record_replaced(&mut self, now: Instant) {
         self.replaced_at = Some(now);
     }
 
     /// Whether neither the list of upstreams nor the upstream itself has announced its shutdown.
-    pub fn is_to_stay(&self) -> bool {
+    pub fn is_staying(&self) -> bool {
         self.upstream.takes_work() && self.leaving_since.is_none()
     }
 
     /// Records that its limit is exhausted until `until`.
-    pub(crate) fn note_limited(&mut self, until: Instant) {
+    pub(crate) fn record_rate_limited(&mut self, until: Instant) {
         self.limited_until = Some(until);
     }
 
@@ -351,31 +360,31 @@
     }
 
     /// Whether another process has taken its address, before the list of upstreams shows it.
-    pub(crate) fn is_gone(&self, now: Instant) -> bool {
+    pub(crate) fn is_replaced(&self, now: Instant) -> bool {
         self.replaced_at
             .is_some_and(|at| now.duration_since(at) < REPLACED_TTL)
     }
 
     /// Records a prompt that was sent to it.
-    pub(crate) fn note_prompt(&mut self, prompt: &PromptChain, now: Instant) {
+    pub(crate) fn record_prompt(&mut self, prompt: &PromptPrefix, now: Instant) {
         self.cached_prompts.note(prompt, now);
     }
 
     /// Prompt tokens that it is expected to have cached.
-    pub(crate) fn cached_tokens(&self, prompt: &PromptChain, now: Instant) -> u64 {
+    pub(crate) fn cached_tokens(&self, prompt: &PromptPrefix, now: Instant) -> u64 {
         self.cached_prompts.cached_tokens_of(prompt, now)
     }
 
     /// Records that something came back from it.
     pub(crate) fn record_activity(&mut self, now: Instant) {
-        let is_waiting = self.in_flight > 0 && self.unread_tokens > 0;
+        let is_waiting = self.in_flight > 0 && self.pending_prompt_tokens > 0;
         self.waiting_since = is_waiting.then_some(now);
     }
 
     /// Records that a prompt was processed or given up.
-    pub(crate) fn prompt_read(&mut self, prompt_tokens: u64) {
-        self.unread_tokens = self.unread_tokens.saturating_sub(prompt_tokens);
-        if self.unread_tokens == 0 {
+    pub(crate) fn record_prompt_read(&mut self, prompt_tokens: u64) {
+        self.pending_prompt_tokens = self.pending_prompt_tokens.saturating_sub(prompt_tokens);
+        if self.pending_prompt_tokens == 0 {
             self.waiting_since = None;
         }
     }
@@ -393,14 +402,15 @@
     }
 
     /// Adapters known to be loading or queued for loading.
-    pub fn coming(&self, now: Instant) -> &[ModelDigest] {
+    pub fn loading(&self, now: Instant) -> &[ModelDigest] {
         self.fresh_report(now)
-            .map_or(&[], |report| report.coming.as_slice())
+            .map_or(&[], |report| report.loading.as_slice())
     }
 
     /// Whether it could take another adapter. True if there is no recent report.
     pub fn has_room(&self, now: Instant) -> bool {
-        self.fresh_report(now).is_none_or(|report| report.room > 0)
+        self.fresh_report(now)
+            .is_none_or(|report| report.free_adapter_slots > 0)
     }
 
     /// Whether its owner can order loads. True if there is no recent report.
@@ -454,9 +464,9 @@
         self.record_activity(now);
     }
 
-    fn fresh_report(&self, now: Instant) -> Option<&Report> {
+    fn fresh_report(&self, now: Instant) -> Option<&LoadReport> {
         self.report
             .as_ref()
-            .filter(|report| now.duration_since(report.taken) < LOAD_REPORT_TTL)
+            .filter(|report| now.duration_since(report.received_at) < LOAD_REPORT_TTL)
     }
 }
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -6,7 +6,7 @@
 
 use nutmegsail_base::{FailureDomain, ServiceName, UpstreamId};
 
-use crate::{AtHand, Holdings};
+use crate::{Holdings, LocalWeights};
 
 /// Whether an upstream takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
     /// The models and adapters it holds, if it is an engine.
     pub holdings: Holdings,
     /// Base models that it can load without the weight store.
-    pub at_hand: AtHand,
+    pub local_weights: LocalWeights,
 }
 
 impl Upstream {
--- a/crates/relay/src/listing.rs
+++ b/crates/relay/src/upstream_list.rs
@@ -42,7 +42,7 @@
 ///
 /// ```
 /// use std::time::Instant;
-/// use nutmegsail_relay::{EntryFault, Listing, Upstream, UpstreamEntry, UpstreamState};
+/// use nutmegsail_relay::{EntryFault, Upstream, UpstreamEntry, UpstreamList, UpstreamState};
 /// let entry = |started_ms, heartbeat| UpstreamEntry {
 ///     upstream: Upstream {
 ///         id: Upstream::id_of("engine-1", Some(started_ms)),
@@ -54,17 +54,17 @@
 ///         slots: 8,
 ///         state: UpstreamState::Ready,
 ///         holdings: Default::default(),
-///         at_hand: Default::default(),
+///         local_weights: Default::default(),
 ///     },
 ///     heartbeat,
 /// };
-/// let (mut listing, now) = (Listing::default(), Instant::now());
+/// let (mut listing, now) = (UpstreamList::default(), Instant::now());
 /// assert!(listing.admit(entry(1_000, 7), now).is_ok());
 /// assert!(listing.admit(entry(2_000, 1), now).is_ok());
 /// assert_eq!(listing.admit(entry(1_000, 8), now), Err(EntryFault::OlderStart));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Listing {
+pub struct UpstreamList {
     newest: HashMap<Arc<str>, NewestEntry>,
     /// Whether entries have start times.
     has_start_times: bool,
@@ -78,7 +78,7 @@
     last_seen: Instant,
 }
 
-impl Listing {
+impl UpstreamList {
     /// Accepts an entry and returns the upstream, if the entry is the newest of its name.
     ///
     /// # Errors
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/upstream_notices.rs
@@ -20,7 +20,7 @@
 /// The backoff that an answer requests: how long its upstream wants no further requests from this
 /// node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum RestSaid {
+pub enum RequestedBackoff {
     /// No backoff is requested.
     #[default]
     None,
@@ -35,46 +35,46 @@
 ///
 /// ```
 /// use std::time::{Duration, Instant};
-/// use nutmegsail_relay::Notices;
-/// let (mut notices, now) = (Notices::default(), Instant::now());
+/// use nutmegsail_relay::UpstreamNotices;
+/// let (mut notices, now) = (UpstreamNotices::default(), Instant::now());
 /// let engine = "engine-1@7".into();
-/// assert!(notices.note_leaving(&engine, now));
-/// assert!(!notices.note_leaving(&engine, now), "already known");
+/// assert!(notices.record_leaving(&engine, now));
+/// assert!(!notices.record_leaving(&engine, now), "already known");
 /// assert!(notices.is_leaving(&engine));
 /// let backoff = Duration::from_secs(3);
-/// notices.note_rest(&engine, backoff, now, &mut rand::rng());
-/// assert!(notices.is_resting(&engine, now + backoff));
+/// notices.record_backoff(&engine, backoff, now, &mut rand::rng());
+/// assert!(notices.is_backing_off(&engine, now + backoff));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Notices {
+pub struct UpstreamNotices {
     known: HashMap<UpstreamId, Notice>,
     /// Number of upstreams that announced that they are leaving.
-    leavings: u64,
+    leaving_count: u64,
     /// Number of backoff requests received.
-    rests: u64,
+    backoff_count: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Notice {
     is_leaving: bool,
-    rest_until: Option<Instant>,
+    backoff_until: Option<Instant>,
     last_listed: Instant,
 }
 
-impl Notices {
+impl UpstreamNotices {
     /// Records that `upstream` is leaving. Returns `true` if this was not known yet.
     ///
     /// The notice holds until the process ends: a leaving process never takes new work again.
-    pub fn note_leaving(&mut self, upstream: &UpstreamId, now: Instant) -> bool {
+    pub fn record_leaving(&mut self, upstream: &UpstreamId, now: Instant) -> bool {
         let notice = self.notice(upstream, now);
         let is_new = !std::mem::replace(&mut notice.is_leaving, true);
-        self.leavings += u64::from(is_new);
+        self.leaving_count += u64::from(is_new);
         is_new
     }
 
     /// Number of upstreams that announced that they are leaving, since this process started.
-    pub fn leavings(&self) -> u64 {
-        self.leavings
+    pub fn leaving_count(&self) -> u64 {
+        self.leaving_count
     }
 
     /// Upstreams that are leaving.
@@ -95,7 +95,7 @@
     ///
     /// A later request never shortens a backoff, because answers can arrive out of order. Random
     /// jitter keeps nodes that were refused at the same time from returning at the same time.
-    pub fn note_rest(
+    pub fn record_backoff(
         &mut self,
         upstream: &UpstreamId,
         backoff: Duration,
@@ -106,33 +106,34 @@
         let jitter = backoff.mul_f64(JITTER_SHARE).min(MAX_JITTER);
         let until = now + backoff + jitter.mul_f64(random.random());
         let notice = self.notice(upstream, now);
-        let until = notice.rest_until.map_or(until, |known| known.max(until));
-        notice.rest_until = Some(until);
-        self.rests += 1;
+        let until = notice.backoff_until.map_or(until, |known| known.max(until));
+        notice.backoff_until = Some(until);
+        self.backoff_count += 1;
         until
     }
 
     /// Number of backoff requests received since this process started.
-    pub fn rests(&self) -> u64 {
-        self.rests
+    pub fn backoff_count(&self) -> u64 {
+        self.backoff_count
     }
 
     /// Whether `upstream` is in a backoff at `now` and must get no requests from this node.
-    pub fn is_resting(&self, upstream: &UpstreamId, now: Instant) -> bool {
-        self.rest_until(upstream).is_some_and(|until| now < until)
+    pub fn is_backing_off(&self, upstream: &UpstreamId, now: Instant) -> bool {
+        self.backoff_until(upstream)
+            .is_some_and(|until| now < until)
     }
 
     /// Numbers of upstreams that are leaving and that are in a backoff.
     pub fn counts(&self, now: Instant) -> (usize, usize) {
         let leaving = self.leaving().count();
         let known = self.known.keys();
-        let backing_off = known.filter(|upstream| self.is_resting(upstream, now));
+        let backing_off = known.filter(|upstream| self.is_backing_off(upstream, now));
         (leaving, backing_off.count())
     }
 
     /// When the last known backoff of `upstream` ends, even if that is in the past.
-    pub fn rest_until(&self, upstream: &UpstreamId) -> Option<Instant> {
-        self.known.get(upstream)?.rest_until
+    pub fn backoff_until(&self, upstream: &UpstreamId) -> Option<Instant> {
+        self.known.get(upstream)?.backoff_until
     }
 
     /// Drops the notices of upstreams that were last listed more than ten minutes ago.
@@ -148,20 +149,21 @@
     fn notice(&mut self, upstream: &UpstreamId, now: Instant) -> &mut Notice {
         self.known.entry(upstream.clone()).or_insert(Notice {
             is_leaving: false,
-            rest_until: None,
+            backoff_until: None,
             last_listed: now,
         })
     }
 }
 
-impl RestSaid {
+impl RequestedBackoff {
     /// Parses the seconds form of `Retry-After`. Fractions are accepted; HTTP dates are malformed.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use nutmegsail_relay::RestSaid;
-    /// assert_eq!(RestSaid::parse("2.5"), RestSaid::For(Duration::from_millis(2_500)));
-    /// assert_eq!(RestSaid::parse("soon"), RestSaid::Malformed);
+    /// use nutmegsail_relay::RequestedBackoff;
+    /// let backoff = RequestedBackoff::For(Duration::from_millis(2_500));
+    /// assert_eq!(RequestedBackoff::parse("2.5"), backoff);
+    /// assert_eq!(RequestedBackoff::parse("soon"), RequestedBackoff::Malformed);
     /// ```
     pub fn parse(text: &str) -> Self {
         match text.trim().parse() {
--- a/crates/relay/src/stated_patience.rs
+++ b/crates/relay/src/usual_timeout.rs
@@ -13,21 +13,21 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use nutmegsail_relay::StatedPatience;
+/// use nutmegsail_relay::UsualTimeout;
 /// let seconds = Duration::from_secs;
-/// let mut usual = StatedPatience::default();
+/// let mut usual = UsualTimeout::default();
 /// assert_eq!(usual.waited(seconds(3)), Duration::ZERO);
 /// assert_eq!(usual.waited(seconds(3)), Duration::ZERO);
 /// assert_eq!(usual.waited(seconds(2)), seconds(1));
 /// assert_eq!(usual.waited(seconds(60)), Duration::ZERO);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StatedPatience {
+pub struct UsualTimeout {
     usual: Duration,
     votes: u32,
 }
 
-impl StatedPatience {
+impl UsualTimeout {
     /// Returns how long a caller that states `timeout` has waited so far.
     pub fn waited(&mut self, timeout: Duration) -> Duration {
         // Boyer-Moore majority vote.
--- a/crates/relay/src/versions.rs
+++ b/crates/relay/src/versions.rs
@@ -9,7 +9,7 @@
 ///
 /// ```
 /// use nutmegsail_relay::VersionRule;
-/// let rule = VersionRule { wanted: 3, least: 2 };
+/// let rule = VersionRule { preferred: 3, oldest: 2 };
 /// assert!(rule.allows(2) && !rule.prefers(2));
 /// assert!(!rule.allows(1));
 /// assert!(VersionRule::ANY.prefers(1));
@@ -17,31 +17,31 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VersionRule {
     /// The version that new requests should start on; 0 if none was announced.
-    pub wanted: u64,
+    pub preferred: u64,
     /// The oldest version that they may start on.
-    pub least: u64,
+    pub oldest: u64,
 }
 
 impl VersionRule {
     /// No version was announced; any version may be used.
     pub const ANY: Self = Self {
-        wanted: 0,
-        least: 0,
+        preferred: 0,
+        oldest: 0,
     };
 
     /// Whether a request may start on `version`.
     pub fn allows(self, version: u64) -> bool {
-        version >= self.least
+        version >= self.oldest
     }
 
     /// Whether new requests should start on `version`.
     pub fn prefers(self, version: u64) -> bool {
-        version >= self.wanted
+        version >= self.preferred
     }
 
     /// The version to load; `None` for the newest.
     pub fn to_load(self) -> Option<u64> {
-        (self.wanted > 0).then_some(self.wanted)
+        (self.preferred > 0).then_some(self.preferred)
     }
 }
 
@@ -99,8 +99,8 @@
             |announced: &&Announced| now.duration_since(announced.since) >= overlap;
         let past_overlap = announced.iter().rev().find(is_overlap_over);
         VersionRule {
-            wanted: announced.last().map_or(0, |last| last.version),
-            least: past_overlap.map_or(0, |past_overlap| past_overlap.version),
+            preferred: announced.last().map_or(0, |last| last.version),
+            oldest: past_overlap.map_or(0, |past_overlap| past_overlap.version),
         }
     }
 }
--- a/crates/relay/tests/rest.rs
+++ b/crates/relay/tests/backoff.rs
@@ -10,7 +10,8 @@
 use common::{engine, plain};
 use nutmegsail_base::UpstreamId;
 use nutmegsail_relay::{
-    Dispatcher, ModelRef, Need, Notices, Outcome, PromptChain, Upstream, VersionRule, return_after,
+    DispatchRequest, Dispatcher, ModelRef, Outcome, PromptPrefix, Upstream, UpstreamNotices,
+    VersionRule, jittered_retry_after,
 };
 use proptest::prelude::*;
 use rand::SeedableRng as _;
@@ -48,7 +49,7 @@
 /// A node's dispatcher and notices, with a set of upstreams.
 struct World {
     dispatcher: Dispatcher,
-    notices: Notices,
+    notices: UpstreamNotices,
     upstreams: Vec<Upstream>,
     /// Earliest end of the backoff of each upstream.
     earliest_ends: [Option<Instant>; UPSTREAMS],
@@ -67,7 +68,7 @@
         };
         let mut world = Self {
             dispatcher: Dispatcher::new("here".into()),
-            notices: Notices::default(),
+            notices: UpstreamNotices::default(),
             upstreams: (0..UPSTREAMS).map(named).collect(),
             earliest_ends: [None; UPSTREAMS],
             trials: Default::default(),
@@ -87,7 +88,7 @@
             .collect();
         self.dispatcher.set_upstreams(&listed, self.now);
         let notices = &self.notices;
-        self.dispatcher.set_rests(|id| notices.rest_until(id));
+        self.dispatcher.set_backoffs(|id| notices.backoff_until(id));
     }
 
     fn id(&self, index: usize) -> UpstreamId {
@@ -100,9 +101,10 @@
             Event::Refuse(index, wait_ms) => self.refuse(*index, Duration::from_millis(*wait_ms)),
             Event::Answer(index) if self.in_flight[*index] > 0 => {
                 let (id, took) = (self.id(*index), Duration::from_millis(20));
-                self.dispatcher.answer_began(&id, 20.0, took, self.now);
                 self.dispatcher
-                    .note_outcome(&id, Outcome::Answered, self.now);
+                    .record_answer_started(&id, 20.0, took, self.now);
+                self.dispatcher
+                    .record_outcome(&id, Outcome::Answered, self.now);
                 self.end(*index);
                 if self.earliest_ends[*index].is_none_or(|until| until <= self.now) {
                     self.trials[*index] = None;
@@ -110,7 +112,8 @@
             }
             Event::Fail(index) if self.in_flight[*index] > 0 => {
                 let id = self.id(*index);
-                self.dispatcher.note_outcome(&id, Outcome::Failed, self.now);
+                self.dispatcher
+                    .record_outcome(&id, Outcome::Failed, self.now);
                 self.end(*index);
                 self.trials[*index] = self.trials[*index].as_ref().map(|_| Vec::new());
             }
@@ -127,15 +130,15 @@
 
     fn refuse(&mut self, index: usize, backoff: Duration) {
         let id = self.id(index);
-        self.dispatcher.note_outcome(&id, Outcome::Full, self.now);
+        self.dispatcher.record_outcome(&id, Outcome::Full, self.now);
         if self.in_flight[index] > 0 {
             self.end(index);
         }
         if !backoff.is_zero() {
             let until = self
                 .notices
-                .note_rest(&id, backoff, self.now, &mut self.random);
-            self.dispatcher.note_rest(&id, until);
+                .record_backoff(&id, backoff, self.now, &mut self.random);
+            self.dispatcher.record_backoff(&id, until);
             let earliest_end = self.now + backoff.min(Duration::from_secs(86_400));
             self.earliest_ends[index] = self.earliest_ends[index].max(Some(earliest_end));
             self.trials[index] = Some(Vec::new());
@@ -146,7 +149,7 @@
 
     fn end(&mut self, index: usize) {
         let id = self.id(index);
-        self.dispatcher.ended(&id);
+        self.dispatcher.record_ended(&id);
         self.in_flight[index] -= 1;
     }
 
@@ -154,12 +157,12 @@
         let is_engine = self.upstreams[0].service.as_str() == "engines";
         let model = is_engine.then(|| ModelRef::parse("base/a1"));
         let service = self.upstreams[0].service.clone();
-        let need = Need {
+        let need = DispatchRequest {
             service: &service,
             model: model.as_ref(),
             version: VersionRule::ANY,
             prompt_tokens: 0,
-            prompt: &PromptChain::default(),
+            prompt: &PromptPrefix::default(),
             tried: &[],
         };
         let now = self.now;
@@ -170,7 +173,7 @@
                     .find(|index| self.id(*index) == choice.upstream.id)
                     .unwrap();
                 prop_assert!(!in_backoff(index), "{} is in a backoff", choice.upstream.id);
-                self.dispatcher.sent(&choice.upstream.id, 0, now);
+                self.dispatcher.record_sent(&choice.upstream.id, 0, now);
                 self.in_flight[index] += 1;
                 if let Some(sent) = &mut self.trials[index] {
                     sent.retain(|at| now.duration_since(*at) < Duration::from_secs(1));
@@ -179,7 +182,7 @@
                 }
             }
             Err(_) => {
-                let ends = self.dispatcher.rest_ends(&need, now);
+                let ends = self.dispatcher.backoff_ends(&need, now);
                 let all = (0..UPSTREAMS).all(in_backoff);
                 prop_assert!(!all || ends.is_some(), "no return time is given");
                 let first = (0..UPSTREAMS)
@@ -223,8 +226,8 @@
         seed in any::<u64>(),
     ) {
         let (wait, mut random) = (Duration::from_millis(wait_ms), ChaCha8Rng::seed_from_u64(seed));
-        let urgent = return_after(wait, rank, &mut random);
-        let routine = return_after(wait, rank + 1, &mut random);
+        let urgent = jittered_retry_after(wait, rank, &mut random);
+        let routine = jittered_retry_after(wait, rank + 1, &mut random);
         prop_assert!(wait <= urgent && urgent <= routine);
     }
 }
@@ -237,8 +240,8 @@
 fn a_backoff_is_not_shortened(#[case] event_during_backoff: fn(&mut World)) {
     let mut world = World::new(false);
     let id = world.id(0);
-    world.dispatcher.sent(&id, 0, world.now);
-    world.dispatcher.sent(&id, 0, world.now);
+    world.dispatcher.record_sent(&id, 0, world.now);
+    world.dispatcher.record_sent(&id, 0, world.now);
     world.in_flight[0] = 2;
     let backoff = Duration::from_secs(3);
     world.refuse(0, backoff);
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -4,7 +4,9 @@
 
 use std::sync::Arc;
 
-use nutmegsail_relay::{AtHand, HeldAdapter, HeldModel, Holdings, Report, Upstream, UpstreamState};
+use nutmegsail_relay::{
+    HeldAdapter, HeldModel, Holdings, LoadReport, LocalWeights, Upstream, UpstreamState,
+};
 
 /// Holdings of an engine: version 1 of the base model `base` with version 1 of each adapter.
 pub fn holdings(adapters: &[&str]) -> Holdings {
@@ -33,7 +35,7 @@
         slots: 64,
         state: UpstreamState::Ready,
         holdings: holdings(adapters),
-        at_hand: AtHand::default(),
+        local_weights: LocalWeights::default(),
     }
 }
 
@@ -56,15 +58,15 @@
 }
 
 /// A load report whose pending prompt tokens are all from other nodes.
-pub fn report(unread_tokens: u64, taken: std::time::Instant) -> Report {
-    Report {
+pub fn report(pending_prompt_tokens: u64, received_at: std::time::Instant) -> LoadReport {
+    LoadReport {
         in_flight_of_others: 0,
-        unread_tokens_of_others: unread_tokens,
-        coming: Vec::new(),
-        moved: Vec::new(),
-        room: 1,
+        pending_prompt_tokens_of_others: pending_prompt_tokens,
+        loading: Vec::new(),
+        recent_changes: Vec::new(),
+        free_adapter_slots: 1,
         takes_loads: true,
-        taken,
+        received_at,
     }
 }
 
--- a/crates/relay/tests/copies.rs
+++ b/crates/relay/tests/copies.rs
@@ -6,7 +6,9 @@
 
 use common::holdings;
 use nutmegsail_base::FailureDomain;
-use nutmegsail_relay::{CopyPlace, EngineDemand, EngineLoadNow, Holdings, ModelRef, WantedCopies};
+use nutmegsail_relay::{
+    CopyScope, EngineDemand, EngineLoadSample, Holdings, ModelRef, WantedCopies,
+};
 use rstest::rstest;
 
 const SLOTS: u32 = 12;
@@ -39,7 +41,7 @@
     }
 
     fn wanted(&mut self, in_flight: u32) -> Vec<WantedCopies> {
-        let engine = EngineLoadNow {
+        let engine = EngineLoadSample {
             failure_domain: &self.here,
             slots: SLOTS,
             holdings: &self.held,
@@ -96,7 +98,7 @@
 fn failure_domain_with_frequent_requests_gets_its_own_copy() {
     let mut owner = Owner::new();
     owner.send_requests("there", 3.0);
-    let place = CopyPlace::Domain("there".into());
+    let place = CopyScope::Domain("there".into());
     assert_eq!(
         owner.wanted(2).first().map(|wanted| &wanted.place),
         Some(&place)
--- a/crates/relay/tests/crash_watch.rs
+++ b/crates/relay/tests/crash_watch.rs
@@ -6,14 +6,14 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::UpstreamId;
-use nutmegsail_relay::{BrokenRequest, CrashStep, CrashWatch, Reach};
+use nutmegsail_relay::{BrokenRequest, BrokenRequestAction, CrashWatch, ProbeResult};
 use request::digest;
 use rstest::rstest;
 
 fn broken(body: &str) -> BrokenRequest {
     BrokenRequest {
         digest: digest(body),
-        began_ago: None,
+        since_first_event: None,
     }
 }
 
@@ -26,44 +26,44 @@
     let (mut watch, now) = (CrashWatch::default(), Instant::now());
     assert_eq!(
         watch.note_broken(&engine(), broken("a"), now),
-        CrashStep::Check
+        BrokenRequestAction::Check
     );
     assert_eq!(
         watch.note_broken(&engine(), broken("b"), now),
-        CrashStep::Wait
+        BrokenRequestAction::Wait
     );
     assert_eq!(
         watch.note_broken(&engine(), broken("b"), now),
-        CrashStep::Wait
+        BrokenRequestAction::Wait
     );
-    assert!(watch.is_checking(&digest("a")));
+    assert!(watch.is_probing(&digest("a")));
 
-    let mut struck = watch.note_reach(&engine(), Reach::Refused, now);
+    let mut struck = watch.record_probe(&engine(), ProbeResult::Refused, now);
 
     struck.sort_unstable();
     let mut both = [digest("a"), digest("b")];
     both.sort_unstable();
     assert_eq!(struck, both);
-    assert!(!watch.is_checking(&digest("a")));
+    assert!(!watch.is_probing(&digest("a")));
     let after = now + Duration::from_millis(3);
     assert_eq!(
         watch.note_broken(&engine(), broken("c"), after),
-        CrashStep::Strike,
+        BrokenRequestAction::Strike,
         "noticed after the probe"
     );
 }
 
 #[rstest]
-#[case::a_broken_answer(Reach::Connected)]
-#[case::a_partition(Reach::Silent)]
-fn requests_get_no_strike_if_the_upstream_did_not_end(#[case] reach: Reach) {
+#[case::a_broken_answer(ProbeResult::Connected)]
+#[case::a_partition(ProbeResult::Silent)]
+fn requests_get_no_strike_if_the_upstream_did_not_end(#[case] reach: ProbeResult) {
     let (mut watch, now) = (CrashWatch::default(), Instant::now());
     watch.note_broken(&engine(), broken("a"), now);
-    assert_eq!(watch.note_reach(&engine(), reach, now), []);
-    assert!(!watch.is_checking(&digest("a")));
+    assert_eq!(watch.record_probe(&engine(), reach, now), []);
+    assert!(!watch.is_probing(&digest("a")));
     assert_eq!(
         watch.note_broken(&engine(), broken("b"), now),
-        CrashStep::Check,
+        BrokenRequestAction::Check,
         "each broken connection causes a probe"
     );
 }
@@ -72,23 +72,23 @@
 fn a_stream_that_ran_for_seconds_gets_no_strike() {
     let (mut watch, now) = (CrashWatch::default(), Instant::now());
     let running = BrokenRequest {
-        began_ago: Some(Duration::from_secs(2)),
+        since_first_event: Some(Duration::from_secs(2)),
         ..broken("a")
     };
     assert_eq!(
         watch.note_broken(&engine(), running, now),
-        CrashStep::Ignore
+        BrokenRequestAction::Ignore
     );
     let starting = BrokenRequest {
-        began_ago: Some(Duration::from_millis(80)),
+        since_first_event: Some(Duration::from_millis(80)),
         ..broken("b")
     };
     assert_eq!(
         watch.note_broken(&engine(), starting, now),
-        CrashStep::Check
+        BrokenRequestAction::Check
     );
     assert_eq!(
-        watch.note_reach(&engine(), Reach::Refused, now),
+        watch.record_probe(&engine(), ProbeResult::Refused, now),
         [digest("b")]
     );
 }
@@ -97,10 +97,10 @@
 fn an_upstream_counts_as_ended_only_briefly() {
     let (mut watch, now) = (CrashWatch::default(), Instant::now());
     watch.note_broken(&engine(), broken("a"), now);
-    watch.note_reach(&engine(), Reach::Refused, now);
+    watch.record_probe(&engine(), ProbeResult::Refused, now);
     let later = now + Duration::from_secs(3);
     assert_eq!(
         watch.note_broken(&engine(), broken("b"), later),
-        CrashStep::Check
+        BrokenRequestAction::Check
     );
 }
--- a/crates/relay/tests/dispatching.rs
+++ b/crates/relay/tests/dispatching.rs
@@ -9,8 +9,9 @@
 use common::{engine, far_engine, holdings, list, plain, report};
 use nutmegsail_base::{ServiceName, UpstreamId};
 use nutmegsail_relay::{
-    AdapterMove, CopyPlace, Dispatcher, DomainsHeard, HoldingsTold, LoadTimes, ModelRef, Need,
-    Outcome, PromptChain, Refusal, Report, Upstream, UpstreamState, VersionRule,
+    AdapterChange, ChooseError, CopyScope, DispatchRequest, Dispatcher, DomainContacts,
+    HoldingsReport, LoadReport, LoadTimes, ModelRef, Outcome, PromptPrefix, Upstream,
+    UpstreamState, VersionRule,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -44,30 +45,30 @@
         &mut self,
         tried: &[UpstreamId],
         version: VersionRule,
-    ) -> Result<String, Refusal> {
-        let need = Need {
+    ) -> Result<String, ChooseError> {
+        let need = DispatchRequest {
             service: &self.engines,
             model: Some(&self.a1),
             version,
             prompt_tokens: 1_000,
-            prompt: &PromptChain::default(),
+            prompt: &PromptPrefix::default(),
             tried,
         };
         let choice = self.dispatcher.choose(&need, self.now, &mut self.random)?;
         Ok(choice.upstream.id.to_string())
     }
 
-    fn choose(&mut self) -> Result<String, Refusal> {
+    fn choose(&mut self) -> Result<String, ChooseError> {
         self.choose_after(&[], VersionRule::ANY)
     }
 
-    fn choose_plain(&mut self) -> Result<String, Refusal> {
-        let need = Need {
+    fn choose_plain(&mut self) -> Result<String, ChooseError> {
+        let need = DispatchRequest {
             service: &self.plain,
             model: None,
             version: VersionRule::ANY,
             prompt_tokens: 0,
-            prompt: &PromptChain::default(),
+            prompt: &PromptPrefix::default(),
             tried: &[],
         };
         let choice = self.dispatcher.choose(&need, self.now, &mut self.random)?;
@@ -84,9 +85,9 @@
 }
 
 #[rstest]
-#[case::none_listed(&[], Refusal::NoUpstream)]
-#[case::adapter_absent(&["a2"], Refusal::AdapterAbsent)]
-fn refusal_names_what_is_missing(#[case] adapters: &[&str], #[case] expected: Refusal) {
+#[case::none_listed(&[], ChooseError::NoUpstream)]
+#[case::adapter_absent(&["a2"], ChooseError::AdapterAbsent)]
+fn refusal_names_what_is_missing(#[case] adapters: &[&str], #[case] expected: ChooseError) {
     let listed = (!adapters.is_empty()).then(|| engine("e1", adapters));
     let mut fixture = Fixture::new(listed);
     assert_eq!(fixture.choose(), Err(expected));
@@ -97,22 +98,28 @@
 #[test]
 fn engine_with_fewer_pending_tokens_gets_the_request() {
     let mut fixture = Fixture::new([engine("e1", &["a1"]), engine("e2", &["a1"])]);
-    fixture.dispatcher.sent(&"e1".into(), 6_000, fixture.now);
+    fixture
+        .dispatcher
+        .record_sent(&"e1".into(), 6_000, fixture.now);
     for _ in 0..3 {
-        fixture.dispatcher.sent(&"e2".into(), 100, fixture.now);
+        fixture
+            .dispatcher
+            .record_sent(&"e2".into(), 100, fixture.now);
     }
     assert_eq!(fixture.choose().unwrap(), "e2");
-    fixture.dispatcher.prompt_read(&"e1".into(), 6_000);
-    fixture.dispatcher.sent(&"e2".into(), 6_000, fixture.now);
+    fixture.dispatcher.record_prompt_read(&"e1".into(), 6_000);
+    fixture
+        .dispatcher
+        .record_sent(&"e2".into(), 6_000, fixture.now);
     assert_eq!(fixture.choose().unwrap(), "e1");
 }
 
 #[test]
 fn requests_of_other_nodes_count_while_the_report_is_recent() {
     let mut fixture = Fixture::new([engine("e1", &["a1"]), engine("e2", &["a1"])]);
-    fixture.dispatcher.note_told(
+    fixture.dispatcher.record_owner_report(
         &"e1".into(),
-        &HoldingsTold::Unchanged,
+        &HoldingsReport::Unchanged,
         report(20_000, fixture.now),
     );
     assert_eq!(fixture.choose().unwrap(), "e2");
@@ -130,16 +137,16 @@
 fn a_late_heartbeat_does_not_bring_back_an_unloaded_adapter() {
     let mut fixture = Fixture::new([engine("e1", &["a1"])]);
     let gone = holdings(&["a2"]);
-    fixture.dispatcher.note_told(
+    fixture.dispatcher.record_owner_report(
         &"e1".into(),
-        &HoldingsTold::Changed(gone),
+        &HoldingsReport::Changed(gone),
         report(0, fixture.now),
     );
     fixture.now += Duration::from_millis(900);
     fixture
         .dispatcher
         .set_upstreams(&list([engine("e1", &["a1"])]), fixture.now);
-    assert_eq!(fixture.choose(), Err(Refusal::AdapterAbsent));
+    assert_eq!(fixture.choose(), Err(ChooseError::AdapterAbsent));
     // Without a recent report from the owner, only the list of upstreams is left.
     fixture.now += Duration::from_secs(10);
     fixture
@@ -154,8 +161,8 @@
     let a1 = fixture.a1.clone();
     fixture
         .dispatcher
-        .note_absent(&"e1".into(), &a1, fixture.now);
-    assert_eq!(fixture.choose(), Err(Refusal::AdapterAbsent));
+        .record_adapter_missing(&"e1".into(), &a1, fixture.now);
+    assert_eq!(fixture.choose(), Err(ChooseError::AdapterAbsent));
 }
 
 // The engine's process has ended and another one has taken its address. The list of upstreams shows
@@ -163,18 +170,22 @@
 #[test]
 fn engine_whose_address_was_taken_over_gets_no_requests() {
     let mut fixture = Fixture::new([engine("e1", &["a1"])]);
-    fixture.dispatcher.note_gone(&"e1".into(), fixture.now);
+    fixture
+        .dispatcher
+        .record_replaced(&"e1".into(), fixture.now);
     fixture
         .dispatcher
         .set_upstreams(&list([engine("e1", &["a1"])]), fixture.now);
-    assert_eq!(fixture.choose(), Err(Refusal::NoUpstream));
+    assert_eq!(fixture.choose(), Err(ChooseError::NoUpstream));
 }
 
 // An upstream that answered under a different name once must not be excluded for good.
 #[test]
 fn upstream_that_stays_listed_is_tried_again() {
     let mut fixture = Fixture::new([engine("e1", &["a1"])]);
-    fixture.dispatcher.note_gone(&"e1".into(), fixture.now);
+    fixture
+        .dispatcher
+        .record_replaced(&"e1".into(), fixture.now);
     fixture.now += Duration::from_secs(6);
     assert!(fixture.choose().is_ok());
 }
@@ -186,7 +197,7 @@
         ..engine("e1", &["a1"])
     };
     let mut fixture = Fixture::new([draining]);
-    assert_eq!(fixture.choose(), Err(Refusal::NoUpstream));
+    assert_eq!(fixture.choose(), Err(ChooseError::NoUpstream));
 }
 
 #[test]
@@ -196,14 +207,16 @@
     let mut newer = engine("e2", &["a1"]);
     newer.holdings.models[0].adapters[0].version = 2;
     let mut fixture = Fixture::new([older.clone(), newer]);
-    fixture.dispatcher.sent(&"e2".into(), 5_000, fixture.now);
+    fixture
+        .dispatcher
+        .record_sent(&"e2".into(), 5_000, fixture.now);
     assert_eq!(
         fixture
             .choose_after(
                 &[],
                 VersionRule {
-                    wanted: 2,
-                    least: 1
+                    preferred: 2,
+                    oldest: 1
                 }
             )
             .unwrap(),
@@ -215,8 +228,8 @@
             .choose_after(
                 &[],
                 VersionRule {
-                    wanted: 2,
-                    least: 1
+                    preferred: 2,
+                    oldest: 1
                 }
             )
             .unwrap(),
@@ -225,11 +238,11 @@
     let demanded = fixture.choose_after(
         &[],
         VersionRule {
-            wanted: 2,
-            least: 2,
+            preferred: 2,
+            oldest: 2,
         },
     );
-    assert_eq!(demanded, Err(Refusal::AdapterAbsent));
+    assert_eq!(demanded, Err(ChooseError::AdapterAbsent));
 }
 
 // An upstream fails half of its requests while its health check passes. As long as it gets its
@@ -240,7 +253,7 @@
     for _ in 0..3 {
         fixture
             .dispatcher
-            .note_outcome(&"p1".into(), Outcome::Failed, fixture.now);
+            .record_outcome(&"p1".into(), Outcome::Failed, fixture.now);
     }
     for _ in 0..50 {
         assert_eq!(fixture.choose_plain().unwrap(), "p2");
@@ -248,16 +261,16 @@
     for _ in 0..10 {
         fixture
             .dispatcher
-            .note_outcome(&"p2".into(), Outcome::Answered, fixture.now);
+            .record_outcome(&"p2".into(), Outcome::Answered, fixture.now);
     }
     fixture.now += Duration::from_secs(5);
     fixture
         .dispatcher
-        .note_outcome(&"p1".into(), Outcome::Answered, fixture.now);
+        .record_outcome(&"p1".into(), Outcome::Answered, fixture.now);
     for _ in 0..10 {
         fixture
             .dispatcher
-            .note_outcome(&"p1".into(), Outcome::Answered, fixture.now);
+            .record_outcome(&"p1".into(), Outcome::Answered, fixture.now);
     }
     let chosen: Vec<_> = (0..50).map(|_| fixture.choose_plain().unwrap()).collect();
     assert!(chosen.contains(&"p1".to_owned()), "it is healthy again");
@@ -273,13 +286,13 @@
     };
     let mut fixture = Fixture::new([plain("near"), far]);
     let heard = fixture.now;
-    let mut domains = DomainsHeard::default();
+    let mut domains = DomainContacts::default();
     domains.note(&"there".into(), heard);
-    fixture.dispatcher.note_domains_heard(&domains);
+    fixture.dispatcher.merge_domain_contacts(&domains);
     fixture.now += Duration::from_secs(1);
     fixture
         .dispatcher
-        .note_unreachable(&"near".into(), fixture.now);
+        .record_unreachable(&"near".into(), fixture.now);
     assert_eq!(fixture.choose_plain().unwrap(), "near");
 }
 
@@ -288,13 +301,17 @@
 #[test]
 fn silent_engine_gets_no_more_requests() {
     let mut fixture = Fixture::new([engine("e1", &["a1"]), engine("e2", &["a1"])]);
-    fixture.dispatcher.sent(&"e1".into(), 500, fixture.now);
+    fixture
+        .dispatcher
+        .record_sent(&"e1".into(), 500, fixture.now);
     fixture.now += Duration::from_millis(900);
     for _ in 0..20 {
         assert_eq!(fixture.choose().unwrap(), "e2");
     }
-    fixture.dispatcher.prompt_read(&"e1".into(), 500);
-    fixture.dispatcher.sent(&"e2".into(), 4_000, fixture.now);
+    fixture.dispatcher.record_prompt_read(&"e1".into(), 500);
+    fixture
+        .dispatcher
+        .record_sent(&"e2".into(), 4_000, fixture.now);
     assert_eq!(fixture.choose().unwrap(), "e1", "its answer arrived");
 }
 
@@ -303,7 +320,7 @@
     let mut fixture = Fixture::new([plain("p1")]);
     fixture
         .dispatcher
-        .note_unreachable(&"p1".into(), fixture.now);
+        .record_unreachable(&"p1".into(), fixture.now);
     assert_eq!(fixture.choose_plain().unwrap(), "p1");
 }
 
@@ -312,7 +329,9 @@
 fn own_failure_domain_is_preferred_until_it_is_much_busier() {
     let mut fixture = Fixture::new([engine("near", &["a1"]), far_engine("far", &["a1"])]);
     assert_eq!(fixture.choose().unwrap(), "near");
-    fixture.dispatcher.sent(&"near".into(), 4_000, fixture.now);
+    fixture
+        .dispatcher
+        .record_sent(&"near".into(), 4_000, fixture.now);
     assert_eq!(fixture.choose().unwrap(), "far");
 }
 
@@ -323,11 +342,11 @@
     let mut empty = engine("e1", &[]);
     empty.holdings.models.clear();
     let fixture = Fixture::new([empty, engine("e2", &[])]);
-    let engines = fixture.dispatcher.engines_to_load(
+    let engines = fixture.dispatcher.load_candidates(
         &fixture.engines,
         &fixture.a1,
         VersionRule::ANY,
-        &CopyPlace::Anywhere,
+        &CopyScope::Anywhere,
         fixture.now,
     );
     let ids: Vec<_> = engines.iter().map(|place| place.engine.as_str()).collect();
@@ -340,20 +359,20 @@
 fn engine_already_loading_the_adapter_is_preferred() {
     let mut fixture = Fixture::new([engine("e1", &[]), engine("e2", &[])]);
     let mut told = report(9_000, fixture.now);
-    told.coming = vec![fixture.a1.digest()];
+    told.loading = vec![fixture.a1.digest()];
     fixture
         .dispatcher
-        .note_told(&"e2".into(), &HoldingsTold::Unchanged, told);
-    let mut engines = fixture.dispatcher.engines_to_load(
+        .record_owner_report(&"e2".into(), &HoldingsReport::Unchanged, told);
+    let mut engines = fixture.dispatcher.load_candidates(
         &fixture.engines,
         &fixture.a1,
         VersionRule::ANY,
-        &CopyPlace::Anywhere,
+        &CopyScope::Anywhere,
         fixture.now,
     );
-    engines.sort_by(|a, b| a.wait_ms.total_cmp(&b.wait_ms));
+    engines.sort_by(|a, b| a.cost_ms.total_cmp(&b.cost_ms));
     assert_eq!(engines[0].engine.as_str(), "e2");
-    assert!(engines[1].wait_ms - engines[0].wait_ms > 500.0);
+    assert!(engines[1].cost_ms - engines[0].cost_ms > 500.0);
 }
 
 // The engine holding the adapter is busy, and a long prompt would wait two seconds there. Idle
@@ -362,12 +381,12 @@
 fn long_queue_is_left_for_a_load_on_an_idle_engine() {
     let mut fixture = Fixture::new([engine("e1", &["a1"]), engine("e2", &[])]);
     let elsewhere = |fixture: &Fixture, expected_ms: f64| {
-        let need = Need {
+        let need = DispatchRequest {
             service: &fixture.engines,
             model: Some(&fixture.a1),
             version: VersionRule::ANY,
             prompt_tokens: 1_400,
-            prompt: &PromptChain::default(),
+            prompt: &PromptPrefix::default(),
             tried: &[],
         };
         let dispatcher = &fixture.dispatcher;
@@ -378,7 +397,9 @@
         !elsewhere(&fixture, 300.0),
         "it is answered in time where it is"
     );
-    fixture.dispatcher.sent(&"e2".into(), 30_000, fixture.now);
+    fixture
+        .dispatcher
+        .record_sent(&"e2".into(), 30_000, fixture.now);
     assert!(!elsewhere(&fixture, 2_000.0), "no engine is idle");
 }
 
@@ -388,11 +409,11 @@
 fn loads_stay_in_the_failure_domain_only_while_they_are_quick() {
     let mut fixture = Fixture::new([engine("near", &[]), far_engine("far", &[])]);
     let difference = |fixture: &Fixture| {
-        let engines = fixture.dispatcher.engines_to_load(
+        let engines = fixture.dispatcher.load_candidates(
             &fixture.engines,
             &fixture.a1,
             VersionRule::ANY,
-            &CopyPlace::Anywhere,
+            &CopyScope::Anywhere,
             fixture.now,
         );
         let cost = |wanted: &str| {
@@ -400,7 +421,7 @@
             engines
                 .find(|place| place.engine.as_str() == wanted)
                 .unwrap()
-                .wait_ms
+                .cost_ms
         };
         cost("far") - cost("near")
     };
@@ -421,22 +442,22 @@
     let told = |adapters: &[&str]| holdings(adapters);
     fixture
         .dispatcher
-        .note_holdings(&"e1".into(), &told(&["a3"]), now);
+        .record_holdings(&"e1".into(), &told(&["a3"]), now);
     let first = |fixture: &Fixture| {
-        let mut engines = fixture.dispatcher.engines_to_load(
+        let mut engines = fixture.dispatcher.load_candidates(
             &fixture.engines,
             &fixture.a1,
             VersionRule::ANY,
-            &CopyPlace::Anywhere,
+            &CopyScope::Anywhere,
             fixture.now,
         );
-        engines.sort_by(|a, b| a.wait_ms.total_cmp(&b.wait_ms));
+        engines.sort_by(|a, b| a.cost_ms.total_cmp(&b.cost_ms));
         (engines[0].engine.to_string(), engines[0].is_recent)
     };
     assert_eq!(first(&fixture), ("e1".to_owned(), true));
-    fixture.dispatcher.sent(&"e1".into(), 6_000, now);
+    fixture.dispatcher.record_sent(&"e1".into(), 6_000, now);
     assert_eq!(first(&fixture).0, "e1", "300 ms of pending prompts");
-    fixture.dispatcher.sent(&"e1".into(), 8_000, now);
+    fixture.dispatcher.record_sent(&"e1".into(), 8_000, now);
     assert_eq!(
         first(&fixture),
         ("e2".to_owned(), false),
@@ -452,12 +473,12 @@
     let now = fixture.now;
     fixture
         .dispatcher
-        .note_holdings(&"e1".into(), &holdings(&[]), now);
+        .record_holdings(&"e1".into(), &holdings(&[]), now);
     let tracked = fixture.dispatcher.tracked(&"e1".into()).unwrap();
     assert!(tracked.dropped_recently(&fixture.a1, VersionRule::ANY));
     let newer = VersionRule {
-        wanted: 2,
-        least: 1,
+        preferred: 2,
+        oldest: 1,
     };
     assert!(!tracked.dropped_recently(&fixture.a1, newer));
 }
@@ -470,13 +491,13 @@
     let mut fixture = Fixture::new([engine("e1", &[]), engine("e2", &["a1"])]);
     let told = |fixture: &mut Fixture, id: &str, is_held: bool| {
         let mut news = report(0, fixture.now);
-        news.moved = vec![AdapterMove {
+        news.recent_changes = vec![AdapterChange {
             model: fixture.a1.digest(),
             is_held,
         }];
         fixture
             .dispatcher
-            .note_told(&id.into(), &HoldingsTold::Unchanged, news);
+            .record_owner_report(&id.into(), &HoldingsReport::Unchanged, news);
         let list = list([engine("e1", &[]), engine("e2", &["a1"])]);
         fixture.dispatcher.set_upstreams(&list, fixture.now);
     };
@@ -503,10 +524,12 @@
     };
     let mut fixture = Fixture::new([few("e1"), few("e2")]);
     for _ in 0..200 {
-        fixture.dispatcher.note_run(Duration::from_secs(2));
+        fixture.dispatcher.record_slot_time(Duration::from_secs(2));
     }
     for _ in 0..12 {
-        fixture.dispatcher.sent(&"e1".into(), 10, fixture.now);
+        fixture
+            .dispatcher
+            .record_sent(&"e1".into(), 10, fixture.now);
     }
     let expected_ms = |fixture: &Fixture, id: &str| {
         let tracked = fixture.dispatcher.tracked(&id.into()).unwrap();
@@ -540,7 +563,9 @@
         let expected_ms = assumed_ms(&fixture, &id);
         let took = Duration::from_secs_f64(first_ms * latency_factor / 1_000.0);
         let now = fixture.now;
-        fixture.dispatcher.answer_began(&id, expected_ms, took, now);
+        fixture
+            .dispatcher
+            .record_answer_started(&id, expected_ms, took, now);
         fixture.now += Duration::from_millis(50);
     }
     let told = assumed_ms(&fixture, &idle) / (first_ms * latency_factor);
@@ -555,18 +580,18 @@
 #[test]
 fn engines_with_a_free_adapter_slot_are_preferred_for_loads() {
     let mut fixture = Fixture::new([engine("e1", &[]), engine("e2", &[]), engine("e3", &[])]);
-    for (id, room) in [("e1", 0), ("e2", 3), ("e3", 0)] {
-        let told = report_with_room(room, fixture.now);
+    for (id, free_adapter_slots) in [("e1", 0), ("e2", 3), ("e3", 0)] {
+        let told = report_with_room(free_adapter_slots, fixture.now);
         fixture
             .dispatcher
-            .note_told(&id.into(), &HoldingsTold::Unchanged, told);
+            .record_owner_report(&id.into(), &HoldingsReport::Unchanged, told);
     }
     let candidates = |fixture: &Fixture| {
-        let place = &CopyPlace::Anywhere;
+        let place = &CopyScope::Anywhere;
         let (service, model) = (&fixture.engines, &fixture.a1);
         let dispatcher = &fixture.dispatcher;
         let engines =
-            dispatcher.engines_to_load(service, model, VersionRule::ANY, place, fixture.now);
+            dispatcher.load_candidates(service, model, VersionRule::ANY, place, fixture.now);
         let ids = engines.into_iter().map(|place| place.engine.to_string());
         let mut ids: Vec<String> = ids.collect();
         ids.sort();
@@ -577,7 +602,7 @@
     let full = report_with_room(0, fixture.now);
     fixture
         .dispatcher
-        .note_told(&"e2".into(), &HoldingsTold::Unchanged, full);
+        .record_owner_report(&"e2".into(), &HoldingsReport::Unchanged, full);
     assert_eq!(candidates(&fixture), ["e1", "e2", "e3"]);
 }
 
@@ -588,8 +613,8 @@
 fn failure_domain_that_other_nodes_hear_is_not_unreachable() {
     let mut fixture = Fixture::new([far_engine("e1", &["a1"])]);
     let (there, began) = ("there".into(), fixture.now);
-    let mut reader = DomainsHeard::default();
-    let mut node = DomainsHeard::default();
+    let mut reader = DomainContacts::default();
+    let mut node = DomainContacts::default();
     for tick in 0..30 {
         let now = began + Duration::from_millis(100 * tick);
         if tick < 20 {
@@ -597,7 +622,7 @@
         }
         node.take(&reader.ages(now), now);
         fixture.now = now;
-        fixture.dispatcher.note_domains_heard(&node);
+        fixture.dispatcher.merge_domain_contacts(&node);
         let is_unreachable = tick >= 24;
         assert_eq!(
             fixture.choose().is_err(),
@@ -611,31 +636,33 @@
 // by other nodes. If these counted as a confirmation of the old holdings, requests would go to an
 // engine that has unloaded their adapter, or it would be loaded again elsewhere.
 #[rstest]
-#[case::the_load_alone(HoldingsTold::Untold, true)]
-#[case::that_nothing_changed(HoldingsTold::Unchanged, false)]
+#[case::the_load_alone(HoldingsReport::NotReported, true)]
+#[case::that_nothing_changed(HoldingsReport::Unchanged, false)]
 fn load_report_alone_does_not_confirm_holdings(
-    #[case] told: HoldingsTold,
+    #[case] told: HoldingsReport,
     #[case] is_list_used: bool,
 ) {
     let mut fixture = Fixture::new([engine("e1", &[])]);
-    let before = HoldingsTold::Changed(holdings(&["a9"]));
+    let before = HoldingsReport::Changed(holdings(&["a9"]));
     fixture
         .dispatcher
-        .note_told(&"e1".into(), &before, report(0, fixture.now));
+        .record_owner_report(&"e1".into(), &before, report(0, fixture.now));
     for _ in 0..40 {
         fixture.now += Duration::from_millis(100);
         let report = report(0, fixture.now);
-        fixture.dispatcher.note_told(&"e1".into(), &told, report);
+        fixture
+            .dispatcher
+            .record_owner_report(&"e1".into(), &told, report);
     }
     let listed = list([engine("e1", &["a1"])]);
     fixture.dispatcher.set_upstreams(&listed, fixture.now);
     assert_eq!(fixture.choose().is_ok(), is_list_used);
 }
 
-fn report_with_room(room: u32, taken: Instant) -> Report {
-    Report {
-        room,
-        ..report(0, taken)
+fn report_with_room(free_adapter_slots: u32, received_at: Instant) -> LoadReport {
+    LoadReport {
+        free_adapter_slots,
+        ..report(0, received_at)
     }
 }
 
@@ -645,16 +672,19 @@
 fn engine_time_of_a_prompt_follows_the_latency_factor() {
     let mut fixture = Fixture::new([engine("e1", &["a1"])]);
     let id = "e1".into();
-    let assumed_ms = fixture.dispatcher.engine_ms(&fixture.engines, 10_000);
+    let assumed_ms = fixture.dispatcher.engine_time_ms(&fixture.engines, 10_000);
     for _ in 0..400 {
         let tracked = fixture.dispatcher.tracked(&id).unwrap();
         let expected_ms = tracked.expected_first_event_ms(10_000, fixture.now);
-        fixture
-            .dispatcher
-            .answer_began(&id, expected_ms, Duration::from_millis(260), fixture.now);
+        fixture.dispatcher.record_answer_started(
+            &id,
+            expected_ms,
+            Duration::from_millis(260),
+            fixture.now,
+        );
     }
-    let learned_ms = fixture.dispatcher.engine_ms(&fixture.engines, 10_000);
-    let plain_ms = fixture.dispatcher.engine_ms(&fixture.engines, 0);
+    let learned_ms = fixture.dispatcher.engine_time_ms(&fixture.engines, 10_000);
+    let plain_ms = fixture.dispatcher.engine_time_ms(&fixture.engines, 0);
     let reading = (learned_ms - plain_ms) / (assumed_ms - plain_ms);
     assert!((0.45..0.55).contains(&reading), "{reading}");
 }
--- a/crates/relay/tests/heavy_load.rs
+++ b/crates/relay/tests/heavy_load.rs
@@ -10,7 +10,7 @@
 
 use common::{engine, list};
 use nutmegsail_base::UpstreamId;
-use nutmegsail_relay::{Dispatcher, ModelRef, Need, PromptChain, VersionRule};
+use nutmegsail_relay::{DispatchRequest, Dispatcher, ModelRef, PromptPrefix, VersionRule};
 use rand::{RngExt as _, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -28,7 +28,7 @@
 /// Simulates 60 s of 50 requests a second on six engines, one of them five times slower than the
 /// others. Returns the sorted waits in milliseconds.
 fn simulate(
-    mut choose: impl FnMut(&mut Dispatcher, &Need<'_>, Instant, &mut ChaCha8Rng) -> usize,
+    mut choose: impl FnMut(&mut Dispatcher, &DispatchRequest<'_>, Instant, &mut ChaCha8Rng) -> usize,
 ) -> Vec<f64> {
     let names: Vec<String> = (0..6).map(|index| format!("e{index}")).collect();
     let ids: Vec<UpstreamId> = names.iter().map(|name| name.as_str().into()).collect();
@@ -56,9 +56,9 @@
                 }
                 engine.pending.pop_front();
                 let took = Duration::from_secs_f64((done_ms - sent_ms) / 1_000.0);
-                dispatcher.prompt_read(id, tokens);
-                dispatcher.answer_began(id, expected_ms, took, now);
-                dispatcher.ended(id);
+                dispatcher.record_prompt_read(id, tokens);
+                dispatcher.record_answer_started(id, expected_ms, took, now);
+                dispatcher.record_ended(id);
             }
         }
         let tokens = if random.random::<f64>() < 0.65 {
@@ -66,12 +66,12 @@
         } else {
             646
         };
-        let need = Need {
+        let need = DispatchRequest {
             service: &service,
             model: Some(&model),
             version: VersionRule::ANY,
             prompt_tokens: tokens,
-            prompt: &PromptChain::default(),
+            prompt: &PromptPrefix::default(),
             tried: &[],
         };
         let chosen = choose(&mut dispatcher, &need, now, &mut random);
@@ -79,7 +79,7 @@
             .tracked(&ids[chosen])
             .unwrap()
             .expected_first_event_ms(tokens, now);
-        dispatcher.sent(&ids[chosen], tokens, now);
+        dispatcher.record_sent(&ids[chosen], tokens, now);
         let engine = &mut engines[chosen];
         let reading_ms = tokens as f64 / TOKENS_PER_MS * engine.slow;
         engine.free_at_ms = engine.free_at_ms.max(at_ms) + reading_ms;
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -11,7 +11,8 @@
 use common::{engine, plain};
 use nutmegsail_base::UpstreamId;
 use nutmegsail_relay::{
-    Dispatcher, ModelRef, Need, Notices, PromptChain, Upstream, UpstreamState, VersionRule,
+    DispatchRequest, Dispatcher, ModelRef, PromptPrefix, Upstream, UpstreamNotices, UpstreamState,
+    VersionRule,
 };
 use proptest::prelude::*;
 use rand::SeedableRng as _;
@@ -53,7 +54,7 @@
 /// A node's dispatcher and notices, with a set of upstreams.
 struct World {
     dispatcher: Dispatcher,
-    notices: Notices,
+    notices: UpstreamNotices,
     starts: [u64; UPSTREAMS],
     listed: Vec<Upstream>,
     /// When each leaving process must stop getting requests.
@@ -68,7 +69,7 @@
         dispatcher.set_leaving_grace(GRACE);
         let mut world = Self {
             dispatcher,
-            notices: Notices::default(),
+            notices: UpstreamNotices::default(),
             starts: [1; UPSTREAMS],
             listed: Vec::new(),
             no_requests_from: HashMap::new(),
@@ -124,13 +125,13 @@
         match event {
             Event::Announced(index) => {
                 let id = self.upstream(*index, self.starts[*index]).id;
-                self.dispatcher.note_leaving(&id, self.now);
-                self.notices.note_leaving(&id, self.now);
+                self.dispatcher.record_leaving(&id, self.now);
+                self.notices.record_leaving(&id, self.now);
                 self.no_requests_from.entry(id).or_insert(self.now + GRACE);
             }
             Event::PeerUpdate(index) => {
                 let id = self.upstream(*index, self.starts[*index]).id;
-                self.notices.note_leaving(&id, self.now);
+                self.notices.record_leaving(&id, self.now);
                 self.now += TICK;
                 self.publish();
                 self.no_requests_from.entry(id).or_insert(self.now);
@@ -145,12 +146,12 @@
     fn ask(&self) -> Result<(), TestCaseError> {
         let model = self.is_engine.then(|| ModelRef::parse("base/a1"));
         let service = self.upstream(0, 1).service;
-        let need = Need {
+        let need = DispatchRequest {
             service: &service,
             model: model.as_ref(),
             version: VersionRule::ANY,
             prompt_tokens: 0,
-            prompt: &PromptChain::default(),
+            prompt: &PromptPrefix::default(),
             tried: &[],
         };
         let mut random = ChaCha8Rng::seed_from_u64(1);
@@ -220,7 +221,7 @@
     let id = world.upstream(0, 1).id;
     let now = world.now;
     assert!(world.dispatcher.may_send(&id, now + after));
-    world.dispatcher.note_leaving(&id, now);
+    world.dispatcher.record_leaving(&id, now);
     assert_eq!(world.dispatcher.may_send(&id, now + after), may_send);
     world.listed.clear();
     world.publish();
--- a/crates/relay/tests/limited_gate.rs
+++ b/crates/relay/tests/limited_gate.rs
@@ -2,18 +2,18 @@
 
 use std::time::{Duration, Instant};
 
-use nutmegsail_relay::{RateBucket, SlotAnswer, SlotAsk, SlotGate};
+use nutmegsail_relay::{RateBucket, SlotAnswer, SlotGate, SlotRequest};
 use proptest::prelude::*;
 use rstest::rstest;
 
 const MS: Duration = Duration::from_millis(1);
 const WINDOW: Duration = Duration::from_secs(4);
 
-const ASK: SlotAsk = SlotAsk {
-    in_time_ms: 800,
-    patience_ms: 5_000,
+const ASK: SlotRequest = SlotRequest {
+    due_in_ms: 800,
+    wait_limit_ms: 5_000,
     may_queue: false,
-    rank: 5,
+    priority: 5,
 };
 
 fn limited(per_s: f64, now: Instant) -> SlotGate<u32> {
@@ -37,16 +37,16 @@
 fn the_most_urgent_request_goes_first() {
     let now = Instant::now();
     let mut gate = limited(2.0, now);
-    let queued = |rank| SlotAsk {
+    let queued = |rank| SlotRequest {
         may_queue: true,
-        rank,
+        priority: rank,
         ..ASK
     };
     assert_eq!(gate.ask(1, queued(5), now), SlotAnswer::Queued);
     assert_eq!(gate.ask(2, queued(1), now + MS), SlotAnswer::Queued);
-    assert_eq!(gate.turn(now + 400 * MS), []);
-    assert_eq!(gate.turn(now + 500 * MS), [(2, SlotAnswer::Granted)]);
-    assert_eq!(gate.turn(now + 1_000 * MS), [(1, SlotAnswer::Granted)]);
+    assert_eq!(gate.grant_due(now + 400 * MS), []);
+    assert_eq!(gate.grant_due(now + 500 * MS), [(2, SlotAnswer::Granted)]);
+    assert_eq!(gate.grant_due(now + 1_000 * MS), [(1, SlotAnswer::Granted)]);
 }
 
 // Guards against queueing requests that would be served too late.
@@ -54,7 +54,7 @@
 fn a_request_that_cannot_be_in_time_is_refused_with_a_return_time() {
     let now = Instant::now();
     let mut gate = limited(0.5, now);
-    let ask = SlotAsk {
+    let ask = SlotRequest {
         may_queue: true,
         ..ASK
     };
@@ -68,7 +68,7 @@
 fn a_request_received_twice_counts_once() {
     let now = Instant::now();
     let mut gate = limited(2.0, now);
-    let queued = SlotAsk {
+    let queued = SlotRequest {
         may_queue: true,
         ..ASK
     };
@@ -79,7 +79,7 @@
     assert_eq!(gate.ask(3, queued, at), SlotAnswer::Queued);
     assert_eq!(gate.ask(3, queued, at), SlotAnswer::Queued);
     let later = at + 1_000 * MS;
-    assert_eq!(gate.turn(later), [(3, SlotAnswer::Granted)]);
+    assert_eq!(gate.grant_due(later), [(3, SlotAnswer::Granted)]);
 }
 
 #[rstest]
@@ -100,14 +100,14 @@
 fn requests_are_not_limited_after_the_limit_is_lifted() {
     let now = Instant::now();
     let mut gate = limited(1.0, now);
-    let queued = SlotAsk {
+    let queued = SlotRequest {
         may_queue: true,
         ..ASK
     };
     gate.set_rate(Some(2.0), now);
     assert_eq!(gate.ask(1, queued, now), SlotAnswer::Queued);
     gate.set_rate(None, now);
-    assert_eq!(gate.turn(now), [(1, SlotAnswer::Granted)]);
+    assert_eq!(gate.grant_due(now), [(1, SlotAnswer::Granted)]);
     assert!(!gate.is_limited());
     assert_eq!(gate.ask(2, ASK, now), SlotAnswer::Granted);
 }
@@ -141,8 +141,8 @@
         let mut sent = Vec::new();
         for (number, (pause_ms, rank, may_queue)) in steps.into_iter().enumerate() {
             now += MS * pause_ms as u32;
-            sent.extend(gate.turn(now).into_iter().filter(|(_, answer)| *answer == SlotAnswer::Granted).map(|_| now));
-            let ask = SlotAsk { rank, may_queue, ..ASK };
+            sent.extend(gate.grant_due(now).into_iter().filter(|(_, answer)| *answer == SlotAnswer::Granted).map(|_| now));
+            let ask = SlotRequest { priority: rank, may_queue, ..ASK };
             if gate.ask(number as u32, ask, now) == SlotAnswer::Granted {
                 sent.push(now);
             }
--- a/crates/relay/tests/load_queue.rs
+++ b/crates/relay/tests/load_queue.rs
@@ -9,8 +9,8 @@
 
 use common::holdings;
 use nutmegsail_relay::{
-    Demand, EngineContents, LoadKind, LoadPurpose, LoadQueue, LoadRefusal, LoadTicket, LoadTimes,
-    LoadTurn, ModelRef, Room, StoreUse, WaitingLoad,
+    Demand, EngineCapacity, EngineContents, LoadDecision, LoadPurpose, LoadQueue, LoadRefusal,
+    LoadSource, LoadTicket, LoadTimes, ModelRef, WaitingLoad, WeightStoreLoads,
 };
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -21,35 +21,40 @@
     WaitingLoad {
         model: ModelRef::parse(&format!("base/a{index}")),
         version: None,
-        kind: LoadKind::FromStore,
+        kind: LoadSource::FromStore,
         purpose: LoadPurpose::Miss,
         priority,
     }
 }
 
-fn store_use(at_engine: usize, over_all: f64) -> StoreUse {
-    StoreUse {
+fn store_use(engine_loads: usize, fleet_loads: f64) -> WeightStoreLoads {
+    WeightStoreLoads {
         times: LoadTimes::default(),
-        at_engine,
-        over_all,
+        engine_loads,
+        fleet_loads,
     }
 }
 
 /// The decision for `ticket` at an engine with free adapter slots and `transfers` loads in
 /// progress.
-fn turn(queue: &LoadQueue, ticket: LoadTicket, transfers: usize, store: &StoreUse) -> LoadTurn {
+fn turn(
+    queue: &LoadQueue,
+    ticket: LoadTicket,
+    transfers: usize,
+    store: &WeightStoreLoads,
+) -> LoadDecision {
     let engine = EngineContents {
         holdings: &holdings(&[]),
-        coming: &[],
+        loading: &[],
         transfers,
-        room: Room {
+        room: EngineCapacity {
             adapter_slots: 8,
             transfers: 4,
         },
         demand: &Demand::new(Duration::from_secs(10)),
         is_in_use: &|_| false,
     };
-    queue.turn(ticket, &engine, store, Instant::now())
+    queue.decide(ticket, &engine, store, Instant::now())
 }
 
 // Several routine requests miss their adapters at an engine before an urgent one does. In order of
@@ -63,16 +68,16 @@
     let urgent = queue.join(load(3, 0)).unwrap();
     let store = store_use(0, 0.0);
     for ticket in &routine {
-        assert_eq!(turn(&queue, *ticket, 0, &store), LoadTurn::Wait);
+        assert_eq!(turn(&queue, *ticket, 0, &store), LoadDecision::Wait);
     }
     assert!(matches!(
         turn(&queue, urgent, 0, &store),
-        LoadTurn::Order(_)
+        LoadDecision::Order(_)
     ));
     queue.leave(urgent);
     assert!(matches!(
         turn(&queue, routine[0], 0, &store),
-        LoadTurn::Order(_)
+        LoadDecision::Order(_)
     ));
 }
 
@@ -96,9 +101,12 @@
     let mut queue = LoadQueue::default();
     let first = queue.join(load(0, 1)).unwrap();
     let heard = store_use(0, 156.0);
-    assert!(matches!(turn(&queue, first, 0, &heard), LoadTurn::Order(_)));
+    assert!(matches!(
+        turn(&queue, first, 0, &heard),
+        LoadDecision::Order(_)
+    ));
     let busy = store_use(2, 0.0);
-    assert_eq!(turn(&queue, first, 2, &busy), LoadTurn::Wait);
+    assert_eq!(turn(&queue, first, 2, &busy), LoadDecision::Wait);
 }
 
 // Callers on several nodes wait for the same adapter. After one of their loads was ordered, the
@@ -109,17 +117,17 @@
 #[case::there(&["a0"], &[])]
 fn load_is_not_needed_once_another_request_loaded_the_adapter(
     #[case] held: &[&str],
-    #[case] coming: &[usize],
+    #[case] loading: &[usize],
 ) {
     let mut queue = LoadQueue::default();
     queue.join(load(1, 0)).unwrap();
     let same = queue.join(load(0, 2)).unwrap();
-    let coming: Vec<ModelRef> = coming.iter().map(|index| load(*index, 0).model).collect();
+    let loading: Vec<ModelRef> = loading.iter().map(|index| load(*index, 0).model).collect();
     let engine = EngineContents {
         holdings: &holdings(held),
-        coming: &coming,
+        loading: &loading,
         transfers: 4,
-        room: Room {
+        room: EngineCapacity {
             adapter_slots: 8,
             transfers: 4,
         },
@@ -127,15 +135,19 @@
         is_in_use: &|_| false,
     };
     let full = store_use(2, 100.0);
-    let turn = queue.turn(same, &engine, &full, Instant::now());
-    assert_eq!(turn, LoadTurn::NotNeeded);
+    let turn = queue.decide(same, &engine, &full, Instant::now());
+    assert_eq!(turn, LoadDecision::NotNeeded);
     let newer = WaitingLoad {
         version: Some(2),
         ..load(0, 2)
     };
     let newer = queue.join(newer).unwrap();
-    let turn = queue.turn(newer, &engine, &full, Instant::now());
-    assert_eq!(turn, LoadTurn::Wait, "an older version does not satisfy it");
+    let turn = queue.decide(newer, &engine, &full, Instant::now());
+    assert_eq!(
+        turn,
+        LoadDecision::Wait,
+        "an older version does not satisfy it"
+    );
 }
 
 // An adapter that the engine dropped a moment ago is restored from host memory in 25 ms. Behind
@@ -145,12 +157,15 @@
     let mut queue = LoadQueue::default();
     queue.join(load(0, 0)).unwrap();
     let recent = WaitingLoad {
-        kind: LoadKind::Recent,
+        kind: LoadSource::HostMemory,
         ..load(1, 2)
     };
     let recent = queue.join(recent).unwrap();
     let busy = store_use(2, 100.0);
-    assert!(matches!(turn(&queue, recent, 2, &busy), LoadTurn::Order(_)));
+    assert!(matches!(
+        turn(&queue, recent, 2, &busy),
+        LoadDecision::Order(_)
+    ));
 }
 
 proptest! {
@@ -167,9 +182,9 @@
     #[test]
     fn only_the_most_urgent_load_is_ordered(
         waiting in prop::collection::vec((0usize..6, 0u8..3, any::<bool>()), 1..5),
-        at_engine in 0usize..4,
+        engine_loads in 0usize..4,
         transfers in 0usize..6,
-        over_all in 0.0f64..12.0,
+        fleet_loads in 0.0f64..12.0,
     ) {
         let mut queue = LoadQueue::default();
         let mut tickets = Vec::new();
@@ -179,24 +194,24 @@
             let ticket = queue.join(waiting).unwrap();
             tickets.push(((purpose, priority, ticket), ticket));
         }
-        let store = store_use(at_engine, over_all);
+        let store = store_use(engine_loads, fleet_loads);
         let turns: Vec<_> = tickets
             .iter()
             .map(|(rank, ticket)| (*rank, turn(&queue, *ticket, transfers, &store)))
             .collect();
         let ordered: Vec<_> = turns
             .iter()
-            .filter(|(_, turn)| matches!(turn, LoadTurn::Order(_)))
+            .filter(|(_, turn)| matches!(turn, LoadDecision::Order(_)))
             .collect();
         prop_assert!(ordered.len() <= 1);
         for ((purpose, ..), turn) in &turns {
-            let is_left = *turn == LoadTurn::Refuse(LoadRefusal::LeftToMisses);
-            let has_room = LoadTimes::default().has_room_for_copy(over_all);
+            let is_left = *turn == LoadDecision::Refuse(LoadRefusal::LeftToMisses);
+            let has_room = LoadTimes::default().has_room_for_copy(fleet_loads);
             prop_assert_eq!(is_left, *purpose == LoadPurpose::Copy && !has_room);
         }
         if let Some((first, _)) = ordered.first() {
             prop_assert!(turns.iter().all(|(rank, _)| rank >= first));
-            prop_assert!(transfers < 4 && at_engine < 2);
+            prop_assert!(transfers < 4 && engine_loads < 2);
         }
     }
 }
@@ -224,7 +239,10 @@
         let transfers = if at_ms < free_at_ms { 4 } else { 0 };
         let store = store_use(0, 0.0);
         let may_go = |(ticket, ..): &(LoadTicket, bool, f64)| {
-            matches!(turn(&queue, *ticket, transfers, &store), LoadTurn::Order(_))
+            matches!(
+                turn(&queue, *ticket, transfers, &store),
+                LoadDecision::Order(_)
+            )
         };
         if let Some(place) = waiting.iter().position(may_go) {
             let (ticket, is_urgent, since_ms) = waiting.remove(place).unwrap();
--- a/crates/relay/tests/load_times.rs
+++ b/crates/relay/tests/load_times.rs
@@ -29,11 +29,11 @@
     for load in 0..loads {
         let took_ms = load_ms * random.random_range(0.98..1.02);
         let reported_ms = took_ms + delay_ms * random.random_range(0.7..1.3);
-        let expected_ms = times.usual(1.0).as_secs_f64() * 1_000.0;
-        times.note_relied();
+        let expected_ms = times.expected(1.0).as_secs_f64() * 1_000.0;
+        times.record_used_on_time();
         let is_too_early = expected_ms < took_ms;
         if is_too_early {
-            times.note_early();
+            times.record_used_too_early();
         }
         times.note(Duration::from_secs_f64(reported_ms / 1_000.0), 1.0);
         if load >= FIRST {
@@ -58,7 +58,7 @@
 #[rstest]
 #[case::small(60.0)]
 #[case::half(120.0)]
-#[case::usual(250.0)]
+#[case::expected(250.0)]
 #[case::larger(330.0)]
 #[case::large(500.0)]
 #[case::huge(1_500.0)]
@@ -87,10 +87,10 @@
         for (event, took_ms, under_way) in events {
             match event {
                 0 => times.note(Duration::from_millis(took_ms), under_way),
-                1 => times.note_relied(),
-                _ => times.note_early(),
+                1 => times.record_used_on_time(),
+                _ => times.record_used_too_early(),
             }
-            let (alone, beside) = (times.usual(1.0), times.usual(50.0));
+            let (alone, beside) = (times.expected(1.0), times.expected(50.0));
             prop_assert!(alone >= Duration::from_millis(20) && alone <= Duration::from_secs(3));
             prop_assert!(beside >= alone && times.recent() < alone + Duration::from_millis(10));
         }
--- a/crates/relay/tests/model_plan.rs
+++ b/crates/relay/tests/model_plan.rs
@@ -4,7 +4,7 @@
 
 use nutmegsail_base::{FailureDomain, UpstreamId};
 use nutmegsail_relay::{
-    AtHand, EngineSpec, HostedModel, ModelChange, ModelHost, ModelPlan, ModelSpec,
+    EngineSpec, HostedModel, LocalWeights, ModelChange, ModelHost, ModelPlan, ModelSpec,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -25,7 +25,7 @@
     models: Vec<String>,
     is_changing: bool,
     is_owner_unreachable: bool,
-    at_hand: AtHand,
+    local_weights: LocalWeights,
 }
 
 impl Fleet {
@@ -38,7 +38,7 @@
             models: model.split_whitespace().map(str::to_owned).collect(),
             is_changing: false,
             is_owner_unreachable: false,
-            at_hand: AtHand::default(),
+            local_weights: LocalWeights::default(),
         });
         Self {
             spec: EngineSpec {
@@ -63,7 +63,7 @@
             is_changing: engine.is_changing,
             uses_store: engine.is_changing,
             busy_share: 0.0,
-            at_hand: &engine.at_hand,
+            local_weights: &engine.local_weights,
         });
         ModelPlan::new(&self.spec, hosts.collect(), work).changes(self.store_loads)
     }
@@ -181,7 +181,7 @@
     fleet.store_loads = 0;
     let requested = [("m0", 0.01), ("m1", 0.01), ("m2", 0.01)];
     assert_eq!(fleet.plan(work(&requested)), []);
-    fleet.engines[2].at_hand.on_disk = vec!["m1".into()];
+    fleet.engines[2].local_weights.on_disk = vec!["m1".into()];
     let changes = fleet.plan(work(&requested));
     assert_eq!(changes.len(), 1);
     assert_eq!(changes[0].engine.as_str(), "e-2");
--- a/crates/relay/tests/promises.rs
+++ b/crates/relay/tests/promises.rs
@@ -10,8 +10,8 @@
 use common::{engine, far_engine, holdings};
 use nutmegsail_base::{NodeId, StoreEra, StoreNumber, UpstreamId};
 use nutmegsail_relay::{
-    Demand, EngineContents, LoadRefusal, LoadStep, LoadTimes, ModelRef, NodeRecord, OrderPermit,
-    Ownership, OwnershipRules, Predecessor, RetryBudget, RetryBudgetRules, Room, StallWatch,
+    Demand, EngineCapacity, EngineContents, LoadRefusal, LoadStep, LoadTimes, ModelRef, NodeRecord,
+    OrderPermit, Ownership, OwnershipRules, Predecessor, RetryBudget, RetryBudgetRules, StallWatch,
     Upstream, VersionRule, Versions, plan_load, unowned_to_claim,
 };
 use proptest::prelude::*;
@@ -52,13 +52,13 @@
         next_ordered_after_ms in 0u64..9_000,
     ) {
         let ms = Duration::from_millis;
-        let mut first = Ownership::taken(claim(5), Predecessor::None, RULES, ms(0), ms(0));
+        let mut first = Ownership::claimed(claim(5), Predecessor::None, RULES, ms(0), ms(0));
         first.confirm(ms(confirmed_ms));
         // A read sent at `confirmed_ms` showed its key, so the key was deleted later.
         let deleted_ms = confirmed_ms + deleted_after_ms;
         let order_ms = confirmed_ms + ordered_after_ms;
         let next_order_ms = deleted_ms + next_ordered_after_ms;
-        let second = Ownership::taken(claim(9), Predecessor::Another, RULES, ms(deleted_ms), ms(deleted_ms));
+        let second = Ownership::claimed(claim(9), Predecessor::Another, RULES, ms(deleted_ms), ms(deleted_ms));
         let first_orders = matches!(first.permit(ms(order_ms)), OrderPermit::Granted { .. });
         // The next owner can confirm at any time.
         let mut second = second;
@@ -84,7 +84,7 @@
         for (node, pause_ms, is_retry) in sends {
             at += Duration::from_millis(pause_ms);
             if is_retry {
-                if budgets[node].take_further(5, at) {
+                if budgets[node].take_retry(5, at) {
                     retries.push(at);
                 }
             } else {
@@ -106,23 +106,23 @@
     #[test]
     fn no_plan_overfills_an_engine_or_unloads_adapters_in_use(
         held in prop::collection::hash_set(0usize..12, 0..8),
-        coming in prop::collection::hash_set(20usize..26, 0..5),
+        loading in prop::collection::hash_set(20usize..26, 0..5),
         in_use in prop::collection::hash_set(0usize..12, 0..8),
         wanted in 0usize..30,
         slots in 0usize..9,
         transfers in 1usize..5,
     ) {
-        prop_assume!(!coming.contains(&wanted));
+        prop_assume!(!loading.contains(&wanted));
         let names: Vec<String> = held.iter().map(|index| format!("a{index}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let holdings = holdings(&names);
-        let coming: Vec<ModelRef> = coming.into_iter().map(model).collect();
+        let loading: Vec<ModelRef> = loading.into_iter().map(model).collect();
         let in_use: HashSet<ModelRef> = in_use.into_iter().map(model).collect();
         let engine = EngineContents {
             holdings: &holdings,
-            coming: &coming,
-            transfers: coming.len(),
-            room: Room { adapter_slots: slots, transfers },
+            loading: &loading,
+            transfers: loading.len(),
+            room: EngineCapacity { adapter_slots: slots, transfers },
             demand: &Demand::new(Duration::from_secs(10)),
             is_in_use: &|adapter| in_use.contains(adapter),
         };
@@ -130,15 +130,15 @@
         match plan_load(&model(wanted), None, &engine, Instant::now()) {
             Ok(plan) => {
                 let dropped = plan.steps.iter().filter(|step| matches!(step, LoadStep::Unload(_)));
-                let after = held.len() + coming.len() + usize::from(!is_held) - dropped.clone().count();
-                prop_assert!(after <= slots.max(held.len() + coming.len()));
-                prop_assert!(coming.len() < transfers);
+                let after = held.len() + loading.len() + usize::from(!is_held) - dropped.clone().count();
+                prop_assert!(after <= slots.max(held.len() + loading.len()));
+                prop_assert!(loading.len() < transfers);
                 for step in dropped {
                     let LoadStep::Unload(victim) = step else { unreachable!() };
                     prop_assert!(!in_use.contains(victim));
                 }
             }
-            Err(LoadRefusal::TransfersFull) => prop_assert!(coming.len() >= transfers),
+            Err(LoadRefusal::TransfersFull) => prop_assert!(loading.len() >= transfers),
             Err(LoadRefusal::NothingToEvict) => prop_assert!(held.iter().all(|index| in_use.contains(&model(*index)))),
             Err(why) => prop_assert!(false, "{why}"),
         }
@@ -182,8 +182,8 @@
     assert_eq!(
         versions.rule(&model(1), overlap, now),
         VersionRule {
-            wanted: 4,
-            least: 0
+            preferred: 4,
+            oldest: 0
         }
     );
     let later = now + overlap;
@@ -191,8 +191,8 @@
     assert_eq!(
         versions.rule(&model(1), overlap, later),
         VersionRule {
-            wanted: 4,
-            least: 4
+            preferred: 4,
+            oldest: 4
         }
     );
 }
@@ -207,9 +207,9 @@
     let holdings = holdings(&["a1", "a2", "a3"]);
     let engine = EngineContents {
         holdings: &holdings,
-        coming: &[],
+        loading: &[],
         transfers: 0,
-        room: Room {
+        room: EngineCapacity {
             adapter_slots: 3,
             transfers: 4,
         },
@@ -265,7 +265,7 @@
         .find(|count| !times.has_room_for_copy(*count));
     let full = (1..100)
         .map(f64::from)
-        .find(|count| times.usual(*count) > times.usual(1.0));
+        .find(|count| times.expected(*count) > times.expected(1.0));
     assert!(busy.is_some_and(|busy| full.is_some_and(|full| busy < full / 2.0)));
 }
 
@@ -281,7 +281,7 @@
         let is_slow = load % 4 == 3;
         times.note(ms(if is_slow { 1_400 } else { 360 }), 3.0);
     }
-    assert_eq!(times.usual(20.0), times.usual(1.0));
+    assert_eq!(times.expected(20.0), times.expected(1.0));
     assert!(times.has_room_for_copy(8.0));
 }
 
@@ -298,14 +298,14 @@
             let load_ms = if load % 10 == 9 { 25 } else { 250 };
             times.note(ms(load_ms + lag), 4.0);
         }
-        let usual = times.usual(4.0);
+        let usual = times.expected(4.0);
         assert!(usual < ms(300), "{lag}: {usual:?}");
-        assert!(times.are_quick());
+        assert!(times.are_uncongested());
         for _ in 0..20 {
             times.note(ms(900 + lag), 28.0);
         }
-        let usual = times.usual(28.0);
+        let usual = times.expected(28.0);
         assert!(usual > ms(600), "{lag}: {usual:?}");
-        assert!(!times.are_quick());
+        assert!(!times.are_uncongested());
     }
 }
--- a/crates/relay/tests/prompts.rs
+++ b/crates/relay/tests/prompts.rs
@@ -10,7 +10,8 @@
 use common::{engine, list, report};
 use nutmegsail_base::UpstreamId;
 use nutmegsail_relay::{
-    CachedPrompts, Dispatcher, HoldingsTold, ModelRef, Need, PromptChain, PromptPart, VersionRule,
+    CachedPrompts, DispatchRequest, Dispatcher, HoldingsReport, ModelRef, PromptPart, PromptPrefix,
+    VersionRule,
 };
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -25,7 +26,7 @@
 }
 
 /// A prompt with 6,300 shared tokens and 2,890 of its own.
-fn prompt(shared: u64, own: u64) -> PromptChain {
+fn prompt(shared: u64, own: u64) -> PromptPrefix {
     let parts = [
         PromptPart {
             id: shared,
@@ -36,17 +37,17 @@
             tokens: 2_890,
         },
     ];
-    PromptChain::new(&ModelRef::parse("base/a1"), &parts)
+    PromptPrefix::new(&ModelRef::parse("base/a1"), &parts)
 }
 
 fn choose(
     dispatcher: &Dispatcher,
-    prompt: &PromptChain,
+    prompt: &PromptPrefix,
     now: Instant,
     random: &mut ChaCha8Rng,
 ) -> (UpstreamId, u64) {
     let (service, model) = ("engines".into(), ModelRef::parse("base/a1"));
-    let need = Need {
+    let need = DispatchRequest {
         service: &service,
         model: Some(&model),
         version: VersionRule::ANY,
@@ -55,7 +56,7 @@
         tried: &[],
     };
     let choice = dispatcher.choose(&need, now, random).unwrap();
-    (choice.upstream.id.clone(), choice.unread_tokens)
+    (choice.upstream.id.clone(), choice.uncached_tokens)
 }
 
 // Two callers send prompts with the same instructions to two nodes that don't communicate. If each
@@ -82,12 +83,12 @@
     let mut dispatcher = dispatcher(now);
     let (home, unread) = choose(&dispatcher, &prompt(7, 1), now, &mut random);
     assert_eq!(unread, 9_190, "nothing was sent there yet");
-    dispatcher.note_prompt(&home, &prompt(7, 1), now);
+    dispatcher.record_prompt(&home, &prompt(7, 1), now);
     assert_eq!(
         choose(&dispatcher, &prompt(7, 2), now, &mut random),
         (home.clone(), 2_890)
     );
-    dispatcher.note_told(&home, &HoldingsTold::Untold, report(20_000, now));
+    dispatcher.record_owner_report(&home, &HoldingsReport::NotReported, report(20_000, now));
     let (elsewhere, unread) = choose(&dispatcher, &prompt(7, 3), now, &mut random);
     assert_ne!(elsewhere, home);
     assert_eq!(unread, 9_190);
@@ -111,11 +112,11 @@
         let chain = prompt(shared, 1_000 + number);
         let told = match identifies_parts {
             true => chain.clone(),
-            false => PromptChain::default(),
+            false => PromptPrefix::default(),
         };
         let node = &mut nodes[random.random_range(0..NODES)];
         let (engine, _) = choose(node, &told, now, &mut random);
-        node.note_prompt(&engine, &told, now);
+        node.record_prompt(&engine, &told, now);
         let at_engine = cached.entry(engine).or_default();
         let found = at_engine.cached_tokens_of(&chain, now);
         at_engine.note(&chain, now);
@@ -160,8 +161,8 @@
         };
         let adapter = |is_first| ModelRef::parse(if is_first { "base/a1" } else { "base/a2" });
         let mut cached = CachedPrompts::default();
-        cached.note(&PromptChain::new(&adapter(true), &parts(&read)), now);
-        let chain = PromptChain::new(&adapter(is_same_adapter), &parts(&asked));
+        cached.note(&PromptPrefix::new(&adapter(true), &parts(&read)), now);
+        let chain = PromptPrefix::new(&adapter(is_same_adapter), &parts(&asked));
         let leading = read.iter().zip(&asked).take_while(|(read, asked)| read.0 == asked.0);
         let most: u64 = leading.map(|(read, asked)| u64::from(read.1.min(asked.1))).sum();
         let expected = if is_same_adapter { most } else { 0 };
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/rate_limits.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::UpstreamId;
-use nutmegsail_relay::{LimitChange, LimitSaid, Limits};
+use nutmegsail_relay::{AnnouncedLimit, LimitChange, RateLimits};
 use rstest::rstest;
 
 const MS: Duration = Duration::from_millis(1);
@@ -12,26 +12,26 @@
     "engine-1@7".into()
 }
 
-fn per_second(per_s: f64) -> LimitSaid {
-    LimitSaid::PerSecond(per_s)
+fn per_second(per_s: f64) -> AnnouncedLimit {
+    AnnouncedLimit::PerSecond(per_s)
 }
 
 #[rstest]
 #[case::decimal("1.2", per_second(1.2))]
 #[case::zero("0", per_second(0.0))]
 #[case::spaces(" 7 ", per_second(7.0))]
-#[case::negative("-0.5", LimitSaid::Malformed)]
-#[case::not_a_number("NaN", LimitSaid::Malformed)]
-#[case::infinite("inf", LimitSaid::Malformed)]
-#[case::not_numeric("soon", LimitSaid::Malformed)]
-#[case::empty("", LimitSaid::Malformed)]
-fn limit_values_are_parsed(#[case] text: &str, #[case] announced: LimitSaid) {
-    assert_eq!(LimitSaid::parse(text), announced);
+#[case::negative("-0.5", AnnouncedLimit::Malformed)]
+#[case::not_a_number("NaN", AnnouncedLimit::Malformed)]
+#[case::infinite("inf", AnnouncedLimit::Malformed)]
+#[case::not_numeric("soon", AnnouncedLimit::Malformed)]
+#[case::empty("", AnnouncedLimit::Malformed)]
+fn limit_values_are_parsed(#[case] text: &str, #[case] announced: AnnouncedLimit) {
+    assert_eq!(AnnouncedLimit::parse(text), announced);
 }
 
 #[test]
 fn a_lower_limit_applies_at_once_and_a_higher_one_later() {
-    let (mut limits, now) = (Limits::default(), Instant::now());
+    let (mut limits, now) = (RateLimits::default(), Instant::now());
     limits.note_answer(&engine(), per_second(2.0), now);
     let lower = limits.note_answer(&engine(), per_second(1.0), now + MS);
     assert_eq!(lower, Some(LimitChange::Named(1.0)));
@@ -54,40 +54,43 @@
 // Guards against lifting a limit because some answers do not announce it.
 #[test]
 fn a_limit_that_only_some_answers_announce_stays() {
-    let (mut limits, now) = (Limits::default(), Instant::now());
+    let (mut limits, now) = (RateLimits::default(), Instant::now());
     for turn in 0..=18 {
         let announced = match turn % 3 {
             0 => per_second(1.0),
-            _ => LimitSaid::None,
+            _ => AnnouncedLimit::None,
         };
         limits.note_answer(&engine(), announced, now + 500 * MS * turn);
         assert_eq!(limits.per_s(&engine()), Some(1.0));
     }
     let at = now + Duration::from_secs(60);
-    assert_eq!(limits.note_answer(&engine(), LimitSaid::None, at), None);
-    let ended = limits.note_answer(&engine(), LimitSaid::None, at + 2_100 * MS);
+    assert_eq!(
+        limits.note_answer(&engine(), AnnouncedLimit::None, at),
+        None
+    );
+    let ended = limits.note_answer(&engine(), AnnouncedLimit::None, at + 2_100 * MS);
     assert_eq!(ended, Some(LimitChange::Ended));
     assert_eq!(limits.per_s(&engine()), None);
 }
 
 #[test]
 fn a_malformed_limit_changes_nothing() {
-    let (mut limits, now) = (Limits::default(), Instant::now());
+    let (mut limits, now) = (RateLimits::default(), Instant::now());
     assert_eq!(
-        limits.note_answer(&engine(), LimitSaid::Malformed, now),
+        limits.note_answer(&engine(), AnnouncedLimit::Malformed, now),
         None
     );
     assert_eq!(limits.per_s(&engine()), None);
     limits.note_answer(&engine(), per_second(1.0), now);
-    limits.note_answer(&engine(), LimitSaid::Malformed, now + 5_000 * MS);
+    limits.note_answer(&engine(), AnnouncedLimit::Malformed, now + 5_000 * MS);
     assert_eq!(limits.per_s(&engine()), Some(1.0));
 }
 
 #[test]
 fn nodes_share_limits_and_the_newest_announcement_counts() {
-    let (mut here, mut there, now) = (Limits::default(), Limits::default(), Instant::now());
+    let (mut here, mut there, now) = (RateLimits::default(), RateLimits::default(), Instant::now());
     here.note_answer(&engine(), per_second(1.0), now);
-    let old = here.told(now + MS);
+    let old = here.updates(now + MS);
     assert_eq!(there.take(&old[0], now + MS), Some(LimitChange::Named(1.0)));
     there.note_answer(&engine(), per_second(0.5), now + 100 * MS);
     assert_eq!(
@@ -95,7 +98,7 @@
         None,
         "a delayed repeat"
     );
-    let new = there.told(now + 200 * MS);
+    let new = there.updates(now + 200 * MS);
     assert_eq!(
         here.take(&new[0], now + 200 * MS),
         Some(LimitChange::Named(0.5))
@@ -105,16 +108,16 @@
 // Guards against restoring a lifted limit from a node that has not heard that it was lifted.
 #[test]
 fn a_lifted_limit_is_not_restored_by_an_old_update() {
-    let (mut limits, now) = (Limits::default(), Instant::now());
+    let (mut limits, now) = (RateLimits::default(), Instant::now());
     limits.note_answer(&engine(), per_second(1.0), now);
-    let old = limits.told(now);
-    limits.note_answer(&engine(), LimitSaid::None, now + 10 * MS);
-    limits.note_answer(&engine(), LimitSaid::None, now + 2_100 * MS);
+    let old = limits.updates(now);
+    limits.note_answer(&engine(), AnnouncedLimit::None, now + 10 * MS);
+    limits.note_answer(&engine(), AnnouncedLimit::None, now + 2_100 * MS);
     limits.forget(|_| true, now + 2_200 * MS);
     let mut late = old[0].clone();
     late.age_ms = 2_200;
     assert_eq!(limits.take(&late, now + 2_200 * MS), None);
     assert_eq!(limits.count(), 0);
     limits.forget(|_| false, now + 2_200 * MS);
-    assert_eq!(limits.told(now + 2_200 * MS), []);
+    assert_eq!(limits.updates(now + 2_200 * MS), []);
 }
--- a/crates/relay/tests/restored_store.rs
+++ b/crates/relay/tests/restored_store.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use nutmegsail_base::{StoreEra, StoreNumber};
-use nutmegsail_relay::{EraWatch, OrderPermit, Ownership, OwnershipRules, Predecessor, TextKnown};
+use nutmegsail_relay::{
+    EraWatch, OrderPermit, Ownership, OwnershipRules, Predecessor, TextVersion,
+};
 use proptest::prelude::*;
 
 const NODES: usize = 3;
@@ -13,7 +15,7 @@
     confirmation: Duration::from_secs(4),
 };
 
-const TEXT: TextKnown = TextKnown {
+const TEXT: TextVersion = TextVersion {
     configuration: 1,
     versions: 0,
 };
@@ -96,16 +98,16 @@
         if self.is_cut_off {
             return;
         }
-        let rise = self.watch.see(Some(StoreEra(store.era)), now);
+        let rise = self.watch.observe(Some(StoreEra(store.era)), now);
         if let Some(mut owned) = self.owned.take_if(|_| rise.is_some()) {
-            owned.lapse(now);
+            owned.lose_claim(now);
             self.lost = Some(owned);
         }
         if let Some(mark) = store.contents.mark {
-            self.watch.take_mark(mark);
+            self.watch.record_settled_era(mark);
         }
-        self.watch.goes_by(TEXT, now);
-        if let Some(mark) = self.watch.mark_due(false, now) {
+        self.watch.may_apply(TEXT, now);
+        if let Some(mark) = self.watch.era_to_settle(false, now) {
             store.contents.mark = Some(mark);
         }
         match (store.contents.owner, &mut self.owned) {
@@ -136,8 +138,8 @@
         };
         let claim = store.claim(own_index, waits_until);
         let taken = match self.lost.take() {
-            Some(lost) => lost.retaken(claim, RULES, now, now),
-            None => Ownership::taken(claim, predecessor, RULES, now, now),
+            Some(lost) => lost.reclaimed(claim, RULES, now, now),
+            None => Ownership::claimed(claim, predecessor, RULES, now, now),
         };
         self.owned = Some(taken);
     }
@@ -172,8 +174,8 @@
         Event::CutOff(node, is_cut_off) => nodes[node].is_cut_off = is_cut_off,
         Event::Restart(node) => nodes[node] = Node::start(),
         Event::Update(from, to) => {
-            if let Some(told) = nodes[from].watch.told(TEXT, now) {
-                nodes[to].watch.take_told(told, now);
+            if let Some(told) = nodes[from].watch.update(TEXT, now) {
+                nodes[to].watch.apply_update(told, now);
             }
         }
         Event::KeyDeleted => store.contents.owner = None,
--- a/crates/relay/tests/slot_gate.rs
+++ b/crates/relay/tests/slot_gate.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use nutmegsail_relay::{SlotAnswer, SlotAsk, SlotGate};
+use nutmegsail_relay::{SlotAnswer, SlotGate, SlotRequest};
 use rand::{RngExt as _, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
@@ -12,18 +12,18 @@
 const OBJECTIVE_MS: u32 = 300;
 const PATIENCE_MS: u32 = 3_000;
 
-fn fresh() -> SlotAsk {
-    SlotAsk {
-        in_time_ms: OBJECTIVE_MS,
-        patience_ms: PATIENCE_MS,
+fn fresh() -> SlotRequest {
+    SlotRequest {
+        due_in_ms: OBJECTIVE_MS,
+        wait_limit_ms: PATIENCE_MS,
         may_queue: true,
-        rank: 0,
+        priority: 0,
     }
 }
 
-fn late() -> SlotAsk {
-    SlotAsk {
-        in_time_ms: 0,
+fn late() -> SlotRequest {
+    SlotRequest {
+        due_in_ms: 0,
         ..fresh()
     }
 }
@@ -110,7 +110,7 @@
     }
 
     /// Asks for a slot. Returns the time to wait before coming back if the request is turned away.
-    fn ask(&mut self, id: u32, ask: SlotAsk, step: u32) -> Option<u32> {
+    fn ask(&mut self, id: u32, ask: SlotRequest, step: u32) -> Option<u32> {
         let answer = self.gate.ask(id, ask, self.start + MS * step);
         self.apply_answer(id, answer, step)
     }
@@ -259,7 +259,7 @@
 #[test]
 fn a_request_that_may_not_queue_gets_the_expected_wait() {
     let (mut gate, now) = (SlotGate::new(1), Instant::now());
-    let not_queueing = SlotAsk {
+    let not_queueing = SlotRequest {
         may_queue: false,
         ..fresh()
     };
--- a/crates/relay/tests/suspects.rs
+++ b/crates/relay/tests/suspects.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::{NodeId, UpstreamId};
-use nutmegsail_relay::{Audience, STRIKES_LIMIT, SuspectTold, Suspects, Suspicion};
+use nutmegsail_relay::{Recipients, STRIKES_LIMIT, SuspectUpdate, Suspects, Suspicion};
 use proptest::prelude::*;
 use request::digest;
 
@@ -30,12 +30,12 @@
 }
 
 /// All updates that a node sends now, to any recipient.
-fn news(suspects: &mut Suspects, now: Instant) -> Vec<SuspectTold> {
-    let news = suspects.news(now).into_iter();
+fn news(suspects: &mut Suspects, now: Instant) -> Vec<SuspectUpdate> {
+    let news = suspects.due_updates(now).into_iter();
     news.map(|(_, update)| update).collect()
 }
 
-fn apply_all(suspects: &mut Suspects, from: &NodeId, updates: &[SuspectTold], now: Instant) {
+fn apply_all(suspects: &mut Suspects, from: &NodeId, updates: &[SuspectUpdate], now: Instant) {
     for update in updates {
         suspects.take(from, update, now);
     }
@@ -50,29 +50,29 @@
         suspects.strike(digest("a"), &engine(number), now);
     }
     for from in 1..4 {
-        let updates = nodes[from].news(now);
+        let updates = nodes[from].due_updates(now);
         assert!(
             updates
                 .iter()
-                .all(|(audience, _)| *audience == Audience::Homes)
+                .all(|(audience, _)| *audience == Recipients::Collectors)
         );
-        let updates: Vec<SuspectTold> = updates.into_iter().map(|(_, update)| update).collect();
+        let updates: Vec<SuspectUpdate> = updates.into_iter().map(|(_, update)| update).collect();
         apply_all(&mut nodes[0], &node(from), &updates, now);
     }
-    let updates = nodes[0].news(now);
+    let updates = nodes[0].due_updates(now);
     assert!(
         updates
             .iter()
-            .all(|(audience, _)| *audience == Audience::All)
+            .all(|(audience, _)| *audience == Recipients::All)
     );
-    let updates: Vec<SuspectTold> = updates.into_iter().map(|(_, update)| update).collect();
+    let updates: Vec<SuspectUpdate> = updates.into_iter().map(|(_, update)| update).collect();
     for suspects in &mut nodes {
         apply_all(suspects, &node(0), &updates, now);
         assert_eq!(suspects.suspicion(&digest("a"), now), Suspicion::Crashes);
         assert_eq!(suspects.suspicion(&digest("b"), now), Suspicion::None);
     }
     assert!(
-        nodes[4].news(now).is_empty(),
+        nodes[4].due_updates(now).is_empty(),
         "nobody repeats what was sent to all"
     );
 }
@@ -92,7 +92,7 @@
 fn a_full_answer_clears_the_request_at_every_node() {
     let now = Instant::now();
     let (mut here, mut there) = (struck(3, now), struck(3, now));
-    let late = here.standing(10, now);
+    let late = here.repeated_updates(10, now);
     here.clear(&digest("a"), now + SECOND);
     assert_eq!(here.suspicion(&digest("a"), now + SECOND), Suspicion::None);
     let updates = news(&mut here, now + SECOND);
@@ -170,14 +170,14 @@
 
 /// Delivers the updates of every node. A message is lost where `lost` is set.
 fn deliver_updates(nodes: &mut [Suspects], lost: &[bool], now: Instant) {
-    let updates: Vec<_> = nodes.iter_mut().map(|node| node.news(now)).collect();
+    let updates: Vec<_> = nodes.iter_mut().map(|node| node.due_updates(now)).collect();
     for (index, is_lost) in lost.iter().enumerate() {
         let (from, to) = (index / NODES, index % NODES);
         if *is_lost || from == to {
             continue;
         }
         for (audience, update) in &updates[from] {
-            if *audience == Audience::All || to < COLLECTORS {
+            if *audience == Recipients::All || to < COLLECTORS {
                 nodes[to].take(&node(from), update, now);
             }
         }
@@ -223,7 +223,7 @@
                 }
                 Step::SendUpdates(lost) => deliver_updates(&mut nodes, &lost, now),
                 Step::SendAll(from, to) => {
-                    let updates = nodes[from].standing(10, now);
+                    let updates = nodes[from].repeated_updates(10, now);
                     apply_all(&mut nodes[to], &node(from), &updates, now);
                 }
                 Step::Restart(restarted) => nodes[restarted] = Suspects::default(),
@@ -234,7 +234,7 @@
             now += Duration::from_millis(100);
             deliver_updates(&mut nodes, &[false; NODES * NODES], now);
             for from in 0..NODES {
-                let updates = nodes[from].standing(10, now);
+                let updates = nodes[from].repeated_updates(10, now);
                 for suspects in &mut nodes {
                     apply_all(suspects, &node(from), &updates, now);
                 }
--- a/crates/relay/tests/listing.rs
+++ b/crates/relay/tests/upstream_list.rs
@@ -9,8 +9,8 @@
 
 use common::{engine, list};
 use nutmegsail_relay::{
-    Dispatcher, EntryFault, Listing, ModelRef, Need, PromptChain, Refusal, RestFilter, Upstream,
-    UpstreamEntry, UpstreamState, VersionRule,
+    ChooseError, DispatchRequest, Dispatcher, EntryFault, IdleFilter, ModelRef, PromptPrefix,
+    Upstream, UpstreamEntry, UpstreamList, UpstreamState, VersionRule,
 };
 use proptest::prelude::*;
 
@@ -37,7 +37,7 @@
 // its old name, and a delayed write of the old process arrives last.
 #[test]
 fn a_delayed_entry_of_an_earlier_process_is_rejected() {
-    let (mut listing, now) = (Listing::default(), Instant::now());
+    let (mut listing, now) = (UpstreamList::default(), Instant::now());
     assert!(listing.admit(entry(Some(1), 40, false), now).is_ok());
     assert!(listing.admit(entry(Some(2), 1, false), now).is_ok());
     let delayed = listing.admit(entry(Some(1), 41, false), now);
@@ -48,7 +48,7 @@
 // delayed heartbeat from before it was leaving arrives last.
 #[test]
 fn a_leaving_upstream_never_takes_work_again() {
-    let (mut listing, now) = (Listing::default(), Instant::now());
+    let (mut listing, now) = (UpstreamList::default(), Instant::now());
     listing.admit(entry(Some(1), 7, true), now).unwrap();
     let delayed = listing.admit(entry(Some(1), 6, false), now);
     assert_eq!(delayed, Err(EntryFault::OlderHeartbeat));
@@ -61,7 +61,7 @@
 // Where entries have no start times, each process has a name of its own.
 #[test]
 fn without_start_times_a_leaving_name_stays_leaving() {
-    let (mut listing, now) = (Listing::default(), Instant::now());
+    let (mut listing, now) = (UpstreamList::default(), Instant::now());
     listing.admit(entry(None, 7, true), now).unwrap();
     let back = listing.admit(entry(None, 2, false), now).unwrap();
     assert!(!back.takes_work());
@@ -69,7 +69,7 @@
 
 #[test]
 fn an_entry_without_a_start_time_is_rejected_if_others_have_one() {
-    let (mut listing, now) = (Listing::default(), Instant::now());
+    let (mut listing, now) = (UpstreamList::default(), Instant::now());
     listing.admit(entry(Some(1), 7, false), now).unwrap();
     let other = listing.admit(entry(None, 8, false), now);
     assert_eq!(other, Err(EntryFault::NoStart));
@@ -77,7 +77,7 @@
 
 #[test]
 fn a_name_is_forgotten_a_minute_after_it_left_the_list() {
-    let (mut listing, now) = (Listing::default(), Instant::now());
+    let (mut listing, now) = (UpstreamList::default(), Instant::now());
     listing.admit(entry(Some(5), 7, false), now).unwrap();
     let soon = now + Duration::from_secs(59);
     listing.forget_old(|_| false, soon);
@@ -96,30 +96,30 @@
     let (before, after) = (process("e1", Some(1), &["a1"]), process("e1", Some(2), &[]));
     let mut dispatcher = Dispatcher::new("here".into());
     dispatcher.set_upstreams(&list([before.clone()]), now);
-    dispatcher.sent(&before.id, 9_000, now);
-    dispatcher.note_unreachable(&before.id, now);
+    dispatcher.record_sent(&before.id, 9_000, now);
+    dispatcher.record_unreachable(&before.id, now);
 
     dispatcher.set_upstreams(&list([after.clone()]), now);
     let tracked = dispatcher.tracked(&after.id).unwrap();
-    assert_eq!((tracked.in_flight, tracked.unread_tokens), (0, 0));
+    assert_eq!((tracked.in_flight, tracked.pending_prompt_tokens), (0, 0));
     assert!(!tracked.health.is_paused(now));
     // A stream of the earlier process ends only now.
-    dispatcher.sent(&after.id, 100, now);
-    dispatcher.ended(&before.id);
+    dispatcher.record_sent(&after.id, 100, now);
+    dispatcher.record_ended(&before.id);
     assert_eq!(dispatcher.tracked(&after.id).unwrap().in_flight, 1);
 
     let model = ModelRef::parse("base/a1");
     let service = "engines".into();
-    let need = Need {
+    let need = DispatchRequest {
         service: &service,
         model: Some(&model),
         version: VersionRule::ANY,
         prompt_tokens: 100,
-        prompt: &PromptChain::default(),
+        prompt: &PromptPrefix::default(),
         tried: &[],
     };
     let choice = dispatcher.choose(&need, now, &mut rand::rng());
-    assert_eq!(choice.unwrap_err(), Refusal::AdapterAbsent);
+    assert_eq!(choice.unwrap_err(), ChooseError::AdapterAbsent);
 }
 
 proptest! {
@@ -135,7 +135,7 @@
     fn accepted_entries_never_go_back(
         writes in prop::collection::vec((1u64..5, 0u64..6, any::<bool>()), 1..40),
     ) {
-        let (mut listing, now) = (Listing::default(), Instant::now());
+        let (mut listing, now) = (UpstreamList::default(), Instant::now());
         let mut newest = (0, 0);
         let mut has_left: HashMap<u64, bool> = HashMap::new();
         for (started_ms, heartbeat, is_leaving) in writes {
@@ -157,9 +157,9 @@
 // update, engines that became idle in a few, and an engine that becomes busy again in the next one.
 #[test]
 fn updates_grow_with_the_number_of_busy_engines() {
-    let mut filter = RestFilter::default();
-    let included = |filter: &mut RestFilter<u32>, busy: std::ops::Range<u32>| {
-        filter.turn((0..1_000).map(|engine| (engine, !busy.contains(&engine))))
+    let mut filter = IdleFilter::default();
+    let included = |filter: &mut IdleFilter<u32>, busy: std::ops::Range<u32>| {
+        filter.due_engines((0..1_000).map(|engine| (engine, !busy.contains(&engine))))
     };
     for _ in 0..3 {
         assert_eq!(
