--- a/crates/relay-node/src/control/base_models.rs
+++ b/crates/relay-node/src/control/base_models.rs
@@ -115,7 +115,7 @@
     let busy_share = |in_flight: u32| f64::from(in_flight) / f64::from(engine.slots.max(1));
     if let Some(owned) = control.owned(&engine.id) {
         let is_known = owned.holdings_version() > 0;
-        let own_usage = control.shared.uses.peek(&engine.id).0;
+        let own_usage = control.shared.usages.current_load(&engine.id).0;
         let others = owned.load_of_others(&control.settings.node).0;
         return ModelHost {
             models: owned.hosted_models(),
--- a/crates/relay-node/src/control/control_state.rs
+++ b/crates/relay-node/src/control/control_state.rs
@@ -236,18 +236,18 @@
             nodes: self.nodes.borrow().len().max(1),
             load_times: self.load_times.get(),
             lenders: self.lender_addresses().into(),
-            slot_nodes: self.slot_nodes(),
+            slot_issuers: self.slot_issuers(),
         };
         let version = view.table.as_ref().map_or(0, |table| table.version);
         let owned = self.owned.borrow().len();
         self.shared
             .metrics
-            .known(version, view.upstreams.len(), owned);
+            .record_state(version, view.upstreams.len(), owned);
         self.count_model_engines(&view);
         let is_ready = view.table.is_some() && !view.upstreams.is_empty();
         self.shared.view.store(Arc::new(view));
         if is_ready {
-            self.shared.note_knowing();
+            self.shared.record_data_present();
         }
     }
 
@@ -292,7 +292,7 @@
 
     /// Whether any node is known to have requests for `model` in flight at `engine`.
     pub(crate) fn is_in_use(&self, engine: &OwnedEngine, model: &ModelRef) -> bool {
-        self.shared.uses.holds(&engine.id, model)
+        self.shared.usages.holds(&engine.id, model)
             || engine.is_used_by_others(model)
             || engine.is_unloading(model)
     }
@@ -301,7 +301,7 @@
     pub(crate) fn apply_domain_contacts(&self, ages: &[DomainAge]) {
         let mut domains = self.domain_contacts.borrow_mut();
         domains.take(ages, Instant::now());
-        self.shared.news.put_domains(&domains);
+        self.shared.owner_updates.merge_domain_contacts(&domains);
     }
 
     /// Records a contact with a node, and with it its failure domain.
@@ -310,7 +310,7 @@
         if let Some(record) = nodes.get(&node) {
             let (domain, now) = (&record.failure_domain, Instant::now());
             self.domain_contacts.borrow_mut().note(domain, now);
-            self.shared.news.put_domain(domain, now);
+            self.shared.owner_updates.record_domain_contact(domain, now);
         }
         self.last_contacts.borrow_mut().insert(node, Instant::now());
     }
--- a/crates/relay-node/src/control/engine_load.rs
+++ b/crates/relay-node/src/control/engine_load.rs
@@ -84,7 +84,7 @@
 ) -> EngineLoad {
     let (mut in_flight, mut pending_prompt_tokens) = owned.load_of_others(node);
     if *node != control.settings.node {
-        let own_usage = control.shared.uses.peek(&owned.id);
+        let own_usage = control.shared.usages.current_load(&owned.id);
         in_flight += own_usage.0;
         pending_prompt_tokens += own_usage.1;
     }
--- a/crates/relay-node/src/control/exchange.rs
+++ b/crates/relay-node/src/control/exchange.rs
@@ -29,7 +29,7 @@
 use super::load_aggregator::{LoadAggregator, LoadBatch};
 use super::model_demand::ModelDemandUpdate;
 use super::suspect_gossip::{SuspectGossip, all_suspects};
-use crate::shared::{Asked, CopyNews, EngineNews, EngineUse};
+use crate::shared::{AdapterDemand, CopyRequest, EngineUpdate, EngineUsage};
 use crate::traffic_message::TrafficMessage;
 
 /// How often a node reports what it has in flight. A prompt takes some 76 ms to process, so older
@@ -52,7 +52,7 @@
     /// Requests in flight for each adapter.
     pub(crate) models: Vec<(ModelRef, u32)>,
     /// Demand for each adapter since the last message.
-    pub(crate) asked: Vec<(ModelRef, Asked)>,
+    pub(crate) asked: Vec<(ModelRef, AdapterDemand)>,
     /// The version number of the engine's holdings that the sender knows.
     known_holdings_version: u64,
 }
@@ -167,10 +167,10 @@
     let owners = control.owners.borrow();
     let reports_to_all = control.nodes.borrow().len() <= FULL_EXCHANGE_NODES;
     for (engine, owner) in owners.iter() {
-        let used = control.shared.uses.take(engine);
+        let used = control.shared.usages.take(engine);
         if let Some(owned) = control.owned(engine) {
             record_own_usage(control, &owned, &used);
-        } else if owner.node != *own_node && (reports_to_all || used != EngineUse::default()) {
+        } else if owner.node != *own_node && (reports_to_all || used != EngineUsage::default()) {
             let engines = reports.entry(owner.node.clone()).or_default();
             engines.push(usage_report(control, engine, used));
         }
@@ -185,7 +185,11 @@
     }
 }
 
-fn usage_report(control: &ControlState, engine: &UpstreamId, used: EngineUse) -> EngineUsageReport {
+fn usage_report(
+    control: &ControlState,
+    engine: &UpstreamId,
+    used: EngineUsage,
+) -> EngineUsageReport {
     EngineUsageReport {
         known_holdings_version: control.known_holdings_version(engine),
         engine: engine.clone(),
@@ -197,13 +201,13 @@
 }
 
 /// Records what this node itself has in flight at an engine that it owns.
-fn record_own_usage(control: &ControlState, owned: &OwnedEngine, used: &EngineUse) {
+fn record_own_usage(control: &ControlState, owned: &OwnedEngine, used: &EngineUsage) {
     let own_domain = &control.settings.failure_domain;
     record_adapter_demand(control, owned, own_domain, used.asked.iter());
-    want_copies(control, owned, used);
+    request_copies(control, owned, used);
     owned.set_free_adapter_slots(room(control, owned));
     let load = load_excluding(control, owned, &control.settings.node);
-    control.shared.news.put(EngineNews {
+    control.shared.owner_updates.put(EngineUpdate {
         engine: owned.id.clone(),
         report: load.into_report(),
         holdings: holdings_report(owned.holdings_since(control.known_holdings_version(&owned.id))),
@@ -216,7 +220,7 @@
     control: &ControlState,
     owned: &OwnedEngine,
     domain: &FailureDomain,
-    asked: impl Iterator<Item = (&'a ModelRef, &'a Asked)>,
+    asked: impl Iterator<Item = (&'a ModelRef, &'a AdapterDemand)>,
 ) {
     let now = Instant::now();
     let mut demand = owned.demand.borrow_mut();
@@ -229,7 +233,7 @@
 
 /// Passes on to the traffic thread, which knows all engines, which adapters of an owned engine need
 /// more copies.
-fn want_copies(control: &ControlState, owned: &OwnedEngine, own_usage: &EngineUse) {
+fn request_copies(control: &ControlState, owned: &OwnedEngine, own_usage: &EngineUsage) {
     let Some(upstream) = control.upstream(&owned.id) else {
         return;
     };
@@ -244,11 +248,11 @@
     };
     let mut demand = owned.demand.borrow_mut();
     let copies = demand.copies_wanted(engine, in_flight, Instant::now());
-    let news = copies.into_iter().map(|wanted| CopyNews {
+    let news = copies.into_iter().map(|wanted| CopyRequest {
         service: upstream.service.clone(),
         wanted,
     });
-    control.shared.news.want_copies(news);
+    control.shared.owner_updates.request_copies(news);
 }
 
 /// Sends a heartbeat to the readers of other failure domains, if this node is a reader of its own.
@@ -377,7 +381,7 @@
                 if update.holdings.is_some() {
                     control.record_holdings_version(&update.engine, update.holdings_version);
                 }
-                control.shared.news.put(EngineNews {
+                control.shared.owner_updates.put(EngineUpdate {
                     engine: update.engine,
                     report: update.load.into_report(),
                     holdings: holdings_report(update.holdings),
--- a/crates/relay-node/src/control/leaving_gossip.rs
+++ b/crates/relay-node/src/control/leaving_gossip.rs
@@ -11,7 +11,7 @@
 
 use super::control_state::ControlState;
 use super::suspect_gossip::random_nodes;
-use crate::OwnWord;
+use crate::UpstreamNotice;
 
 /// How often all leaving upstreams are sent to a few random nodes, for nodes that started or were
 /// reachable only later.
@@ -85,11 +85,11 @@
     }
 
     /// Applies what an engine says about itself in an answer to its owner.
-    pub(super) fn apply_engine_notice(&self, engine: &UpstreamId, notice: OwnWord) {
+    pub(super) fn apply_engine_notice(&self, engine: &UpstreamId, notice: UpstreamNotice) {
         if notice.is_leaving {
             self.record_leaving(engine, "engine");
         }
-        if let RequestedBackoff::For(rest) = notice.rest {
+        if let RequestedBackoff::For(rest) = notice.backoff {
             let (mut notices, now) = (self.shared.notices(), Instant::now());
             notices.record_backoff(engine, rest, now, &mut rand::rng());
         }
--- a/crates/relay-node/src/control/limit_gossip.rs
+++ b/crates/relay-node/src/control/limit_gossip.rs
@@ -48,7 +48,7 @@
         }
         let mut messages = Vec::new();
         let own_address = control.settings.nodes_address;
-        let issuers = control.slot_nodes();
+        let issuers = control.slot_issuers();
         for limit in known.iter().filter(|_| has_changed) {
             let to = match issuers.get(&limit.upstream) {
                 Some(node) if *node == own_address => other_nodes(control),
--- a/crates/relay-node/src/control/load_aggregator.rs
+++ b/crates/relay-node/src/control/load_aggregator.rs
@@ -20,7 +20,7 @@
 
 use super::control_state::ControlState;
 use super::engine_load::EngineLoad;
-use crate::shared::EngineNews;
+use crate::shared::EngineUpdate;
 
 /// How long a load is passed on after it was reported; an owner sends ten reports in this time.
 const LOAD_LIFETIME: Duration = Duration::from_millis(1_000);
@@ -210,13 +210,13 @@
         false => HoldingsReport::NotReported,
     };
     // The aggregated load includes this node's own requests; subtract them.
-    let own_usage = control.shared.uses.peek(engine);
+    let own_usage = control.shared.usages.current_load(engine);
     let mut report = load.into_report();
     report.in_flight_of_others = report.in_flight_of_others.saturating_sub(own_usage.0);
     report.pending_prompt_tokens_of_others = report
         .pending_prompt_tokens_of_others
         .saturating_sub(own_usage.1);
-    control.shared.news.put(EngineNews {
+    control.shared.owner_updates.put(EngineUpdate {
         engine: engine.clone(),
         report,
         holdings,
--- a/crates/relay-node/src/control/loader.rs
+++ b/crates/relay-node/src/control/loader.rs
@@ -18,7 +18,7 @@
 use super::load_failure::LoadFailure;
 use super::owner_loads::load_into_owned;
 use super::peers::OwnerLoadRequest;
-use crate::shared::{Loaded, Want, Wanted};
+use crate::shared::{LoadRequest, LoadSpec, Loaded};
 
 /// Engines whose expected waits differ by less than this many load times rank equal. With a smaller
 /// step, nodes whose state differs slightly would choose different engines and load one adapter
@@ -40,7 +40,7 @@
 /// queues shows some time later.
 const COPY_INTERVAL: Duration = Duration::from_millis(600);
 
-type PendingRequests = HashMap<Wanted, Vec<oneshot::Sender<Loaded>>>;
+type PendingRequests = HashMap<LoadSpec, Vec<oneshot::Sender<Loaded>>>;
 
 /// Loads adapters into engines on behalf of the traffic thread.
 pub(crate) struct Loader {
@@ -51,8 +51,8 @@
 }
 
 /// Serves load requests of the traffic thread until its channel closes.
-pub(crate) async fn serve(loader: Rc<Loader>, mut wants: mpsc::Receiver<Want>) {
-    while let Some(want) = wants.recv().await {
+pub(crate) async fn serve(loader: Rc<Loader>, mut load_requests: mpsc::Receiver<LoadRequest>) {
+    while let Some(want) = load_requests.recv().await {
         loader.start_or_join(want);
     }
 }
@@ -67,23 +67,21 @@
     }
 
     /// Starts a load, or joins one for the same adapter that is in progress.
-    fn start_or_join(self: &Rc<Self>, want: Want) {
-        if want.copies > 1 || want.ready.is_closed() {
+    fn start_or_join(self: &Rc<Self>, want: LoadRequest) {
+        if want.copies > 1 || want.result.is_closed() {
             return self.start_copies(want);
         }
-        let key = want.wanted.clone();
+        let key = want.spec.clone();
         if let Some(waiting) = self.waiting.borrow_mut().get_mut(&key) {
-            waiting.push(want.ready);
+            waiting.push(want.result);
             return;
         }
         self.waiting
             .borrow_mut()
-            .insert(key.clone(), vec![want.ready]);
+            .insert(key.clone(), vec![want.result]);
         let this = Rc::clone(self);
         spawn_local(async move {
-            let loaded = this
-                .load_at_first_available(&want.wanted, want.engines)
-                .await;
+            let loaded = this.load_at_first_available(&want.spec, want.engines).await;
             let waiting = this.waiting.borrow_mut().remove(&key);
             for ready in waiting.into_iter().flatten() {
                 // The receiver may have given up.
@@ -93,10 +91,10 @@
     }
 
     /// Starts loading copies that no request waits for.
-    fn start_copies(self: &Rc<Self>, want: Want) {
+    fn start_copies(self: &Rc<Self>, want: LoadRequest) {
         let mut last_copies = self.last_copies.borrow_mut();
         last_copies.retain(|_, at| at.elapsed() < COPY_INTERVAL);
-        let wanted = want.wanted;
+        let wanted = want.spec;
         if last_copies.contains_key(&wanted.model) {
             return;
         }
@@ -112,7 +110,7 @@
 
     async fn load_at_first_available(
         &self,
-        wanted: &Wanted,
+        wanted: &LoadSpec,
         engines: Vec<LoadCandidate>,
     ) -> Loaded {
         let ranked = self.rank_engines(&wanted.model, engines);
@@ -128,7 +126,10 @@
                 Ok(holdings) => return Some((candidate.engine, holdings)),
                 Err(failure) => {
                     let is_store_busy = failure == LoadFailure::from(LoadRefusal::LeftToMisses);
-                    self.control.shared.metrics.load(failure.to_string());
+                    self.control
+                        .shared
+                        .metrics
+                        .record_load_result(failure.to_string());
                     log_event!(
                         self.control.log, Event::LoadFailed,
                         "upstream" => engine.to_string(), "model" => wanted.model.to_string(),
@@ -190,7 +191,7 @@
     async fn load_through_owner(
         &self,
         candidate: &LoadCandidate,
-        wanted: &Wanted,
+        wanted: &LoadSpec,
     ) -> Result<Holdings, LoadFailure> {
         let address = self.owner_address(&candidate.engine);
         let address = address.ok_or(LoadFailure::NoOwnerAnswer)?;
--- a/crates/relay-node/src/control/mod.rs
+++ b/crates/relay-node/src/control/mod.rs
@@ -49,7 +49,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::clock::boot_time;
-use crate::shared::{Shared, Want};
+use crate::shared::{LoadRequest, Shared};
 use crate::{Dialect, RelaySettings};
 use control_state::ControlState;
 pub(crate) use exchange::{parse_traffic_message, traffic_datagram};
@@ -65,7 +65,7 @@
     pub(crate) store: Arc<dyn KeyValue>,
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) shared: Arc<Shared>,
-    pub(crate) wants: mpsc::Receiver<Want>,
+    pub(crate) load_requests: mpsc::Receiver<LoadRequest>,
     /// Accepts load requests and reads of store changes from other nodes.
     pub(crate) nodes: TcpListener,
     /// Exchanges datagrams with other nodes.
@@ -85,7 +85,7 @@
     let maintenance = spawn_local(maintenance::run(Rc::clone(&control)));
     spawn_local(peers::serve(parts.nodes, Rc::clone(&loader)));
     spawn_local(exchange::run(Rc::clone(&control), parts.datagrams));
-    spawn_local(loader::serve(loader, parts.wants));
+    spawn_local(loader::serve(loader, parts.load_requests));
     parts.stop.cancelled().await;
     maintenance.abort();
     maintenance::release_lease(&control).await;
@@ -110,7 +110,7 @@
     loop {
         ticks.tick().await;
         if let Some(stalled) = watch.check(boot_time()) {
-            control.shared.metrics.stalled(stalled);
+            control.shared.metrics.record_stall(stalled);
             control.must_query_suspects.set(true);
             log_event!(control.log, Event::NodeResumed, "stalled_ms" => stalled.as_millis());
         }
--- a/crates/relay-node/src/control/orders.rs
+++ b/crates/relay-node/src/control/orders.rs
@@ -54,7 +54,7 @@
         let answer = self.call(&address, to_request(call)?, CALL_TIMEOUT).await?;
         let notice = self
             .dialect
-            .read_own_word(answer.status(), answer.headers());
+            .read_upstream_notice(answer.status(), answer.headers());
         if answer.status() == StatusCode::MISDIRECTED_REQUEST {
             // The engine's process ended and another one uses its address, with other holdings.
             self.drop_ended_engine(&engine.id);
@@ -83,7 +83,9 @@
         }
         self.apply_engine_notice(&engine.id, notice);
         for load in engine.apply_report(&report) {
-            self.shared.metrics.load_done(load.accepted_at.elapsed());
+            self.shared
+                .metrics
+                .record_load_time(load.accepted_at.elapsed());
             if load.is_transfer() {
                 self.update_load_times(&load);
             }
@@ -198,7 +200,7 @@
         {
             let notice = self
                 .dialect
-                .read_own_word(answer.status(), answer.headers());
+                .read_upstream_notice(answer.status(), answer.headers());
             self.apply_engine_notice(&engine.id, notice);
         }
         let answer = answer.and_then(|answer| self.dialect.read_order_answer(answer.status()));
--- a/crates/relay-node/src/control/owner_loads.rs
+++ b/crates/relay-node/src/control/owner_loads.rs
@@ -12,7 +12,7 @@
 use super::engine::{EarlyUse, OwnedEngine, QueueEntry};
 use super::load_failure::LoadFailure;
 use super::poll_loads::{LOAD_TIMEOUT, poll_loads};
-use crate::shared::Wanted;
+use crate::shared::LoadSpec;
 use crate::{OrderAnswer, OrderStep};
 
 /// Adapter loads from the weight store that an engine accepts at once. Fewer are ordered at a time;
@@ -34,7 +34,7 @@
 pub(crate) async fn load_into_owned(
     control: &Rc<ControlState>,
     engine: &Rc<OwnedEngine>,
-    wanted: &Wanted,
+    wanted: &LoadSpec,
     is_recent: bool,
 ) -> Result<Holdings, LoadFailure> {
     let (model, version) = (&wanted.model, wanted.version);
@@ -234,7 +234,7 @@
 }
 
 /// The holdings of `engine` with the adapter added that is assumed to be loaded.
-fn assume_loaded(engine: &OwnedEngine, wanted: &Wanted) -> Result<Holdings, LoadFailure> {
+fn assume_loaded(engine: &OwnedEngine, wanted: &LoadSpec) -> Result<Holdings, LoadFailure> {
     let mut holdings = engine.holdings();
     let mut models = holdings.models.iter_mut();
     let model = models.find(|held| held.name == wanted.model.model);
--- a/crates/relay-node/src/control/peers.rs
+++ b/crates/relay-node/src/control/peers.rs
@@ -28,7 +28,7 @@
 use super::loader::Loader;
 use super::owner_loads::load_into_owned;
 use super::store_reader::CHANGES_PATH;
-use crate::shared::Wanted;
+use crate::shared::LoadSpec;
 
 /// The path of load requests.
 const LOADS_PATH: &str = "/loads";
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct OwnerLoadRequest {
     pub(crate) engine: UpstreamId,
-    pub(crate) wanted: Wanted,
+    pub(crate) wanted: LoadSpec,
     /// Whether the engine held the adapter a while ago, as far as the sender knows.
     pub(crate) is_recent: bool,
 }
--- a/crates/relay-node/src/control/slots.rs
+++ b/crates/relay-node/src/control/slots.rs
@@ -42,7 +42,7 @@
     /// Issuers are chosen by hash, so nodes with the same list of nodes choose alike without a
     /// message. While their lists differ, two nodes may grant the same slots, and the upstream
     /// queues the excess.
-    pub(crate) fn slot_nodes(&self) -> Arc<HashMap<UpstreamId, SocketAddr>> {
+    pub(crate) fn slot_issuers(&self) -> Arc<HashMap<UpstreamId, SocketAddr>> {
         let upstreams = self.upstreams.borrow();
         let nodes = self.nodes.borrow();
         let slots = &self.slots;
--- a/crates/relay-node/src/control/store_reader.rs
+++ b/crates/relay-node/src/control/store_reader.rs
@@ -46,7 +46,7 @@
         let time_left = (known.answered + MAX_STATE_AGE).saturating_sub(asked);
         let read = self.query_reader(address, after, time_left).await;
         if read.is_none() {
-            self.shared.metrics.reader_silent();
+            self.shared.metrics.record_silent_reader();
             log_event!(
                 self.log, Event::ReaderSilent,
                 "reader" => reader.to_string(), "after" => after.to_string()
--- a/crates/relay-node/src/control/watch.rs
+++ b/crates/relay-node/src/control/watch.rs
@@ -67,7 +67,7 @@
                 }
                 control.change_log.restart(revision, read_at);
                 dispatch_snapshot(control, watchers, &items);
-                control.shared.note_news(asked);
+                control.shared.record_data_time(asked);
                 let error = follow_changes(control, watchers, revision, read_at).await;
                 log_unavailable(control, &error);
                 is_unavailable = true;
@@ -178,7 +178,7 @@
     dispatch_changes(control, watchers, &changes.changes);
     control.confirm_from_watch(read_at.asked);
     control.confirm_lender(read_at.asked);
-    control.shared.note_news(read_at.asked);
+    control.shared.record_data_time(read_at.asked);
     let answered_ms = u64::try_from(read_at.answered.as_millis()).unwrap_or(u64::MAX);
     let answered = &control.shared.store_answered_ms;
     answered.store(answered_ms, Ordering::Relaxed);
--- a/crates/relay-node/src/dialect.rs
+++ b/crates/relay-node/src/dialect.rs
@@ -69,16 +69,16 @@
     /// The name of the upstream that answered, if stated.
     pub upstream: Option<HeaderValue>,
     /// What the upstream states about itself.
-    pub own: OwnWord,
+    pub own: UpstreamNotice,
 }
 
 /// What an upstream states about itself in the head of any answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct OwnWord {
+pub struct UpstreamNotice {
     /// Whether it is leaving, that is, about to stop.
     pub is_leaving: bool,
     /// For how long it asks this node to send it nothing more.
-    pub rest: RequestedBackoff,
+    pub backoff: RequestedBackoff,
     /// Its rate limit for all nodes together.
     pub limit: AnnouncedLimit,
 }
@@ -196,7 +196,7 @@
     /// Reads the head of an upstream's answer to a request.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMeta;
     /// Reads what an upstream states about itself in the head of any answer.
-    fn read_own_word(&self, status: StatusCode, headers: &HeaderMap) -> OwnWord;
+    fn read_upstream_notice(&self, status: StatusCode, headers: &HeaderMap) -> UpstreamNotice;
     /// The path of the platform's readiness check.
     fn ready_path(&self) -> &'static str;
     /// Builds the request for an engine's report; another upstream at the address refuses it.
--- a/crates/relay-node/src/lib.rs
+++ b/crates/relay-node/src/lib.rs
@@ -24,7 +24,7 @@
 
 pub use dialect::{
     AnswerMeta, BadHeader, CallMeta, DecodeError, Dialect, EngineCall, EngineState, NamedVersion,
-    Order, OrderAnswer, OrderStep, OwnWord, SendMeta, Verdict,
+    Order, OrderAnswer, OrderStep, SendMeta, UpstreamNotice, Verdict,
 };
 pub use node::{RelayNode, RelayNodeError};
 pub use settings::{BoundSettings, RelaySettings, RelaySettingsError, StoreSettings};
--- a/crates/relay-node/src/metrics.rs
+++ b/crates/relay-node/src/metrics.rs
@@ -155,7 +155,7 @@
     }
 
     /// Counts a send by its outcome.
-    pub(crate) fn sent(&self, outcome: &'static str) {
+    pub(crate) fn record_send(&self, outcome: &'static str) {
         self.sends.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
@@ -168,23 +168,23 @@
     }
 
     /// Counts a load that ended or was not ordered; `result` gives the reason.
-    pub(crate) fn load(&self, result: String) {
+    pub(crate) fn record_load_result(&self, result: String) {
         self.loads.add(1, &[KeyValue::new("result", result)]);
     }
 
     /// Counts a load that a report shows as done.
-    pub(crate) fn load_done(&self, took: Duration) {
-        self.load("done".to_owned());
+    pub(crate) fn record_load_time(&self, took: Duration) {
+        self.record_load_result("done".to_owned());
         self.load_time.record(millis(took), &[]);
     }
 
     /// Records a time during which the process did not run.
-    pub(crate) fn stalled(&self, duration: Duration) {
+    pub(crate) fn record_stall(&self, duration: Duration) {
         self.stall.record(millis(duration), &[]);
     }
 
     /// Counts a missing answer of the node that reads the store for this one.
-    pub(crate) fn reader_silent(&self) {
+    pub(crate) fn record_silent_reader(&self) {
         self.reader_silent.add(1, &[]);
     }
 
@@ -228,7 +228,7 @@
     }
 
     /// Records the current configuration version and numbers of upstreams and owned engines.
-    pub(crate) fn known(&self, configuration: u64, upstreams: usize, owned_engines: usize) {
+    pub(crate) fn record_state(&self, configuration: u64, upstreams: usize, owned_engines: usize) {
         self.configuration.record(configuration, &[]);
         self.upstreams.record(upstreams as u64, &[]);
         self.owned_engines.record(owned_engines as u64, &[]);
--- a/crates/relay-node/src/node.rs
+++ b/crates/relay-node/src/node.rs
@@ -106,7 +106,7 @@
         let nodes = listener.into_std().map_err(RelayNodeError::Control)?;
         let page = MetricsPage::new().map_err(RelayNodeError::Metrics)?;
         let metrics = RelayMetrics::new(&page.meter());
-        let (shared, wants) = Shared::new(metrics.clone(), settings.bounds.access());
+        let (shared, load_requests) = Shared::new(metrics.clone(), settings.bounds.access());
         let store = CountedStore {
             inner: store,
             metrics: StoreCalls {
@@ -134,7 +134,7 @@
             store: Arc::new(store),
             dialect: Arc::clone(&dialect),
             shared: Arc::clone(&shared),
-            wants,
+            load_requests,
             nodes,
             datagrams,
             stop: stop_control.clone(),
@@ -209,7 +209,7 @@
     store: Arc<dyn KeyValue>,
     dialect: Arc<dyn Dialect>,
     shared: Arc<Shared>,
-    wants: tokio::sync::mpsc::Receiver<crate::shared::Want>,
+    load_requests: tokio::sync::mpsc::Receiver<crate::shared::LoadRequest>,
     nodes: std::net::TcpListener,
     datagrams: std::net::UdpSocket,
     stop: CancellationToken,
@@ -242,7 +242,7 @@
                     store: self.store,
                     dialect: self.dialect,
                     shared: self.shared,
-                    wants: self.wants,
+                    load_requests: self.load_requests,
                     nodes,
                     datagrams,
                     stop: self.stop,
--- a/crates/relay-node/src/shared.rs
+++ b/crates/relay-node/src/shared.rs
@@ -41,12 +41,12 @@
     /// The nodes that lend teams' quotas, nearest first.
     pub(crate) lenders: Arc<[SocketAddr]>,
     /// The node that issues the slots of each plain upstream.
-    pub(crate) slot_nodes: Arc<HashMap<UpstreamId, SocketAddr>>,
+    pub(crate) slot_issuers: Arc<HashMap<UpstreamId, SocketAddr>>,
 }
 
 /// A load that is asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub(crate) struct Wanted {
+pub(crate) struct LoadSpec {
     pub(crate) model: ModelRef,
     /// The version to load; `None` for the newest.
     pub(crate) version: Option<u64>,
@@ -60,14 +60,14 @@
 
 /// A request to the control thread to have an adapter loaded.
 #[derive(Debug)]
-pub(crate) struct Want {
-    pub(crate) wanted: Wanted,
+pub(crate) struct LoadRequest {
+    pub(crate) spec: LoadSpec,
     /// The engines that could load it.
     pub(crate) engines: Vec<LoadCandidate>,
     /// The number of engines that should load it, in addition to those that already hold it.
     pub(crate) copies: usize,
     /// Receives the result of the load. Dropped without a result if the request was lost.
-    pub(crate) ready: oneshot::Sender<Loaded>,
+    pub(crate) result: oneshot::Sender<Loaded>,
 }
 
 /// The engine that now holds the adapter, with its holdings; `None` if no engine could load it.
@@ -75,20 +75,20 @@
 
 /// This node's use of one engine.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct EngineUse {
+pub(crate) struct EngineUsage {
     /// Requests in flight.
     pub(crate) in_flight: u32,
     /// Prompt tokens of the requests in flight whose answers have not begun.
     pub(crate) pending_prompt_tokens: u64,
     /// Requests in flight for each adapter.
     pub(crate) models: HashMap<ModelRef, u32>,
-    /// The demand for each adapter since the last call of [`Uses::take`].
-    pub(crate) asked: HashMap<ModelRef, Asked>,
+    /// The demand for each adapter since the last call of [`EngineUsages::take`].
+    pub(crate) asked: HashMap<ModelRef, AdapterDemand>,
 }
 
 /// The demand for an adapter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Asked {
+pub(crate) struct AdapterDemand {
     pub(crate) requests: u32,
     pub(crate) prompt_tokens: u32,
 }
@@ -96,9 +96,9 @@
 /// This node's use of all engines. The traffic thread writes it, the control thread reports it to
 /// the engines' owners.
 #[derive(Debug, Default)]
-pub(crate) struct Uses(Mutex<HashMap<UpstreamId, EngineUse>>);
+pub(crate) struct EngineUsages(Mutex<HashMap<UpstreamId, EngineUsage>>);
 
-impl Uses {
+impl EngineUsages {
     /// Counts a request as sent.
     pub(crate) fn begin(&self, engine: &UpstreamId, model: &ModelRef, prompt_tokens: u64) {
         let mut uses = self.lock();
@@ -142,20 +142,20 @@
     }
 
     /// Requests in flight and pending prompt tokens of this node at `engine`.
-    pub(crate) fn peek(&self, engine: &UpstreamId) -> (u32, u64) {
+    pub(crate) fn current_load(&self, engine: &UpstreamId) -> (u32, u64) {
         let uses = self.lock();
         uses.get(engine)
             .map_or((0, 0), |used| (used.in_flight, used.pending_prompt_tokens))
     }
 
     /// Returns the use of `engine` and resets the demand counts.
-    pub(crate) fn take(&self, engine: &UpstreamId) -> EngineUse {
+    pub(crate) fn take(&self, engine: &UpstreamId) -> EngineUsage {
         let mut uses = self.lock();
         let Some(used) = uses.get_mut(engine) else {
-            return EngineUse::default();
+            return EngineUsage::default();
         };
         let asked = std::mem::take(&mut used.asked);
-        let taken = EngineUse {
+        let taken = EngineUsage {
             asked,
             in_flight: used.in_flight,
             pending_prompt_tokens: used.pending_prompt_tokens,
@@ -167,7 +167,7 @@
         taken
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<UpstreamId, EngineUse>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<UpstreamId, EngineUsage>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -175,9 +175,9 @@
 /// The engine time, in milliseconds, that callers' requests need for each base model. The traffic
 /// thread writes it, the control thread sends it to the other nodes.
 #[derive(Debug, Default)]
-pub(crate) struct ModelsAsked(Mutex<HashMap<ModelDigest, f32>>);
+pub(crate) struct ModelEngineTime(Mutex<HashMap<ModelDigest, f32>>);
 
-impl ModelsAsked {
+impl ModelEngineTime {
     /// Adds a request's engine time.
     pub(crate) fn count(&self, model: ModelDigest, engine_ms: f32) {
         *self.lock().entry(model).or_default() += engine_ms;
@@ -195,7 +195,7 @@
 
 /// An update about an engine from its owner.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct EngineNews {
+pub(crate) struct EngineUpdate {
     pub(crate) engine: UpstreamId,
     pub(crate) report: LoadReport,
     /// The part of the update about the engine's holdings.
@@ -204,56 +204,56 @@
 
 /// Copies of an adapter that an engine's owner asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct CopyNews {
+pub(crate) struct CopyRequest {
     pub(crate) service: ServiceName,
     pub(crate) wanted: WantedCopies,
 }
 
 /// Updates that the traffic thread has not processed yet.
 #[derive(Debug, Default)]
-pub(crate) struct Waiting {
+pub(crate) struct PendingUpdates {
     /// The newest update of each engine.
-    pub(crate) engines: HashMap<UpstreamId, EngineNews>,
+    pub(crate) engines: HashMap<UpstreamId, EngineUpdate>,
     /// The last contact with each failure domain.
     pub(crate) domains: DomainContacts,
     /// The copies that owners ask for.
-    pub(crate) copies: Vec<CopyNews>,
+    pub(crate) copies: Vec<CopyRequest>,
 }
 
 /// Updates for the traffic thread from engines' owners and failure domains.
 #[derive(Debug, Default)]
-pub(crate) struct News(Mutex<Waiting>);
+pub(crate) struct OwnerUpdates(Mutex<PendingUpdates>);
 
-impl News {
+impl OwnerUpdates {
     /// Records a contact with a failure domain.
-    pub(crate) fn put_domain(&self, domain: &FailureDomain, at: Instant) {
+    pub(crate) fn record_domain_contact(&self, domain: &FailureDomain, at: Instant) {
         self.lock().domains.note(domain, at);
     }
 
     /// Records contacts with failure domains.
-    pub(crate) fn put_domains(&self, domains: &DomainContacts) {
+    pub(crate) fn merge_domain_contacts(&self, domains: &DomainContacts) {
         self.lock().domains.merge(domains);
     }
 
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
+    fn lock(&self) -> MutexGuard<'_, PendingUpdates> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Adds copies that owners ask for.
-    pub(crate) fn want_copies(&self, copies: impl IntoIterator<Item = CopyNews>) {
+    pub(crate) fn request_copies(&self, copies: impl IntoIterator<Item = CopyRequest>) {
         self.lock().copies.extend(copies);
     }
 
-    pub(crate) fn put(&self, news: EngineNews) {
+    pub(crate) fn put(&self, news: EngineUpdate) {
         let mut waiting = self.lock();
         let older = waiting.engines.remove(&news.engine);
         let older = older.map(|older| older.holdings).unwrap_or_default();
         let holdings = news.holdings.after(older);
-        let news = EngineNews { holdings, ..news };
+        let news = EngineUpdate { holdings, ..news };
         waiting.engines.insert(news.engine.clone(), news);
     }
 
-    pub(crate) fn take(&self) -> Waiting {
+    pub(crate) fn take(&self) -> PendingUpdates {
         std::mem::take(&mut self.lock())
     }
 }
@@ -271,13 +271,13 @@
 pub(crate) struct Shared {
     pub(crate) view: ArcSwap<View>,
     readiness: Mutex<Readiness>,
-    pub(crate) uses: Uses,
-    pub(crate) models_asked: ModelsAsked,
-    pub(crate) news: News,
+    pub(crate) usages: EngineUsages,
+    pub(crate) models_asked: ModelEngineTime,
+    pub(crate) owner_updates: OwnerUpdates,
     suspects: Mutex<Suspects>,
     limits: Mutex<RateLimits>,
     notices: Mutex<UpstreamNotices>,
-    pub(crate) wants: mpsc::Sender<Want>,
+    pub(crate) load_requests: mpsc::Sender<LoadRequest>,
     pub(crate) metrics: RelayMetrics,
     /// Number of open caller connections.
     pub(crate) connections: AtomicUsize,
@@ -293,18 +293,18 @@
     pub(crate) fn new(
         metrics: RelayMetrics,
         access: AccessRules,
-    ) -> (Arc<Self>, mpsc::Receiver<Want>) {
-        let (wants, arrived) = mpsc::channel(LOAD_QUEUE_LIMIT);
+    ) -> (Arc<Self>, mpsc::Receiver<LoadRequest>) {
+        let (load_requests, arrived) = mpsc::channel(LOAD_QUEUE_LIMIT);
         let shared = Self {
             view: ArcSwap::default(),
             readiness: Mutex::default(),
-            uses: Uses::default(),
-            models_asked: ModelsAsked::default(),
-            news: News::default(),
+            usages: EngineUsages::default(),
+            models_asked: ModelEngineTime::default(),
+            owner_updates: OwnerUpdates::default(),
             suspects: Mutex::default(),
             limits: Mutex::default(),
             notices: Mutex::default(),
-            wants,
+            load_requests,
             metrics,
             connections: AtomicUsize::new(0),
             store_answered_ms: AtomicU64::new(0),
@@ -347,7 +347,7 @@
 
     /// Records that the node knows enough to serve callers. This holds also while the store is
     /// unavailable.
-    pub(crate) fn note_knowing(&self) {
+    pub(crate) fn record_data_present(&self) {
         self.readiness().has_data = true;
     }
 
@@ -359,7 +359,7 @@
     /// Whether the node accepts callers.
     pub(crate) fn is_ready(&self) -> bool {
         let readiness = *self.readiness();
-        let (age, view) = (self.news_age(), self.view.load());
+        let (age, view) = (self.data_age(), self.view.load());
         let mut table = view.table.iter();
         let knows_keys = table.all(|table| self.access.is_ready(table, age));
         readiness.has_data && !readiness.is_leaving && knows_keys
@@ -369,13 +369,13 @@
     ///
     /// Called after the view is published. A thread that reads the age first and the view second
     /// then never takes an old view for a newer one.
-    pub(crate) fn note_news(&self, asked: Duration) {
+    pub(crate) fn record_data_time(&self, asked: Duration) {
         let asked_ms = u64::try_from(asked.as_millis()).unwrap_or(0);
         self.news_asked_ms.fetch_max(asked_ms, Ordering::Release);
     }
 
     /// The age of the data that the view is based on, counted from when the store read was sent.
-    pub(crate) fn news_age(&self) -> Duration {
+    pub(crate) fn data_age(&self) -> Duration {
         let asked_ms = self.news_asked_ms.load(Ordering::Acquire);
         boot_time().saturating_sub(Duration::from_millis(asked_ms))
     }
--- a/crates/relay-node/src/traffic/adapter_loads.rs
+++ b/crates/relay-node/src/traffic/adapter_loads.rs
@@ -7,7 +7,7 @@
 
 use super::call::Call;
 use super::gateway::{Gateway, SendHistory};
-use crate::shared::{CopyNews, Loaded, View, Want, Wanted};
+use crate::shared::{CopyRequest, LoadRequest, LoadSpec, Loaded, View};
 
 /// The longest time that a request waits for its adapter: two loads of 250 ms each, one after the
 /// other, plus the queue for transfers.
@@ -28,7 +28,7 @@
 
 impl Gateway {
     /// Orders loads of the copies that an engine's owner asks for.
-    pub(super) fn want_copies(&self, view: &View, news: CopyNews) {
+    pub(super) fn request_copies(&self, view: &View, news: CopyRequest) {
         let (service, now) = (&news.service, Instant::now());
         let WantedCopies {
             model,
@@ -45,8 +45,8 @@
         let rule = view.versions.rule(&model, self.version_overlap(), now);
         let engines = dispatcher.load_candidates(service, &model, rule, &place, now);
         let (ready, _) = oneshot::channel();
-        let load_request = Want {
-            wanted: Wanted {
+        let load_request = LoadRequest {
+            spec: LoadSpec {
                 model,
                 version: rule.to_load(),
                 was_turned_away: false,
@@ -58,10 +58,10 @@
             },
             engines,
             copies,
-            ready,
+            result: ready,
         };
         // Dropped if the queue is full: it then holds loads that requests wait for, which go first.
-        let _ = self.shared.wants.try_send(load_request);
+        let _ = self.shared.load_requests.try_send(load_request);
     }
 
     /// Orders a load of the adapter that `call` names, and waits for it up to `wait`.
@@ -95,8 +95,8 @@
     ) -> Option<oneshot::Receiver<Loaded>> {
         let model = call.meta.model.clone()?;
         let (ready, answer) = oneshot::channel();
-        let load_request = Want {
-            wanted: Wanted {
+        let load_request = LoadRequest {
+            spec: LoadSpec {
                 model,
                 version: call.version.to_load(),
                 was_turned_away,
@@ -105,9 +105,9 @@
             },
             engines: self.candidate_engines(call, now),
             copies: 1,
-            ready,
+            result: ready,
         };
-        self.shared.wants.try_send(load_request).ok()?;
+        self.shared.load_requests.try_send(load_request).ok()?;
         Some(answer)
     }
 
--- a/crates/relay-node/src/traffic/admission.rs
+++ b/crates/relay-node/src/traffic/admission.rs
@@ -88,7 +88,7 @@
         loop {
             let authenticated = self.authenticate(route, key);
             let may_be_new = matches!(authenticated, Err(AccessDenied::NoKey { may_be_new: true }));
-            if !may_be_new || self.shared.news_age() < began.elapsed() {
+            if !may_be_new || self.shared.data_age() < began.elapsed() {
                 return authenticated;
             }
             if began.elapsed() >= NEW_KEY_TIMEOUT || self.key_waiters.get() >= MAX_NEW_KEY_WAITERS {
@@ -102,7 +102,7 @@
     fn authenticate(&self, route: &Route, key: &CallerKey) -> Result<Caller, AccessDenied> {
         // Read the age before the view: a view published between the two reads is then newer than
         // `age` says, never older.
-        let age = self.shared.news_age();
+        let age = self.shared.data_age();
         let view = self.shared.view.load();
         let Some(table) = &view.table else {
             return Err(AccessDenied::Stale);
@@ -128,7 +128,7 @@
         log_event!(
             self.log, Event::KeyRejected,
             "request" => request.to_owned(), "route" => route.name.to_string(), "why" => why,
-            "version" => version, "news_ms" => self.shared.news_age().as_millis()
+            "version" => version, "news_ms" => self.shared.data_age().as_millis()
         );
     }
 
--- a/crates/relay-node/src/traffic/gateway.rs
+++ b/crates/relay-node/src/traffic/gateway.rs
@@ -212,7 +212,7 @@
         }
         self.apply_limits();
         self.apply_backoffs(is_new);
-        let news = self.shared.news.take();
+        let news = self.shared.owner_updates.take();
         let mut dispatcher = self.dispatcher.borrow_mut();
         dispatcher.merge_domain_contacts(&news.domains);
         for (engine, news) in news.engines {
@@ -220,7 +220,7 @@
         }
         drop(dispatcher);
         for copies in news.copies {
-            self.want_copies(&view, copies);
+            self.request_copies(&view, copies);
         }
         view
     }
--- a/crates/relay-node/src/traffic/in_flight.rs
+++ b/crates/relay-node/src/traffic/in_flight.rs
@@ -56,7 +56,7 @@
         if let Some(model) = model {
             gateway
                 .shared
-                .uses
+                .usages
                 .begin(upstream, model, pending_prompt_tokens);
         }
         Self {
@@ -98,7 +98,7 @@
         let took = now.duration_since(self.sent);
         self.gateway
             .shared
-            .uses
+            .usages
             .read(&self.upstream.id, self.pending_prompt_tokens);
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         dispatcher.record_prompt_read(&self.upstream.id, self.pending_prompt_tokens);
@@ -166,7 +166,7 @@
     fn record_outcome(&mut self, outcome: Outcome) {
         if !self.has_outcome {
             self.has_outcome = true;
-            self.gateway.shared.metrics.sent(outcome.name());
+            self.gateway.shared.metrics.record_send(outcome.name());
             let mut dispatcher = self.gateway.dispatcher.borrow_mut();
             dispatcher.record_outcome(&self.upstream.id, outcome, Instant::now());
         }
@@ -176,7 +176,7 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        let uses = &self.gateway.shared.uses;
+        let uses = &self.gateway.shared.usages;
         if self.first.is_none() {
             dispatcher.record_prompt_read(&self.upstream.id, self.pending_prompt_tokens);
             uses.read(&self.upstream.id, self.pending_prompt_tokens);
--- a/crates/relay-node/src/traffic/plain_slot.rs
+++ b/crates/relay-node/src/traffic/plain_slot.rs
@@ -98,7 +98,7 @@
         let upstream = &choice.upstream.id;
         let limit = self.shared.limits().update_for(upstream, now);
         let per_s = limit.as_ref().and_then(|limit| limit.per_s);
-        let taken = match view.slot_nodes.get(upstream) {
+        let taken = match view.slot_issuers.get(upstream) {
             Some(node) => {
                 let ask = self.slot_request(call, may_queue, now);
                 self.slots.take(upstream, *node, ask, limit).await
--- a/crates/relay-node/src/traffic/upstream_notices.rs
+++ b/crates/relay-node/src/traffic/upstream_notices.rs
@@ -26,7 +26,7 @@
         if answer.own.is_leaving {
             self.record_leaving(call, upstream);
         }
-        self.record_backoff(call, upstream, answer.own.rest);
+        self.record_backoff(call, upstream, answer.own.backoff);
         self.record_limit(call, upstream, answer.own.limit);
     }
 
--- a/crates/relay/src/ownership.rs
+++ b/crates/relay/src/ownership.rs
@@ -107,7 +107,7 @@
     }
 
     /// Records that the claim was lost because the store was restored from an older copy. No order
-    /// may be sent until the engine is [`retaken`](Self::retaken).
+    /// may be sent until the engine is [`reclaimed`](Self::reclaimed).
     pub fn lose_claim(&mut self, now: Duration) {
         self.claim_lost_at.get_or_insert(now);
     }
