--- a/crates/idempotency/tests/simulation/mod.rs
+++ b/crates/idempotency/tests/simulation/mod.rs
@@ -246,7 +246,7 @@
     }
 
     pub fn wall(&self) -> SystemTime {
-        self.clock.wall()
+        self.clock.wall_time()
     }
 
     /// Sends a caller's call to `node`.
@@ -728,7 +728,7 @@
                     assert!(value.len() <= 1_000_000 && key.len() <= 200);
                     self.store
                         .insert(key.to_string(), (value, self.store_revision));
-                    Ok(StoreNumber::plain(self.store_revision))
+                    Ok(StoreNumber::without_era(self.store_revision))
                 } else {
                     Err(SwapFault::Conflict { current })
                 };
@@ -742,7 +742,7 @@
         let (value, revision) = self.store.get(key)?;
         Some(StoredRecord {
             value: value.clone(),
-            revision: StoreNumber::plain(*revision),
+            revision: StoreNumber::without_era(*revision),
         })
     }
 
--- a/crates/idempotency/tests/tiny_model.rs
+++ b/crates/idempotency/tests/tiny_model.rs
@@ -287,7 +287,7 @@
                     },
             } => {
                 let revision = store.get(&**key).map_or(0, |(_, revision)| *revision);
-                StoreNumber::plain(revision) == *expected_revision
+                StoreNumber::without_era(revision) == *expected_revision
             }
             _ => true,
         });
@@ -400,7 +400,7 @@
                     self.revision += 1;
                     self.store
                         .insert(key.to_string(), (value.clone(), self.revision));
-                    Ok(StoreNumber::plain(self.revision))
+                    Ok(StoreNumber::without_era(self.revision))
                 } else {
                     Err(SwapFault::Conflict { current })
                 };
@@ -417,7 +417,7 @@
         let (value, revision) = self.store.get(key)?;
         Some(StoredRecord {
             value: value.clone(),
-            revision: StoreNumber::plain(*revision),
+            revision: StoreNumber::without_era(*revision),
         })
     }
 
--- a/crates/relay-node/src/control/claims.rs
+++ b/crates/relay-node/src/control/claims.rs
@@ -9,7 +9,7 @@
 use nutmegsail_relay::{
     NodeRecord, OrderPermit, Ownership, Predecessor, Upstream, unowned_to_claim,
 };
-use nutmegsail_store::{Expect, KeyValueError, Put, Revision, Txn};
+use nutmegsail_store::{Condition, KeyValueError, Put, Revision, Txn};
 use nutmegsail_telemetry::{Event, log_event};
 
 use super::control_state::{ControlState, Owner};
@@ -144,7 +144,7 @@
     let mut txn = Txn::default();
     for claim in &claims {
         let key: Arc<str> = owner_key(claim.engine).into();
-        txn.expects.push(Expect {
+        txn.expects.push(Condition {
             key: Arc::clone(&key),
             revision: claim.before,
         });
@@ -182,16 +182,16 @@
     } = claim;
     let rules = control.ownership_rules();
     let now = boot_time();
-    let taken = Ownership::taken(*revision, predecessor, rules, asked_at, now);
+    let taken = Ownership::claimed(*revision, predecessor, rules, asked_at, now);
     let previous = control.eras.lost_claims.borrow_mut().remove(engine);
     let owned = match previous {
         Some(owned) => {
             let ownership = *owned.ownership.borrow();
-            let retaken = match predecessor {
-                Predecessor::Another => ownership.retaken(*revision, rules, asked_at, now),
+            let reclaimed = match predecessor {
+                Predecessor::Another => ownership.reclaimed(*revision, rules, asked_at, now),
                 _ => taken,
             };
-            owned.ownership.replace(retaken);
+            owned.ownership.replace(reclaimed);
             owned.is_key_seen.set(false);
             owned
         }
@@ -210,7 +210,8 @@
     control.owners.borrow_mut().insert(engine.clone(), owner);
     log_event!(
         control.log, Event::EngineOwned,
-        "upstream" => engine.to_string(), "fence" => revision.fence(), "may_order" => may_order
+        "upstream" => engine.to_string(), "fence" => revision.fencing_token(),
+        "may_order" => may_order
     );
 }
 
--- a/crates/relay-node/src/control/exchange.rs
+++ b/crates/relay-node/src/control/exchange.rs
@@ -13,7 +13,7 @@
 
 use nutmegsail_base::{FailureDomain, NodeId, UpstreamId};
 use nutmegsail_relay::{
-    EngineLoadNow, EraTold, Holdings, HoldingsTold, LimitTold, ModelRef, SuspectTold,
+    EngineLoadSample, EraUpdate, Holdings, HoldingsReport, LimitUpdate, ModelRef, SuspectUpdate,
     readers_by_domain,
 };
 use nutmegsail_telemetry::{Event, log_event};
@@ -29,7 +29,7 @@
 use super::load_aggregator::{LoadAggregator, LoadBatch};
 use super::model_demand::ModelDemandUpdate;
 use super::suspect_gossip::{SuspectGossip, all_suspects};
-use crate::shared::{Asked, CopyNews, EngineNews, EngineUse};
+use crate::shared::{AdapterDemand, CopyRequest, EngineUpdate, EngineUsage};
 use crate::traffic_message::TrafficMessage;
 
 /// How often a node reports what it has in flight. A prompt takes some 76 ms to process, so older
@@ -48,11 +48,11 @@
 pub(crate) struct EngineUsageReport {
     pub(crate) engine: UpstreamId,
     pub(crate) in_flight: u32,
-    pub(crate) unread_tokens: u64,
+    pub(crate) pending_prompt_tokens: u64,
     /// Requests in flight for each adapter.
     pub(crate) models: Vec<(ModelRef, u32)>,
     /// Demand for each adapter since the last message.
-    pub(crate) asked: Vec<(ModelRef, Asked)>,
+    pub(crate) asked: Vec<(ModelRef, AdapterDemand)>,
     /// The version number of the engine's holdings that the sender knows.
     known_holdings_version: u64,
 }
@@ -97,21 +97,21 @@
     /// Requests under which upstreams ended.
     Suspects {
         from: NodeId,
-        suspects: Vec<SuspectTold>,
+        suspects: Vec<SuspectUpdate>,
         /// Whether this answers [`Message::SuspectsQuery`].
         is_answer: bool,
     },
     /// Rate limits that upstreams have announced.
-    Limits {
+    RateLimits {
         from: NodeId,
-        limits: Vec<LimitTold>,
+        limits: Vec<LimitUpdate>,
     },
     /// Upstreams that have announced that they are leaving.
     Leaving { upstreams: Vec<UpstreamId> },
     /// Asks for all suspects, after a start or a stall of the sender.
     SuspectsQuery { from: NodeId },
     /// What the sender knows of the store era.
-    Era { from: NodeId, update: EraTold },
+    Era { from: NodeId, update: EraUpdate },
     /// Asks for [`Message::Era`], after a start of the sender.
     EraQuery { from: NodeId },
 }
@@ -167,10 +167,10 @@
     let owners = control.owners.borrow();
     let reports_to_all = control.nodes.borrow().len() <= FULL_EXCHANGE_NODES;
     for (engine, owner) in owners.iter() {
-        let used = control.shared.uses.take(engine);
+        let used = control.shared.usages.take(engine);
         if let Some(owned) = control.owned(engine) {
             record_own_usage(control, &owned, &used);
-        } else if owner.node != *own_node && (reports_to_all || used != EngineUse::default()) {
+        } else if owner.node != *own_node && (reports_to_all || used != EngineUsage::default()) {
             let engines = reports.entry(owner.node.clone()).or_default();
             engines.push(usage_report(control, engine, used));
         }
@@ -185,25 +185,29 @@
     }
 }
 
-fn usage_report(control: &ControlState, engine: &UpstreamId, used: EngineUse) -> EngineUsageReport {
+fn usage_report(
+    control: &ControlState,
+    engine: &UpstreamId,
+    used: EngineUsage,
+) -> EngineUsageReport {
     EngineUsageReport {
         known_holdings_version: control.known_holdings_version(engine),
         engine: engine.clone(),
         in_flight: used.in_flight,
-        unread_tokens: used.unread_tokens,
+        pending_prompt_tokens: used.pending_prompt_tokens,
         models: used.models.into_iter().collect(),
         asked: used.asked.into_iter().collect(),
     }
 }
 
 /// Records what this node itself has in flight at an engine that it owns.
-fn record_own_usage(control: &ControlState, owned: &OwnedEngine, used: &EngineUse) {
+fn record_own_usage(control: &ControlState, owned: &OwnedEngine, used: &EngineUsage) {
     let own_domain = &control.settings.failure_domain;
     record_adapter_demand(control, owned, own_domain, used.asked.iter());
-    want_copies(control, owned, used);
+    request_copies(control, owned, used);
     owned.set_free_adapter_slots(room(control, owned));
     let load = load_excluding(control, owned, &control.settings.node);
-    control.shared.news.put(EngineNews {
+    control.shared.owner_updates.put(EngineUpdate {
         engine: owned.id.clone(),
         report: load.into_report(),
         holdings: holdings_report(owned.holdings_since(control.known_holdings_version(&owned.id))),
@@ -216,7 +220,7 @@
     control: &ControlState,
     owned: &OwnedEngine,
     domain: &FailureDomain,
-    asked: impl Iterator<Item = (&'a ModelRef, &'a Asked)>,
+    asked: impl Iterator<Item = (&'a ModelRef, &'a AdapterDemand)>,
 ) {
     let now = Instant::now();
     let mut demand = owned.demand.borrow_mut();
@@ -229,12 +233,12 @@
 
 /// Passes on to the traffic thread, which knows all engines, which adapters of an owned engine need
 /// more copies.
-fn want_copies(control: &ControlState, owned: &OwnedEngine, own_usage: &EngineUse) {
+fn request_copies(control: &ControlState, owned: &OwnedEngine, own_usage: &EngineUsage) {
     let Some(upstream) = control.upstream(&owned.id) else {
         return;
     };
     let holdings = owned.holdings();
-    let engine = EngineLoadNow {
+    let engine = EngineLoadSample {
         failure_domain: &upstream.failure_domain,
         slots: upstream.slots,
         holdings: &holdings,
@@ -244,11 +248,11 @@
     };
     let mut demand = owned.demand.borrow_mut();
     let copies = demand.copies_wanted(engine, in_flight, Instant::now());
-    let news = copies.into_iter().map(|wanted| CopyNews {
+    let news = copies.into_iter().map(|wanted| CopyRequest {
         service: upstream.service.clone(),
         wanted,
     });
-    control.shared.news.want_copies(news);
+    control.shared.owner_updates.request_copies(news);
 }
 
 /// Sends a heartbeat to the readers of other failure domains, if this node is a reader of its own.
@@ -295,7 +299,7 @@
     control.drop_unlisted_notices();
     for (limits, address) in gossip.next_messages(control) {
         let from = control.settings.node.clone();
-        send(socket, &Message::Limits { from, limits }, address);
+        send(socket, &Message::RateLimits { from, limits }, address);
     }
 }
 
@@ -342,8 +346,8 @@
 
 /// The holdings as an owner reports them. An owner leaves them out of a report only if the receiver
 /// has the current version.
-fn holdings_report(holdings: Option<Holdings>) -> HoldingsTold {
-    holdings.map_or(HoldingsTold::Unchanged, HoldingsTold::Changed)
+fn holdings_report(holdings: Option<Holdings>) -> HoldingsReport {
+    holdings.map_or(HoldingsReport::Unchanged, HoldingsReport::Changed)
 }
 
 /// Handles a received datagram.
@@ -377,7 +381,7 @@
                 if update.holdings.is_some() {
                     control.record_holdings_version(&update.engine, update.holdings_version);
                 }
-                control.shared.news.put(EngineNews {
+                control.shared.owner_updates.put(EngineUpdate {
                     engine: update.engine,
                     report: update.load.into_report(),
                     holdings: holdings_report(update.holdings),
@@ -411,7 +415,7 @@
             control.record_contact(from);
         }
         Ok(Message::Leaving { upstreams }) => control.apply_leaving(&upstreams),
-        Ok(Message::Limits { from, limits }) => {
+        Ok(Message::RateLimits { from, limits }) => {
             control.apply_limits(&limits);
             control.record_contact(from);
         }
@@ -487,7 +491,7 @@
         (engine.id.clone(), load)
     });
     for (mut batch, address) in aggregator.next_messages(control, loads.collect()) {
-        batch.load_ms = control.load_times.get().to_tell();
+        batch.load_ms = control.load_times.get().learned_load_ms();
         let from = control.settings.node.clone();
         send(socket, &Message::AggregatedLoads { from, batch }, address);
     }
--- a/crates/relay-node/src/control/loader.rs
+++ b/crates/relay-node/src/control/loader.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use nutmegsail_base::{NodeId, UpstreamId};
-use nutmegsail_relay::{Holdings, LoadPlace, LoadRefusal, ModelRef};
+use nutmegsail_relay::{Holdings, LoadCandidate, LoadRefusal, ModelRef};
 use nutmegsail_telemetry::{Event, log_event};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
@@ -18,7 +18,7 @@
 use super::load_failure::LoadFailure;
 use super::owner_loads::load_into_owned;
 use super::peers::OwnerLoadRequest;
-use crate::shared::{Loaded, Want, Wanted};
+use crate::shared::{LoadRequest, LoadSpec, Loaded};
 
 /// Engines whose expected waits differ by less than this many load times rank equal. With a smaller
 /// step, nodes whose state differs slightly would choose different engines and load one adapter
@@ -40,7 +40,7 @@
 /// queues shows some time later.
 const COPY_INTERVAL: Duration = Duration::from_millis(600);
 
-type PendingRequests = HashMap<Wanted, Vec<oneshot::Sender<Loaded>>>;
+type PendingRequests = HashMap<LoadSpec, Vec<oneshot::Sender<Loaded>>>;
 
 /// Loads adapters into engines on behalf of the traffic thread.
 pub(crate) struct Loader {
@@ -51,8 +51,8 @@
 }
 
 /// Serves load requests of the traffic thread until its channel closes.
-pub(crate) async fn serve(loader: Rc<Loader>, mut wants: mpsc::Receiver<Want>) {
-    while let Some(want) = wants.recv().await {
+pub(crate) async fn serve(loader: Rc<Loader>, mut load_requests: mpsc::Receiver<LoadRequest>) {
+    while let Some(want) = load_requests.recv().await {
         loader.start_or_join(want);
     }
 }
@@ -67,23 +67,21 @@
     }
 
     /// Starts a load, or joins one for the same adapter that is in progress.
-    fn start_or_join(self: &Rc<Self>, want: Want) {
-        if want.copies > 1 || want.ready.is_closed() {
+    fn start_or_join(self: &Rc<Self>, want: LoadRequest) {
+        if want.copies > 1 || want.result.is_closed() {
             return self.start_copies(want);
         }
-        let key = want.wanted.clone();
+        let key = want.spec.clone();
         if let Some(waiting) = self.waiting.borrow_mut().get_mut(&key) {
-            waiting.push(want.ready);
+            waiting.push(want.result);
             return;
         }
         self.waiting
             .borrow_mut()
-            .insert(key.clone(), vec![want.ready]);
+            .insert(key.clone(), vec![want.result]);
         let this = Rc::clone(self);
         spawn_local(async move {
-            let loaded = this
-                .load_at_first_available(&want.wanted, want.engines)
-                .await;
+            let loaded = this.load_at_first_available(&want.spec, want.engines).await;
             let waiting = this.waiting.borrow_mut().remove(&key);
             for ready in waiting.into_iter().flatten() {
                 // The receiver may have given up.
@@ -93,10 +91,10 @@
     }
 
     /// Starts loading copies that no request waits for.
-    fn start_copies(self: &Rc<Self>, want: Want) {
+    fn start_copies(self: &Rc<Self>, want: LoadRequest) {
         let mut last_copies = self.last_copies.borrow_mut();
         last_copies.retain(|_, at| at.elapsed() < COPY_INTERVAL);
-        let wanted = want.wanted;
+        let wanted = want.spec;
         if last_copies.contains_key(&wanted.model) {
             return;
         }
@@ -110,7 +108,11 @@
         }
     }
 
-    async fn load_at_first_available(&self, wanted: &Wanted, engines: Vec<LoadPlace>) -> Loaded {
+    async fn load_at_first_available(
+        &self,
+        wanted: &LoadSpec,
+        engines: Vec<LoadCandidate>,
+    ) -> Loaded {
         let ranked = self.rank_engines(&wanted.model, engines);
         for candidate in ranked.into_iter().take(MAX_ENGINES_TRIED) {
             let engine = &candidate.engine;
@@ -124,7 +126,10 @@
                 Ok(holdings) => return Some((candidate.engine, holdings)),
                 Err(failure) => {
                     let is_store_busy = failure == LoadFailure::from(LoadRefusal::LeftToMisses);
-                    self.control.shared.metrics.load(failure.to_string());
+                    self.control
+                        .shared
+                        .metrics
+                        .record_load_result(failure.to_string());
                     log_event!(
                         self.control.log, Event::LoadFailed,
                         "upstream" => engine.to_string(), "model" => wanted.model.to_string(),
@@ -145,14 +150,18 @@
     /// Two nodes may miss the same adapter at the same time, before either learns of the other's
     /// load. Engines with about the same expected wait are therefore ordered by a hash that all
     /// nodes compute alike, so that both nodes ask the same owner, which loads the adapter once.
-    fn rank_engines(&self, model: &ModelRef, mut engines: Vec<LoadPlace>) -> Vec<LoadPlace> {
+    fn rank_engines(
+        &self,
+        model: &ModelRef,
+        mut engines: Vec<LoadCandidate>,
+    ) -> Vec<LoadCandidate> {
         engines.retain(|candidate| self.is_reachable(&candidate.engine));
-        let min_ms = engines.iter().map(|candidate| candidate.wait_ms);
+        let min_ms = engines.iter().map(|candidate| candidate.cost_ms);
         let min_ms = min_ms.fold(f64::INFINITY, f64::min);
-        let load = self.control.load_times.get().usual(0.0);
+        let load = self.control.load_times.get().expected(0.0);
         let step_ms = load.as_secs_f64() * 1_000.0 * WAIT_STEP_LOADS;
         engines.sort_by_cached_key(|candidate| {
-            let steps = ((candidate.wait_ms - min_ms) / step_ms) as u64;
+            let steps = ((candidate.cost_ms - min_ms) / step_ms) as u64;
             let hash = xxh3_64(format!("{model} {}", candidate.engine).as_bytes());
             (steps, hash)
         });
@@ -181,8 +190,8 @@
 
     async fn load_through_owner(
         &self,
-        candidate: &LoadPlace,
-        wanted: &Wanted,
+        candidate: &LoadCandidate,
+        wanted: &LoadSpec,
     ) -> Result<Holdings, LoadFailure> {
         let address = self.owner_address(&candidate.engine);
         let address = address.ok_or(LoadFailure::NoOwnerAnswer)?;
--- a/crates/relay-node/src/control/orders.rs
+++ b/crates/relay-node/src/control/orders.rs
@@ -6,7 +6,7 @@
 use http::{Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
 use nutmegsail_base::UpstreamId;
-use nutmegsail_relay::{LoadKind, ModelRef, OrderPermit, Upstream};
+use nutmegsail_relay::{LoadSource, ModelRef, OrderPermit, Upstream};
 use nutmegsail_telemetry::{Event, log_event};
 use tokio::time::timeout;
 
@@ -46,7 +46,7 @@
     /// Reads an engine's report and applies it.
     pub(crate) async fn read_report(&self, engine: &OwnedEngine) -> Option<EngineState> {
         let upstream = self.upstream(&engine.id)?;
-        if self.is_resting(&engine.id) {
+        if self.is_backing_off(&engine.id) {
             return None;
         }
         let call = self.dialect.write_report_call(&upstream.name);
@@ -54,7 +54,7 @@
         let answer = self.call(&address, to_request(call)?, CALL_TIMEOUT).await?;
         let notice = self
             .dialect
-            .read_own_word(answer.status(), answer.headers());
+            .read_upstream_notice(answer.status(), answer.headers());
         if answer.status() == StatusCode::MISDIRECTED_REQUEST {
             // The engine's process ended and another one uses its address, with other holdings.
             self.drop_ended_engine(&engine.id);
@@ -83,7 +83,9 @@
         }
         self.apply_engine_notice(&engine.id, notice);
         for load in engine.apply_report(&report) {
-            self.shared.metrics.load_done(load.accepted_at.elapsed());
+            self.shared
+                .metrics
+                .record_load_time(load.accepted_at.elapsed());
             if load.is_transfer() {
                 self.update_load_times(&load);
             }
@@ -127,8 +129,8 @@
         }
         match early_use {
             EarlyUse::None => {}
-            EarlyUse::Sent => times.note_relied(),
-            EarlyUse::ReturnedUnserved => times.note_early(),
+            EarlyUse::Sent => times.record_used_on_time(),
+            EarlyUse::ReturnedUnserved => times.record_used_too_early(),
         }
         self.load_times.set(times);
     }
@@ -143,8 +145,11 @@
     pub(crate) fn expected_finish(&self, load: &PendingLoad) -> Instant {
         load.accepted_at
             + match load.kind {
-                LoadKind::FromStore => self.load_times.get().usual(self.average_loads_during(load)),
-                LoadKind::Recent => self.load_times.get().recent(),
+                LoadSource::FromStore => self
+                    .load_times
+                    .get()
+                    .expected(self.average_loads_during(load)),
+                LoadSource::HostMemory => self.load_times.get().recent(),
             }
     }
 
@@ -153,18 +158,18 @@
     /// The store may have removed the owner key without this node noticing, so an old confirmation
     /// is renewed first.
     pub(crate) async fn order_fencing_token(&self, engine: &OwnedEngine) -> Option<u64> {
-        if !self.is_to_stay(&engine.id) || self.is_resting(&engine.id) {
+        if !self.is_staying(&engine.id) || self.is_backing_off(&engine.id) {
             return None;
         }
         let permit = engine.ownership.borrow().permit(boot_time());
         match permit {
-            OrderPermit::Granted { claim } => return claim.fence(),
+            OrderPermit::Granted { claim } => return claim.fencing_token(),
             OrderPermit::Settling { .. } => return None,
             OrderPermit::Unconfirmed => {}
         }
         confirm(self).await;
         match engine.ownership.borrow().permit(boot_time()) {
-            OrderPermit::Granted { claim } => claim.fence(),
+            OrderPermit::Granted { claim } => claim.fencing_token(),
             OrderPermit::Unconfirmed | OrderPermit::Settling { .. } => None,
         }
     }
@@ -195,7 +200,7 @@
         {
             let notice = self
                 .dialect
-                .read_own_word(answer.status(), answer.headers());
+                .read_upstream_notice(answer.status(), answer.headers());
             self.apply_engine_notice(&engine.id, notice);
         }
         let answer = answer.and_then(|answer| self.dialect.read_order_answer(answer.status()));
--- a/crates/relay-node/src/control/store_reader.rs
+++ b/crates/relay-node/src/control/store_reader.rs
@@ -46,7 +46,7 @@
         let time_left = (known.answered + MAX_STATE_AGE).saturating_sub(asked);
         let read = self.query_reader(address, after, time_left).await;
         if read.is_none() {
-            self.shared.metrics.reader_silent();
+            self.shared.metrics.record_silent_reader();
             log_event!(
                 self.log, Event::ReaderSilent,
                 "reader" => reader.to_string(), "after" => after.to_string()
@@ -129,7 +129,7 @@
 /// Parses the revision in a path.
 fn parse_revision(path: &str) -> Option<Revision> {
     let (era, number) = path.strip_prefix(CHANGES_PATH)?.split_once('/')?;
-    Some(Revision::of(
+    Some(Revision::in_era(
         StoreEra(era.parse().ok()?),
         number.parse().ok()?,
     ))
--- a/crates/relay-node/src/dialect.rs
+++ b/crates/relay-node/src/dialect.rs
@@ -6,7 +6,8 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
 use nutmegsail_relay::{
-    CallerKey, Holdings, LimitSaid, ModelRef, PromptPart, RestSaid, RouteTable, UpstreamEntry,
+    AnnouncedLimit, CallerKey, Holdings, ModelRef, PromptPart, RequestedBackoff, RouteTable,
+    UpstreamEntry,
 };
 use thiserror::Error;
 
@@ -68,18 +69,18 @@
     /// The name of the upstream that answered, if stated.
     pub upstream: Option<HeaderValue>,
     /// What the upstream states about itself.
-    pub own: OwnWord,
+    pub own: UpstreamNotice,
 }
 
 /// What an upstream states about itself in the head of any answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct OwnWord {
+pub struct UpstreamNotice {
     /// Whether it is leaving, that is, about to stop.
     pub is_leaving: bool,
     /// For how long it asks this node to send it nothing more.
-    pub rest: RestSaid,
+    pub backoff: RequestedBackoff,
     /// Its rate limit for all nodes together.
-    pub limit: LimitSaid,
+    pub limit: AnnouncedLimit,
 }
 
 /// The content of an engine's report.
@@ -92,7 +93,7 @@
     /// The models and adapters that it holds.
     pub holdings: Holdings,
     /// Adapters that are being loaded into it.
-    pub coming: Vec<ModelRef>,
+    pub loading: Vec<ModelRef>,
     /// Whether an order is being carried out.
     pub is_busy: bool,
     /// Number of running requests.
@@ -195,7 +196,7 @@
     /// Reads the head of an upstream's answer to a request.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMeta;
     /// Reads what an upstream states about itself in the head of any answer.
-    fn read_own_word(&self, status: StatusCode, headers: &HeaderMap) -> OwnWord;
+    fn read_upstream_notice(&self, status: StatusCode, headers: &HeaderMap) -> UpstreamNotice;
     /// The path of the platform's readiness check.
     fn ready_path(&self) -> &'static str;
     /// Builds the request for an engine's report; another upstream at the address refuses it.
--- a/crates/relay-node/src/traffic/adapter_loads.rs
+++ b/crates/relay-node/src/traffic/adapter_loads.rs
@@ -2,12 +2,12 @@
 
 use std::time::{Duration, Instant};
 
-use nutmegsail_relay::{Choice, CopyPlace, LoadPlace, LoadPurpose, WantedCopies};
+use nutmegsail_relay::{Choice, CopyScope, LoadCandidate, LoadPurpose, WantedCopies};
 use tokio::sync::oneshot;
 
 use super::call::Call;
 use super::gateway::{Gateway, SendHistory};
-use crate::shared::{CopyNews, Loaded, View, Want, Wanted};
+use crate::shared::{CopyRequest, LoadRequest, LoadSpec, Loaded, View};
 
 /// The longest time that a request waits for its adapter: two loads of 250 ms each, one after the
 /// other, plus the queue for transfers.
@@ -28,7 +28,7 @@
 
 impl Gateway {
     /// Orders loads of the copies that an engine's owner asks for.
-    pub(super) fn want_copies(&self, view: &View, news: CopyNews) {
+    pub(super) fn request_copies(&self, view: &View, news: CopyRequest) {
         let (service, now) = (&news.service, Instant::now());
         let WantedCopies {
             model,
@@ -37,16 +37,16 @@
             is_urgent,
         } = news.wanted;
         let dispatcher = self.dispatcher.borrow();
-        if let CopyPlace::Domain(domain) = &place
+        if let CopyScope::Domain(domain) = &place
             && dispatcher.is_held_in(domain, service, &model, now)
         {
             return;
         }
         let rule = view.versions.rule(&model, self.version_overlap(), now);
-        let engines = dispatcher.engines_to_load(service, &model, rule, &place, now);
+        let engines = dispatcher.load_candidates(service, &model, rule, &place, now);
         let (ready, _) = oneshot::channel();
-        let load_request = Want {
-            wanted: Wanted {
+        let load_request = LoadRequest {
+            spec: LoadSpec {
                 model,
                 version: rule.to_load(),
                 was_turned_away: false,
@@ -58,10 +58,10 @@
             },
             engines,
             copies,
-            ready,
+            result: ready,
         };
         // Dropped if the queue is full: it then holds loads that requests wait for, which go first.
-        let _ = self.shared.wants.try_send(load_request);
+        let _ = self.shared.load_requests.try_send(load_request);
     }
 
     /// Orders a load of the adapter that `call` names, and waits for it up to `wait`.
@@ -79,7 +79,7 @@
         match tokio::time::timeout(wait, ready).await {
             Ok(Ok(Some((engine, holdings)))) => {
                 let mut dispatcher = self.dispatcher.borrow_mut();
-                dispatcher.note_holdings(&engine, &holdings, Instant::now());
+                dispatcher.record_holdings(&engine, &holdings, Instant::now());
                 true
             }
             _ => false,
@@ -95,8 +95,8 @@
     ) -> Option<oneshot::Receiver<Loaded>> {
         let model = call.meta.model.clone()?;
         let (ready, answer) = oneshot::channel();
-        let load_request = Want {
-            wanted: Wanted {
+        let load_request = LoadRequest {
+            spec: LoadSpec {
                 model,
                 version: call.version.to_load(),
                 was_turned_away,
@@ -105,20 +105,20 @@
             },
             engines: self.candidate_engines(call, now),
             copies: 1,
-            ready,
+            result: ready,
         };
-        self.shared.wants.try_send(load_request).ok()?;
+        self.shared.load_requests.try_send(load_request).ok()?;
         Some(answer)
     }
 
     /// Engines on which the adapter could be loaded.
-    fn candidate_engines(&self, call: &Call, now: Instant) -> Vec<LoadPlace> {
+    fn candidate_engines(&self, call: &Call, now: Instant) -> Vec<LoadCandidate> {
         let Some(model) = &call.meta.model else {
             return Vec::new();
         };
         let dispatcher = self.dispatcher.borrow();
-        let place = &CopyPlace::Anywhere;
-        dispatcher.engines_to_load(&call.service, model, call.version, place, now)
+        let place = &CopyScope::Anywhere;
+        dispatcher.load_candidates(&call.service, model, call.version, place, now)
     }
 }
 
