--- a/crates/relay-node/src/clock.rs
+++ b/crates/relay-node/src/clock.rs
@@ -19,9 +19,9 @@
 /// Identifies the start of the machine that [`boot_time`] counts from. If the machine does not
 /// provide an id, each process uses a random one.
 pub(crate) fn boot_id() -> Arc<str> {
-    let told = std::fs::read_to_string("/proc/sys/kernel/random/boot_id");
-    match told {
-        Ok(told) => told.trim().into(),
+    let content = std::fs::read_to_string("/proc/sys/kernel/random/boot_id");
+    match content {
+        Ok(id) => id.trim().into(),
         Err(_) => format!("{:x}", rand::random::<u64>()).into(),
     }
 }
--- a/crates/relay-node/src/control/eras.rs
+++ b/crates/relay-node/src/control/eras.rs
@@ -26,7 +26,7 @@
 /// operators' configuration and model versions are complete again.
 pub(crate) const SETTLED_ERA_KEY: &str = "nutmegsail/era";
 
-/// How often a few nodes are told of a recent restore.
+/// How often a recent restore is announced to a few nodes.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The value of the era key.
@@ -167,7 +167,7 @@
         }
     }
 
-    /// What this node tells others about the store era; `None` while it is itself waiting for their
+    /// The update on the store era for other nodes; `None` while this node itself waits for their
     /// updates.
     pub(crate) fn era_update(&self) -> Option<EraUpdate> {
         let watch = self.eras.watch.borrow();
@@ -194,7 +194,7 @@
         }
     }
 
-    /// The nodes to tell now of a recent restore.
+    /// The nodes to which a recent restore is announced now.
     pub(super) fn era_announcement_targets(&self) -> Vec<SocketAddr> {
         let announced_at = self.eras.announced_at.get();
         let is_due = announced_at.is_none_or(|at| at.elapsed() >= ANNOUNCE_INTERVAL);
--- a/crates/relay-node/src/control/exchange.rs
+++ b/crates/relay-node/src/control/exchange.rs
@@ -248,11 +248,11 @@
     };
     let mut demand = owned.demand.borrow_mut();
     let copies = demand.copies_wanted(engine, in_flight, Instant::now());
-    let news = copies.into_iter().map(|wanted| CopyRequest {
+    let requests = copies.into_iter().map(|wanted| CopyRequest {
         service: upstream.service.clone(),
         wanted,
     });
-    control.shared.owner_updates.request_copies(news);
+    control.shared.owner_updates.request_copies(requests);
 }
 
 /// Sends a heartbeat to the readers of other failure domains, if this node is a reader of its own.
@@ -310,7 +310,7 @@
     }
 }
 
-/// Tells other nodes of a recent restore of the store, or asks them for the store era.
+/// Announces a recent restore of the store to other nodes, or asks them for the store era.
 fn send_era_messages(control: &ControlState, socket: &UdpSocket) {
     for address in control.era_announcement_targets() {
         send_era(control, socket, address);
@@ -336,7 +336,7 @@
 
 /// Sends this node's share of the demand for base models.
 fn send_model_demand(control: &ControlState, socket: &UdpSocket) {
-    let own = control.shared.models_asked.take();
+    let own = control.shared.model_engine_time.take();
     let mut demand = control.model_demand.borrow_mut();
     for (update, address) in demand.next_messages(control, own) {
         let from = control.settings.node.clone();
--- a/crates/relay-node/src/control/leaving_gossip.rs
+++ b/crates/relay-node/src/control/leaving_gossip.rs
@@ -1,5 +1,5 @@
-//! Upstreams that announce that they are leaving: how this node applies that, and which nodes it
-//! tells.
+//! Upstreams that announce that they are leaving: how this node applies that, and to which nodes it
+//! sends it on.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/relay-node/src/control/load_aggregator.rs
+++ b/crates/relay-node/src/control/load_aggregator.rs
@@ -1,8 +1,8 @@
 //! Aggregation of the loads of all engines by one node per failure domain.
 //!
-//! In a large fleet a node uses few engines at a time and hears only from their owners. Without
-//! reports of the other engines it would take them for idle, and its requests would queue behind
-//! those of other nodes. If every owner sent its reports to every node, traffic would grow with the
+//! In a large fleet a node uses few engines at a time and gets updates only from their owners.
+//! Without reports of the other engines it would take them for idle, and its requests would queue
+//! behind those of other nodes. If every owner sent its reports to every node, traffic would grow with the
 //! square of the number of nodes. Owners therefore send them to the node that also reads the store
 //! for their failure domain. It passes them on to the other nodes of its domain, and less often to
 //! the other domains.
@@ -111,8 +111,8 @@
         }
         let known = self.loads.iter();
         let known = known.map(|(engine, received)| (*engine, received.load.is_idle()));
-        let news = self.idle_filter.due_engines(known);
-        let local = news.iter().filter_map(|engine| {
+        let due = self.idle_filter.due_engines(known);
+        let local = due.iter().filter_map(|engine| {
             let received = self.loads.get(engine)?;
             received
                 .is_local
@@ -121,7 +121,7 @@
         let local: Vec<_> = local.collect();
         let to_remote = self.remote_filter.due_engines(local);
         let local = self.batch(&to_remote, |received| received.is_local);
-        let mut all = self.batch(&news, |received| received.is_local || received.is_new);
+        let mut all = self.batch(&due, |received| received.is_local || received.is_new);
         for received in self.loads.values_mut() {
             received.is_new = false;
         }
--- a/crates/relay-node/src/control/loader.rs
+++ b/crates/relay-node/src/control/loader.rs
@@ -173,9 +173,9 @@
         let owners = self.control.owners.borrow();
         let nodes = self.control.nodes.borrow();
         let contacts = self.control.last_contacts.borrow();
-        // In a large fleet a node hears only from owners of engines that it uses; the others may
-        // still answer.
-        let hears_all_owners = nodes.len() <= FULL_EXCHANGE_NODES;
+        // In a large fleet a node gets updates only from owners of engines that it uses; the others
+        // may still answer.
+        let gets_all_updates = nodes.len() <= FULL_EXCHANGE_NODES;
         let has_recent_contact = |node: &NodeId| {
             contacts
                 .get(node)
@@ -183,7 +183,7 @@
         };
         let is_known = |owner: &Owner| {
             nodes.contains_key(&owner.node)
-                && (!hears_all_owners || has_recent_contact(&owner.node))
+                && (!gets_all_updates || has_recent_contact(&owner.node))
         };
         self.control.owned(engine).is_some() || owners.get(engine).is_some_and(is_known)
     }
--- a/crates/relay-node/src/shared.rs
+++ b/crates/relay-node/src/shared.rs
@@ -244,13 +244,13 @@
         self.lock().copies.extend(copies);
     }
 
-    pub(crate) fn put(&self, news: EngineUpdate) {
+    pub(crate) fn put(&self, update: EngineUpdate) {
         let mut waiting = self.lock();
-        let older = waiting.engines.remove(&news.engine);
+        let older = waiting.engines.remove(&update.engine);
         let older = older.map(|older| older.holdings).unwrap_or_default();
-        let holdings = news.holdings.after(older);
-        let news = EngineUpdate { holdings, ..news };
-        waiting.engines.insert(news.engine.clone(), news);
+        let holdings = update.holdings.after(older);
+        let update = EngineUpdate { holdings, ..update };
+        waiting.engines.insert(update.engine.clone(), update);
     }
 
     pub(crate) fn take(&self) -> PendingUpdates {
@@ -272,7 +272,7 @@
     pub(crate) view: ArcSwap<View>,
     readiness: Mutex<Readiness>,
     pub(crate) usages: EngineUsages,
-    pub(crate) models_asked: ModelEngineTime,
+    pub(crate) model_engine_time: ModelEngineTime,
     pub(crate) owner_updates: OwnerUpdates,
     suspects: Mutex<Suspects>,
     limits: Mutex<RateLimits>,
@@ -285,7 +285,7 @@
     pub(crate) store_answered_ms: AtomicU64,
     /// When the store read behind the newest view was sent, in milliseconds of [`boot_time`]; 0
     /// before the first.
-    news_asked_ms: AtomicU64,
+    data_asked_ms: AtomicU64,
     access: AccessRules,
 }
 
@@ -299,7 +299,7 @@
             view: ArcSwap::default(),
             readiness: Mutex::default(),
             usages: EngineUsages::default(),
-            models_asked: ModelEngineTime::default(),
+            model_engine_time: ModelEngineTime::default(),
             owner_updates: OwnerUpdates::default(),
             suspects: Mutex::default(),
             limits: Mutex::default(),
@@ -308,7 +308,7 @@
             metrics,
             connections: AtomicUsize::new(0),
             store_answered_ms: AtomicU64::new(0),
-            news_asked_ms: AtomicU64::new(0),
+            data_asked_ms: AtomicU64::new(0),
             access,
         };
         (Arc::new(shared), arrived)
@@ -371,12 +371,12 @@
     /// then never takes an old view for a newer one.
     pub(crate) fn record_data_time(&self, asked: Duration) {
         let asked_ms = u64::try_from(asked.as_millis()).unwrap_or(0);
-        self.news_asked_ms.fetch_max(asked_ms, Ordering::Release);
+        self.data_asked_ms.fetch_max(asked_ms, Ordering::Release);
     }
 
     /// The age of the data that the view is based on, counted from when the store read was sent.
     pub(crate) fn data_age(&self) -> Duration {
-        let asked_ms = self.news_asked_ms.load(Ordering::Acquire);
+        let asked_ms = self.data_asked_ms.load(Ordering::Acquire);
         boot_time().saturating_sub(Duration::from_millis(asked_ms))
     }
 
--- a/crates/relay-node/src/traffic/adapter_loads.rs
+++ b/crates/relay-node/src/traffic/adapter_loads.rs
@@ -28,14 +28,14 @@
 
 impl Gateway {
     /// Orders loads of the copies that an engine's owner asks for.
-    pub(super) fn request_copies(&self, view: &View, news: CopyRequest) {
-        let (service, now) = (&news.service, Instant::now());
+    pub(super) fn request_copies(&self, view: &View, request: CopyRequest) {
+        let (service, now) = (&request.service, Instant::now());
         let WantedCopies {
             model,
             place,
             copies,
             is_urgent,
-        } = news.wanted;
+        } = request.wanted;
         let dispatcher = self.dispatcher.borrow();
         if let CopyScope::Domain(domain) = &place
             && dispatcher.is_held_in(domain, service, &model, now)
--- a/crates/relay-node/src/traffic/gateway.rs
+++ b/crates/relay-node/src/traffic/gateway.rs
@@ -87,7 +87,7 @@
     pub(crate) quotas: Rc<QuotaClient>,
     pub(crate) slots: Rc<SlotClient>,
     /// Per route, the wait limits that callers have stated.
-    pub(super) stated_patience: RefCell<HashMap<Arc<str>, UsualTimeout>>,
+    pub(super) usual_timeouts: RefCell<HashMap<Arc<str>, UsualTimeout>>,
     pub(crate) log: Logger,
     /// When the node began to shut down.
     pub(crate) leaving_since: Cell<Option<Instant>>,
@@ -186,7 +186,7 @@
             quotas: Rc::new(QuotaClient::new(Rc::clone(&peer_socket))),
             slots: Rc::new(SlotClient::new(Rc::clone(&peer_socket))),
             peer_socket,
-            stated_patience: RefCell::default(),
+            usual_timeouts: RefCell::default(),
             log: parts.log,
             leaving_since: Cell::new(None),
             model_waiters: Cell::new(0),
@@ -212,14 +212,14 @@
         }
         self.apply_limits();
         self.apply_backoffs(is_new);
-        let news = self.shared.owner_updates.take();
+        let updates = self.shared.owner_updates.take();
         let mut dispatcher = self.dispatcher.borrow_mut();
-        dispatcher.merge_domain_contacts(&news.domains);
-        for (engine, news) in news.engines {
-            dispatcher.record_owner_report(&engine, &news.holdings, news.report);
+        dispatcher.merge_domain_contacts(&updates.domains);
+        for (engine, update) in updates.engines {
+            dispatcher.record_owner_report(&engine, &update.holdings, update.report);
         }
         drop(dispatcher);
-        for copies in news.copies {
+        for copies in updates.copies {
             self.request_copies(&view, copies);
         }
         view
--- a/crates/relay-node/src/traffic/model_wait.rs
+++ b/crates/relay-node/src/traffic/model_wait.rs
@@ -28,7 +28,7 @@
         if self.is_configured(call, model, 2) {
             let dispatcher = self.dispatcher.borrow();
             let engine_ms = dispatcher.engine_time_ms(&call.service, call.meta.prompt_tokens);
-            let demand = &self.shared.models_asked;
+            let demand = &self.shared.model_engine_time;
             demand.count(model.base().digest(), engine_ms as f32);
         }
     }
--- a/crates/relay-node/src/traffic/peer_socket.rs
+++ b/crates/relay-node/src/traffic/peer_socket.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Receives the answers of other nodes, for ever.
+/// Receives the answers of other nodes, forever.
 pub(crate) async fn receive_answers(gateway: Rc<Gateway>) {
     let mut buffer = vec![0; DATAGRAM_BYTES];
     loop {
--- a/crates/relay-node/src/traffic/plain_slot.rs
+++ b/crates/relay-node/src/traffic/plain_slot.rs
@@ -141,7 +141,7 @@
         let Some(stated_wait) = stated_wait else {
             return Duration::ZERO;
         };
-        let mut known = self.stated_patience.borrow_mut();
+        let mut known = self.usual_timeouts.borrow_mut();
         if let Some(stated) = known.get_mut(route) {
             return stated.waited(stated_wait);
         }
--- a/crates/relay-node/src/traffic/slot_client.rs
+++ b/crates/relay-node/src/traffic/slot_client.rs
@@ -52,7 +52,7 @@
     id: SlotAskId,
     upstream: UpstreamId,
     node: SocketAddr,
-    /// Whether the issuing node has to be told when the slot is returned.
+    /// Whether the return of the slot must be reported to the issuing node.
     is_known: bool,
     /// How long the request was at the upstream, in milliseconds.
     took_ms: Option<u32>,
--- a/crates/relay/src/access.rs
+++ b/crates/relay/src/access.rs
@@ -57,7 +57,7 @@
 }
 
 impl AccessRules {
-    /// Identifies the sender of a request with `key`. `news_age` is the time since the node
+    /// Identifies the sender of a request with `key`. `data_age` is the time since the node
     /// requested the configuration that it read last.
     ///
     /// # Errors
@@ -81,19 +81,19 @@
         teams: Option<&crate::Teams>,
         allows_anonymous: bool,
         key: &CallerKey,
-        news_age: Duration,
+        data_age: Duration,
     ) -> Result<Caller, AccessDenied> {
         let Some(teams) = teams else {
             return Ok(Caller::Anonymous);
         };
-        let is_stale = !self.accepts_keys(news_age);
+        let is_stale = !self.accepts_keys(data_age);
         let denied = match key {
             CallerKey::Absent | CallerKey::Malformed => AccessDenied::NoKey { may_be_new: false },
             CallerKey::Given(_) if is_stale => AccessDenied::Stale,
             CallerKey::Given(key) => match teams.by_key(key) {
                 Some(team) => return Ok(Caller::Team(Arc::clone(team))),
                 None => AccessDenied::NoKey {
-                    may_be_new: news_age > FRESH_CONFIG_AGE,
+                    may_be_new: data_age > FRESH_CONFIG_AGE,
                 },
             },
         };
@@ -113,20 +113,20 @@
         table: &RouteTable,
         route: &Route,
         key: &CallerKey,
-        news_age: Duration,
+        data_age: Duration,
     ) -> Result<Caller, AccessDenied> {
-        self.caller(table.teams(), route.allows_anonymous, key, news_age)
+        self.caller(table.teams(), route.allows_anonymous, key, data_age)
     }
 
     /// Whether a node with a configuration of this age should receive requests.
-    pub fn is_ready(&self, table: &RouteTable, news_age: Duration) -> bool {
+    pub fn is_ready(&self, table: &RouteTable, data_age: Duration) -> bool {
         let revocation = self.revocation.filter(|_| table.teams().is_some());
-        revocation.is_none_or(|bound| news_age <= bound.mul_f64(READY_FRACTION))
+        revocation.is_none_or(|bound| data_age <= bound.mul_f64(READY_FRACTION))
     }
 
     /// Whether keys are accepted with a configuration of this age.
-    fn accepts_keys(&self, news_age: Duration) -> bool {
+    fn accepts_keys(&self, data_age: Duration) -> bool {
         self.revocation
-            .is_none_or(|bound| news_age <= bound.mul_f64(KEYS_ACCEPTED_FRACTION))
+            .is_none_or(|bound| data_age <= bound.mul_f64(KEYS_ACCEPTED_FRACTION))
     }
 }
--- a/crates/relay/src/backoff.rs
+++ b/crates/relay/src/backoff.rs
@@ -5,7 +5,7 @@
 /// How long a trial request may stay unanswered before another one is sent.
 const TRIAL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Typical time until a trial request is answered. Callers that are refused meanwhile are told to
+/// Typical time until a trial request is answered. Callers that are refused meanwhile should
 /// return then.
 const TRIAL_LATENCY: Duration = Duration::from_millis(100);
 
--- a/crates/relay/src/dispatcher.rs
+++ b/crates/relay/src/dispatcher.rs
@@ -120,7 +120,7 @@
     /// Observed over assumed time for engines to process prompts and run steps.
     latency_factor: f64,
     /// The last contact with a node of each failure domain.
-    domains_heard: DomainContacts,
+    domain_contacts: DomainContacts,
     /// How long an upstream that announced its shutdown still gets requests that no other can
     /// serve.
     pub(crate) leaving_grace: Duration,
@@ -136,7 +136,7 @@
             load_ms: INITIAL_LOAD_MS,
             slot_time_ms: INITIAL_SLOT_TIME_MS,
             latency_factor: 1.0,
-            domains_heard: DomainContacts::default(),
+            domain_contacts: DomainContacts::default(),
             leaving_grace: Duration::ZERO,
         }
     }
@@ -400,7 +400,7 @@
     /// messages a second, fall silent at the same time.
     pub(crate) fn is_domain_unreachable(&self, tracked: &Tracked, now: Instant) -> bool {
         let domain = &tracked.upstream.failure_domain;
-        let last_contact = self.domains_heard.heard(domain);
+        let last_contact = self.domain_contacts.last_contact(domain);
         *domain != self.failure_domain
             && last_contact.is_some_and(|at| {
                 let silence = now.saturating_duration_since(at);
@@ -436,8 +436,8 @@
     }
 
     /// Merges the last contacts with other failure domains.
-    pub fn merge_domain_contacts(&mut self, heard: &DomainContacts) {
-        self.domains_heard.merge(heard);
+    pub fn merge_domain_contacts(&mut self, contacts: &DomainContacts) {
+        self.domain_contacts.merge(contacts);
     }
 
     /// Records that a request was sent.
--- a/crates/relay/src/domain_contacts.rs
+++ b/crates/relay/src/domain_contacts.rs
@@ -20,7 +20,8 @@
 /// In a large fleet, a node is in contact with the owners of the engines it uses, and with no node
 /// of failure domains whose engines it does not use. If it took such a domain for cut off, it would
 /// send its engines no requests and so never be in contact again, and each domain would load the
-/// popular adapters for itself. So nodes that are in contact with every domain tell the others.
+/// popular adapters for itself. So nodes that are in contact with every domain report it to the
+/// others.
 ///
 /// ```
 /// use std::time::{Duration, Instant};
@@ -31,41 +32,41 @@
 /// reader.note(&"west".into(), now);
 /// let mut node = DomainContacts::default();
 /// node.take(&reader.ages(now + ms(100)), now + ms(120));
-/// assert_eq!(node.heard(&"west".into()), Some(now + ms(20)));
+/// assert_eq!(node.last_contact(&"west".into()), Some(now + ms(20)));
 /// node.take(&reader.ages(now + ms(900)), now + ms(910));
-/// assert_eq!(node.heard(&"west".into()), Some(now + ms(20)), "the later time wins");
+/// assert_eq!(node.last_contact(&"west".into()), Some(now + ms(20)), "the later time wins");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct DomainContacts {
-    heard: HashMap<FailureDomain, Instant>,
+    contacts: HashMap<FailureDomain, Instant>,
 }
 
 impl DomainContacts {
     /// Records a contact with a node of `domain` at `at`.
     pub fn note(&mut self, domain: &FailureDomain, at: Instant) {
-        match self.heard.get_mut(domain) {
+        match self.contacts.get_mut(domain) {
             Some(known) => *known = at.max(*known),
             None => {
-                self.heard.insert(domain.clone(), at);
+                self.contacts.insert(domain.clone(), at);
             }
         }
     }
 
     /// The last contact with a node of `domain`.
-    pub fn heard(&self, domain: &FailureDomain) -> Option<Instant> {
-        self.heard.get(domain).copied()
+    pub fn last_contact(&self, domain: &FailureDomain) -> Option<Instant> {
+        self.contacts.get(domain).copied()
     }
 
     /// Merges the contacts of `other`, another record of this node.
     pub fn merge(&mut self, other: &Self) {
-        for (domain, at) in &other.heard {
+        for (domain, at) in &other.contacts {
             self.note(domain, *at);
         }
     }
 
     /// The age of the last contact with each domain, to be sent to another node.
     pub fn ages(&self, now: Instant) -> Vec<DomainAge> {
-        let ages = self.heard.iter().map(|(domain, at)| {
+        let ages = self.contacts.iter().map(|(domain, at)| {
             let age = now.saturating_duration_since(*at);
             DomainAge {
                 domain: domain.clone(),
--- a/crates/relay/src/engine_demand.rs
+++ b/crates/relay/src/engine_demand.rs
@@ -60,7 +60,7 @@
 /// Demand for the adapters of one engine, over all nodes.
 ///
 /// A single node of a large fleet sees too few requests to tell a popular adapter from one that was
-/// requested by chance. The owner of an engine hears from all nodes.
+/// requested by chance. The owner of an engine gets reports from all nodes.
 #[derive(Clone, Debug)]
 pub struct EngineDemand {
     tokens: Demand,
--- a/crates/relay/src/load_queue.rs
+++ b/crates/relay/src/load_queue.rs
@@ -14,8 +14,8 @@
 /// Concurrent loads from the weight store at one engine. With more of them, an urgent load that is
 /// ordered last would be slowed down by all the others.
 ///
-/// There is no fleet-wide limit: an owner hears of only a few other engines at a time, and its
-/// estimate would hold back loads while the weight store has capacity.
+/// There is no fleet-wide limit: an owner gets updates on only a few other engines at a time, and
+/// its estimate would hold back loads while the weight store has capacity.
 const MAX_STORE_LOADS: usize = 2;
 
 /// Why an adapter is loaded. Ordered by urgency, the most urgent first.
--- a/crates/relay/src/load_times.rs
+++ b/crates/relay/src/load_times.rs
@@ -126,8 +126,8 @@
 ///         false => times.record_used_on_time(),
 ///     }
 /// }
-/// let told = times.expected(1.0).as_secs_f64() / takes.as_secs_f64();
-/// assert!((0.95..1.1).contains(&told));
+/// let ratio = times.expected(1.0).as_secs_f64() / takes.as_secs_f64();
+/// assert!((0.95..1.1).contains(&ratio));
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct LoadTimes {
--- a/crates/relay/src/ownership.rs
+++ b/crates/relay/src/ownership.rs
@@ -45,7 +45,7 @@
 /// Whose orders may be in flight to an engine when it is claimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Predecessor {
-    /// Nobody's.
+    /// No orders can be in flight.
     None,
     /// Only those that an earlier process of this node was waiting out when it owned the engine.
     Own {
--- a/crates/relay/src/rate_limits.rs
+++ b/crates/relay/src/rate_limits.rs
@@ -149,14 +149,14 @@
     /// The update to send to other nodes about `upstream`, if it is known.
     pub fn update_for(&self, upstream: &UpstreamId, now: Instant) -> Option<LimitUpdate> {
         let known = self.known.get(upstream)?;
-        Some(known.told(upstream, now))
+        Some(known.update(upstream, now))
     }
 
     /// Updates to send to other nodes about all known upstreams.
     pub fn updates(&self, now: Instant) -> Vec<LimitUpdate> {
         let known = self.known.iter();
         known
-            .map(|(upstream, known)| known.told(upstream, now))
+            .map(|(upstream, known)| known.update(upstream, now))
             .collect()
     }
 
@@ -196,7 +196,7 @@
         }
     }
 
-    fn told(&self, upstream: &UpstreamId, now: Instant) -> LimitUpdate {
+    fn update(&self, upstream: &UpstreamId, now: Instant) -> LimitUpdate {
         let age_ms = now.duration_since(self.announced_at).as_millis();
         LimitUpdate {
             upstream: upstream.clone(),
--- a/crates/relay/src/retry_after.rs
+++ b/crates/relay/src/retry_after.rs
@@ -1,4 +1,4 @@
-//! When refused callers are told to return.
+//! The time after which a refused caller should return.
 
 use std::time::Duration;
 
